--- a/measure/connections.py
+++ b/measure/connections.py
@@ -22,11 +22,11 @@
 HERE = Path(__file__).resolve().parents[1]
 sys.path.insert(0, str(HERE))
 
-from fleetlab.agents import Discovery  # noqa: E402
-from fleetlab.alone import World, request  # noqa: E402
-from fleetlab.backends import Backend  # noqa: E402
-from fleetlab.counters import Counter  # noqa: E402
-from fleetlab.sockets import LOCAL, Peer, encode  # noqa: E402
+from testbed.network.sockets import LOCAL, Peer, encode  # noqa: E402
+from testbed.stand_ins.agents import Discovery  # noqa: E402
+from testbed.stand_ins.backends import Backend  # noqa: E402
+from testbed.stand_ins.counters import Counter  # noqa: E402
+from testbed.stand_ins.single_gateway import World, request  # noqa: E402
 
 CLIENTS, SLOW, ASKS = 48, 24, 20  # proper clients, those that send a request in halves, requests of each
 COMING = ["silent"] * 100 + ["garbling"] * 50 + ["leaving"] * 50  # come before each round
@@ -50,7 +50,7 @@
     path.write_text(json.dumps(config))
     environment = {**os.environ, "LB_CONFIG": str(path), "TMPDIR": directory}
     process = await asyncio.create_subprocess_exec(
-        *(sys.executable, "-OO", "-m", "roadpulley"),
+        *(sys.executable, "-OO", "-m", "switchline"),
         cwd=root,
         env=environment,
         stderr=asyncio.subprocess.DEVNULL,
--- a/measure/lab.py
+++ b/measure/lab.py
@@ -16,10 +16,10 @@
 
 sys.path[:0] = [str(Path(__file__).resolve().parents[1])]
 
-from fleetlab.addresses import Address, Net  # noqa: E402
-from fleetlab.links import Path as LinkPath  # noqa: E402
-from fleetlab.links import TcpLink  # noqa: E402
-from fleetlab.sockets import Server  # noqa: E402
+from testbed.network.addresses import Address, Net  # noqa: E402
+from testbed.network.links import Path as LinkPath  # noqa: E402
+from testbed.network.links import TcpLink  # noqa: E402
+from testbed.network.sockets import Server  # noqa: E402
 
 RATE, SECONDS, PLAYS, CONNECTIONS, BYTES = 400, 5, 3, 40, 300
 
--- a/measure/line.py
+++ b/measure/line.py
@@ -19,8 +19,8 @@
 
 sys.path[:0] = [str(Path(__file__).resolve().parents[1])]
 
-from fleetlab.line import Net, address_of, fleet  # noqa: E402
-from roadpulley.fleet.messages import State  # noqa: E402
+from switchline.fleet.messages import State  # noqa: E402
+from testbed.network.fleet_link import Net, address_of, fleet  # noqa: E402
 
 SEEDS, DEATHS, SETTLE_S, QUIET_S, LIMIT_S = (1, 2, 3), 5, 20.0, 10.0, 30.0
 SHORT_S = 5.0  # in place of SETTLE_S where all know each other from the start
--- a/measure/recovery.py
+++ b/measure/recovery.py
@@ -26,10 +26,10 @@
 
 from connections import holds  # noqa: E402
 
-from fleetlab.alone import World  # noqa: E402
-from fleetlab.backends import Backend  # noqa: E402
-from fleetlab.sockets import LOCAL, Peer  # noqa: E402
-from roadpulley.store import FILE, Files  # noqa: E402
+from switchline.state.store import FILE, Files  # noqa: E402
+from testbed.network.sockets import LOCAL, Peer  # noqa: E402
+from testbed.stand_ins.backends import Backend  # noqa: E402
+from testbed.stand_ins.single_gateway import World  # noqa: E402
 
 PLAYS, REQUESTS, CUSTOMERS = 3, 6_000, 300
 SIZES = 0, 1_000, 4_096
@@ -63,7 +63,7 @@
     async def start(self) -> asyncio.subprocess.Process:
         given = {"LB_CONFIG": str(self.folder / "config.json"), "TMPDIR": str(self.folder)}
         return await asyncio.create_subprocess_exec(
-            *(sys.executable, "-OO", "-m", "roadpulley"),
+            *(sys.executable, "-OO", "-m", "switchline"),
             cwd=HERE,
             env={**os.environ, **given},
             stderr=asyncio.subprocess.DEVNULL,
--- a/measure/zones.py
+++ b/measure/zones.py
@@ -22,11 +22,11 @@
 HERE = Path(__file__).resolve().parents[1]
 sys.path[:0] = [str(HERE), str(HERE / "tests")]
 
-from fleet import Fleet  # noqa: E402
-from lined import Lined  # noqa: E402
+from gateway_fleet import Fleet  # noqa: E402
+from linked_fleet import Lined  # noqa: E402
 
-from mintford.zones import Zones  # noqa: E402
-from roadpulley.fleet.zonal import read_act, share_at  # noqa: E402
+from switchline.policy.zones import Zones  # noqa: E402
+from switchline.zones.agreement import read_act, share_at  # noqa: E402
 
 ZONES, GATEWAYS, GAP_MS = {"a": 8, "b": 8, "c": 8}, 24, 50.0
 
--- a/roadpulley/__main__.py
+++ b/switchline/__main__.py
@@ -1,4 +1,4 @@
-"""Runs one gateway: `python -m roadpulley`, told by LB_CONFIG what to do."""
+"""Runs one gateway: `python -m switchline`, told by LB_CONFIG what to do."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 # Reading the program's files may fail for a moment as any other system call.
 IMPORT_TRIES, IMPORT_WAIT_S = 10, 0.1
-USAGE = """usage: LB_CONFIG=FILE python -m roadpulley
+USAGE = """usage: LB_CONFIG=FILE python -m switchline
 
 Serves as one gateway with the JSON configuration in FILE (README.md says what it holds) until SIGTERM.
 SIGHUP reads the file again."""
@@ -34,11 +34,11 @@
         return 0 if sys.argv[1] in ("-h", "--help") else 2
     path = os.environ.get("LB_CONFIG")
     if not path:
-        print(f"roadpulley: LB_CONFIG is not set\n\n{USAGE}", file=sys.stderr)
+        print(f"switchline: LB_CONFIG is not set\n\n{USAGE}", file=sys.stderr)
         return 2
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # there is no configuration to read again yet
     load(".logs").start()
-    return int(load(".program").main(path))
+    return int(load(".service.program").main(path))
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/switchline/audit/__init__.py
@@ -0,0 +1,1 @@
+"""Who acted on which version: records, their files, queries."""
--- a/roadpulley/ctl_audit.py
+++ b/switchline/audit/ctl.py
@@ -1,4 +1,4 @@
-"""For staff: questions to the audits of a fleet. `python -m roadpulley.ctl audit COMMAND SOURCE...`
+"""For staff: questions to the audits of a fleet. `python -m switchline.ctl audit COMMAND SOURCE...`
 
 A SOURCE is an operator address (host:port: what the gateway has in memory) or the folder of an audit (all
 that is kept). What could not be reached is named. Exit codes as for the other commands; `verify`: 1 where a
@@ -22,9 +22,9 @@
 from rich.console import Console
 from rich.table import Table
 
-from . import audit_queries
-from .fleet.chain import GAP, Finding, Head, Record, verify
-from .segments import lines, paths
+from switchline.audit import queries as audit_queries
+from switchline.audit.segments import lines, paths
+from switchline.fleet.chain import GAP, Finding, Head, Record, verify
 
 ANSWER_S, AT_ONCE = 2.0, 64
 KINDS = ("list", "config", "program", "ban", "zone ban", "zone", "quota", "format", "stage", "ready")
--- a/roadpulley/audit_queries.py
+++ b/switchline/audit/queries.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from .fleet.chain import Record
+from switchline.fleet.chain import Record
 
 Audits = Mapping[str, list[Record]]  # by gateway, each in its own order
 
--- a/roadpulley/audit.py
+++ b/switchline/audit/recorder.py
@@ -16,11 +16,11 @@
 
 import msgspec
 
-from .clock import now_ms
-from .fleet.chain import GAP, LONGEST_TEXT, MOST_COUNTS, Head, Record
-from .fleet.hybrid_clock import HybridClock
-from .fleet.messages import Life
-from .segments import Writer
+from switchline.audit.segments import Writer
+from switchline.clock import now_ms
+from switchline.fleet.chain import GAP, LONGEST_TEXT, MOST_COUNTS, Head, Record
+from switchline.fleet.hybrid_clock import HybridClock
+from switchline.fleet.messages import Life
 
 log = logging.getLogger(__name__)
 
@@ -34,9 +34,8 @@
 def build_digest() -> str:
     """Of the program's own files, as they lie there: which build it is, whatever its release says."""
     found = hashlib.blake2b(digest_size=8)
-    for package in ("mintford", "roadpulley"):
-        for path in sorted((Path(__file__).parents[1] / package).rglob("*.py")):
-            found.update(f"{path.name}\0".encode() + path.read_bytes())
+    for path in sorted(Path(__file__).parents[1].rglob("*.py")):
+        found.update(f"{path.name}\0".encode() + path.read_bytes())
     return found.hexdigest()
 
 
--- a/roadpulley/segments.py
+++ b/switchline/audit/segments.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from .fleet.chain import FIRST, LONGEST_LINE, Head, Record, read, write
+from switchline.fleet.chain import FIRST, LONGEST_LINE, Head, Record, read, write
 
 log = logging.getLogger(__name__)
 
--- /dev/null
+++ b/switchline/backends/__init__.py
@@ -0,0 +1,1 @@
+"""Connections to backends and the attempts made on them."""
--- a/roadpulley/backends.py
+++ b/switchline/backends/pool.py
@@ -17,16 +17,15 @@
 from functools import partial
 from typing import Literal
 
-from mintford.interface import BackendState, Outcome
-
-from .accept import close_socket
-from .clock import Timer, Timers, now_ms
-from .config import Address
-from .descriptors import Budget, Part
-from .figures import Figures
-from .idle import AT_ONCE_MS, IdleTimes
-from .resp import END, NOT_YET, Line, NotWhole, Opened, ProtocolError, Reader, Value
-from .streams import LONGEST, WHOLE, Body, Passing, Room
+from switchline.clock import Timer, Timers, now_ms
+from switchline.config import Address
+from switchline.net.accept import close_socket
+from switchline.net.descriptors import Budget, Part
+from switchline.net.idle import AT_ONCE_MS, IdleTimes
+from switchline.net.resp import END, NOT_YET, Line, NotWhole, Opened, ProtocolError, Reader, Value
+from switchline.net.streams import LONGEST, WHOLE, Body, Passing, Room
+from switchline.operators.metrics import Figures
+from switchline.policy.interface import BackendState, Outcome
 
 log = logging.getLogger(__name__)
 
--- /dev/null
+++ b/switchline/clients/__init__.py
@@ -0,0 +1,1 @@
+"""The server that clients connect to, and the requests they send."""
--- a/roadpulley/commands.py
+++ b/switchline/clients/commands.py
@@ -6,8 +6,8 @@
 import re
 from dataclasses import dataclass
 
-from .clock import now_ms
-from .streams import Body
+from switchline.clock import now_ms
+from switchline.net.streams import Body
 
 SAFE = b"API.READ"
 REQUESTS = {SAFE, b"API.WRITE"}
--- a/roadpulley/clients.py
+++ b/switchline/clients/server.py
@@ -10,17 +10,16 @@
 from collections.abc import Callable
 from typing import Protocol, cast
 
-from mintford.shares import FairShares
-
-from .accept import Acceptor
-from .clock import now_ms
-from .commands import REQUESTS, Command, bulk, parse_command
-from .descriptors import Budget, Part
-from .figures import Evicted, Figures
-from .guard import Guard, Invariant
-from .resp import NOT_YET, Opened, ProtocolError, Reader, Value
-from .socket_state import has_unread_bytes, peer_has_closed
-from .streams import LONGEST, WHOLE, Body, Passing, Room
+from switchline.clients.commands import REQUESTS, Command, bulk, parse_command
+from switchline.clock import now_ms
+from switchline.guard import Guard, Invariant
+from switchline.net.accept import Acceptor
+from switchline.net.descriptors import Budget, Part
+from switchline.net.resp import NOT_YET, Opened, ProtocolError, Reader, Value
+from switchline.net.socket_state import has_unread_bytes, peer_has_closed
+from switchline.net.streams import LONGEST, WHOLE, Body, Passing, Room
+from switchline.operators.metrics import Evicted, Figures
+from switchline.policy.fair_shares import FairShares
 
 log = logging.getLogger(__name__)
 
--- a/roadpulley/clock.py
+++ b/switchline/clock.py
@@ -14,7 +14,7 @@
 import time
 from collections.abc import Callable
 
-from .guard import Guard
+from switchline.guard import Guard
 
 _OFFSET_MS = time.time() * 1000 - time.monotonic() * 1000
 
--- a/roadpulley/config.py
+++ b/switchline/config.py
@@ -10,11 +10,10 @@
 from pathlib import Path
 from typing import Any
 
-from mintford import interface as api
-from mintford.wirehost import read_settings
-
-from . import __version__
-from .descriptors import Shares
+from switchline import __version__
+from switchline.net.descriptors import Shares
+from switchline.policy import interface as api
+from switchline.simulator import read_settings
 
 Address = tuple[str, int]
 MEGABYTE = 1024 * 1024
--- /dev/null
+++ b/switchline/counter/__init__.py
@@ -0,0 +1,1 @@
+"""The client of the counter service."""
--- a/roadpulley/counter.py
+++ b/switchline/counter/client.py
@@ -11,12 +11,11 @@
 from functools import partial
 from typing import cast
 
-from mintford.interface import Outcome
-
-from .clock import Timer, Timers, now_ms
-from .config import Address
-from .descriptors import Budget, Part
-from .idle import AT_ONCE_MS, IdleTimes
+from switchline.clock import Timer, Timers, now_ms
+from switchline.config import Address
+from switchline.net.descriptors import Budget, Part
+from switchline.net.idle import AT_ONCE_MS, IdleTimes
+from switchline.policy.interface import Outcome
 
 log = logging.getLogger(__name__)
 
--- a/roadpulley/ctl.py
+++ b/switchline/ctl.py
@@ -1,9 +1,9 @@
 """For staff: what the gateways of a fleet say of each other, of zones, and of a return after a power loss.
 
-    python -m roadpulley.ctl members ADDRESS... [--json]
-    python -m roadpulley.ctl recovery ADDRESS... [--json]
-    python -m roadpulley.ctl zones ADDRESS... [--json]
-    python -m roadpulley.ctl audit who|when|acts|trace|verify|plot ... SOURCE... [--json]
+    python -m switchline.ctl members ADDRESS... [--json]
+    python -m switchline.ctl recovery ADDRESS... [--json]
+    python -m switchline.ctl zones ADDRESS... [--json]
+    python -m switchline.ctl audit who|when|acts|trace|verify|plot ... SOURCE... [--json]
 
 ADDRESS is a gateway's operator address, host:port. It needs the extra `ops`. Exit codes: 0 all answered and
 agree (`recovery`: and are in whole service), 1 some don't or did not answer, 2 none answered.
@@ -20,7 +20,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from .ctl_audit import audit, fetch
+from switchline.audit.ctl import audit, fetch
 
 AT_ONCE = 32  # calls side by side
 NO_RECOVERY = "it tells of no recovery: `fleet` or `state` is not set"
--- a/roadpulley/discovery.py
+++ b/switchline/discovery/client.py
@@ -14,12 +14,11 @@
 
 import h11
 
-from mintford.interface import BackendEntry, BackendState, ListScope
-
-from .clock import now_ms
-from .config import Address, parse_address
-from .descriptors import FIXED, Budget, Part
-from .json_stream import JsonStream, StreamError
+from switchline.clock import now_ms
+from switchline.config import Address, parse_address
+from switchline.net.descriptors import FIXED, Budget, Part
+from switchline.net.json_stream import JsonStream, StreamError
+from switchline.policy.interface import BackendEntry, BackendState, ListScope
 
 log = logging.getLogger(__name__)
 
--- a/roadpulley/fleet/chain.py
+++ b/switchline/fleet/chain.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from .messages import Count, Life, Stamp
+from switchline.fleet.messages import Count, Life, Stamp
 
 FIRST = ""  # the hash before the first record
 SUM_BYTES = 12
--- a/roadpulley/fleet/facts.py
+++ b/switchline/fleet/facts.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from .messages import LONGEST_NAME, LONGEST_VALUE, Entry, Life
+from switchline.fleet.messages import LONGEST_NAME, LONGEST_VALUE, Entry, Life
 
 MOST_ENTRIES, MOST_OF_ORIGIN = 4_096, 64
 HELD_HOST, HELD_ZONE = "held-host", "held-zone"  # what any gateway was called to do; value: down or up
--- a/roadpulley/fleet/gossip_queue.py
+++ b/switchline/fleet/gossip_queue.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Hashable, Iterator
 
-from .messages import MOST_DATAGRAM, Entry, Rumor
+from switchline.fleet.messages import MOST_DATAGRAM, Entry, Rumor
 
 MOST_NEWS = 4_096  # pieces of news that wait to be told; exchanges tell what is over it
 REPEATS, LEAST_REPEATS = 4.0, 8  # times log10 of the members that each tells a piece of news; at least
--- a/roadpulley/fleet/hybrid_clock.py
+++ b/switchline/fleet/hybrid_clock.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from .messages import Stamp
+from switchline.fleet.messages import Stamp
 
 AHEAD_MS = 300_000  # by which clocks may differ
 
--- a/roadpulley/fleet/members.py
+++ b/switchline/fleet/members.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from .messages import Life, Rumor, State
+from switchline.fleet.messages import Life, Rumor, State
 
 Address = tuple[str, int]
 
--- a/roadpulley/fleet/node.py
+++ b/switchline/fleet/node.py
@@ -14,11 +14,11 @@
 
 import msgspec
 
-from .facts import Facts, key_of
-from .gossip_queue import GossipQueue
-from .hybrid_clock import HybridClock
-from .members import ANSWER_S, PROBE_S, SILENT_S, Address, Member, Members
-from .messages import (
+from switchline.fleet.facts import Facts, key_of
+from switchline.fleet.gossip_queue import GossipQueue
+from switchline.fleet.hybrid_clock import HybridClock
+from switchline.fleet.members import ANSWER_S, PROBE_S, SILENT_S, Address, Member, Members
+from switchline.fleet.messages import (
     LIST,
     MOST_DATAGRAM,
     SPENDING,
--- a/roadpulley/fleet/quarantine.py
+++ b/switchline/fleet/quarantine.py
@@ -10,10 +10,10 @@
 import math
 from collections.abc import Collection
 
-from .facts import Facts
-from .messages import Life, State
-from .node import Node
-from .staleness import Floors, number, seq_of
+from switchline.fleet.facts import Facts
+from switchline.fleet.messages import Life, State
+from switchline.fleet.node import Node
+from switchline.fleet.staleness import Floors, number, seq_of
 
 SHUT, GRANT = "shut", "shut-grant"  # kinds of facts: of a straggler itself; of others, named after it
 WANTS, OUT = "wants", "out"
--- a/roadpulley/fleet/staleness.py
+++ b/switchline/fleet/staleness.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from .messages import Listed
+from switchline.fleet.messages import Listed
 
 APART_S = 5.0  # a version that most don't have is told to staff after so long
 BEHIND_S = 1.0  # most have a newer one for so long: an agent's lateness is well below
--- a/roadpulley/list_repair.py
+++ b/switchline/fleet_runtime/list_repair.py
@@ -10,15 +10,14 @@
 import random
 import time
 
-from mintford import interface as api
-
-from .audit import Noted
-from .discovery import Discovery, DiscoveryError, read_list
-from .driver import Driver
-from .fleet.messages import LIST, Exchange, Listed
-from .fleet.staleness import StaleList, agreed, leaves_none, number, seq_of
-from .peers import Peers
-from .recovery import Recovery
+from switchline.audit.recorder import Noted
+from switchline.discovery.client import Discovery, DiscoveryError, read_list
+from switchline.fleet.messages import LIST, Exchange, Listed
+from switchline.fleet.staleness import StaleList, agreed, leaves_none, number, seq_of
+from switchline.fleet_runtime.transport import Peers
+from switchline.policy import interface as api
+from switchline.service.driver import Driver
+from switchline.state.recovery import Recovery
 
 log = logging.getLogger(__name__)
 
--- a/roadpulley/fleet_recovery.py
+++ b/switchline/fleet_runtime/recovery.py
@@ -16,20 +16,19 @@
 from enum import IntEnum
 from typing import Any
 
-from mintford import gateway_status
-from mintford import interface as api
-
-from .audit import Noted
-from .bans import Bans
-from .clock import now_ms
-from .discovery import Discovery, DiscoveryError, read_list
-from .driver import Driver
-from .fleet.members import Members
-from .fleet.messages import LIST, MOST_HOSTS, MOST_SPENT, SPENDING, Exchange, HostRow, Listed, Spent
-from .fleet.outage import RISEN, RISEN_S, UNKNOWN, Verdict, judge, read_down
-from .fleet.staleness import bound_by, leaves_none, seq_of
-from .peers import Peers, Word
-from .recovery import Recovery
+from switchline.audit.recorder import Noted
+from switchline.clock import now_ms
+from switchline.discovery.client import Discovery, DiscoveryError, read_list
+from switchline.fleet.members import Members
+from switchline.fleet.messages import LIST, MOST_HOSTS, MOST_SPENT, SPENDING, Exchange, HostRow, Listed, Spent
+from switchline.fleet.outage import RISEN, RISEN_S, UNKNOWN, Verdict, judge, read_down
+from switchline.fleet.staleness import bound_by, leaves_none, seq_of
+from switchline.fleet_runtime.transport import Peers, Word
+from switchline.operators.overrides import Bans
+from switchline.policy import gateway_status
+from switchline.policy import interface as api
+from switchline.service.driver import Driver
+from switchline.state.recovery import Recovery
 
 log = logging.getLogger(__name__)
 
--- a/roadpulley/peers.py
+++ b/switchline/fleet_runtime/transport.py
@@ -14,11 +14,11 @@
 from pathlib import Path
 from typing import Any, NamedTuple, cast
 
-from .clock import now_ms
-from .config import Address, Line
-from .fleet.facts import TooMuch
-from .fleet.messages import MOST_EXCHANGE, Entry, Life, Seal, State
-from .fleet.node import Node
+from switchline.clock import now_ms
+from switchline.config import Address, Line
+from switchline.fleet.facts import TooMuch
+from switchline.fleet.messages import MOST_EXCHANGE, Entry, Life, Seal, State
+from switchline.fleet.node import Node
 
 log = logging.getLogger(__name__)
 
--- /dev/null
+++ b/switchline/net/__init__.py
@@ -0,0 +1,1 @@
+"""Bytes and sockets: RESP, JSON in a stream, descriptors, accepting."""
--- a/roadpulley/accept.py
+++ b/switchline/net/accept.py
@@ -14,8 +14,8 @@
 import time
 from collections.abc import Callable
 
-from .config import Address
-from .descriptors import Budget
+from switchline.config import Address
+from switchline.net.descriptors import Budget
 
 log = logging.getLogger(__name__)
 
--- /dev/null
+++ b/switchline/operators/__init__.py
@@ -0,0 +1,1 @@
+"""What operators call: the address, the overrides, the metrics."""
--- a/roadpulley/fleet_calls.py
+++ b/switchline/operators/fleet_calls.py
@@ -12,12 +12,12 @@
 import time
 from collections.abc import Mapping
 
-from .bans import Bans
-from .clock import now_ms
-from .fleet.facts import FLEET_FLOOR, FLEET_HOST, FLEET_SPARE, FLEET_ZONE, TooMuch
-from .fleet.messages import Entry, State
-from .operators import Said
-from .peers import Peers, Word
+from switchline.clock import now_ms
+from switchline.fleet.facts import FLEET_FLOOR, FLEET_HOST, FLEET_SPARE, FLEET_ZONE, TooMuch
+from switchline.fleet.messages import Entry, State
+from switchline.fleet_runtime.transport import Peers, Word
+from switchline.operators.overrides import Bans
+from switchline.operators.server import Said
 
 log = logging.getLogger(__name__)
 
--- a/roadpulley/bans.py
+++ b/switchline/operators/overrides.py
@@ -13,7 +13,7 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-from .clock import Timers, now_ms
+from switchline.clock import Timers, now_ms
 
 log = logging.getLogger(__name__)
 
@@ -27,7 +27,10 @@
 
 
 def private_file(name: str, suffix: str) -> Path:
-    """Where a gateway keeps what the next process of the same name reads."""
+    """Where a gateway keeps what the next process of the same name reads.
+
+    The prefix is the program's earlier name: files and sockets of an older version have to be found.
+    """
     safe = re.sub(r"[^A-Za-z0-9_-]", "_", name)[:64]
     return Path(os.environ.get("TMPDIR") or "/tmp") / f"roadpulley-{safe}-{suffix}"
 
--- a/roadpulley/operators.py
+++ b/switchline/operators/server.py
@@ -12,9 +12,9 @@
 
 import h11
 
-from .accept import Acceptor, ListenError, listening, listening_in_time
-from .config import Address
-from .descriptors import Budget, Part
+from switchline.config import Address
+from switchline.net.accept import Acceptor, ListenError, listening, listening_in_time
+from switchline.net.descriptors import Budget, Part
 
 log = logging.getLogger(__name__)
 
--- a/mintford/attempts.py
+++ b/switchline/policy/attempts.py
@@ -4,10 +4,10 @@
 
 import math
 
-from . import interface as api
-from .backend_choice import END_MS, ERROR_COST, MARK_MS
-from .entities import NEVER_RAN, OWED_MS, Attempt, Backend, Request
-from .gateway_state import GatewayState
+from switchline.policy import interface as api
+from switchline.policy.backend_selection import END_MS, ERROR_COST, MARK_MS
+from switchline.policy.entities import NEVER_RAN, OWED_MS, Attempt, Backend, Request
+from switchline.policy.gateway_state import GatewayState
 
 TYPICAL_OVER = 40.0  # answers that the typical latency is the mean of
 RECENT, SLOW, BAD = 0.12, 0.15, 0.3  # weight of one answer in the recent latency and a backend's two marks
--- a/mintford/backend_choice.py
+++ b/switchline/policy/backend_selection.py
@@ -5,10 +5,10 @@
 import hashlib
 import math
 
-from . import interface as api
-from .customers import LEASE_MS
-from .entities import Backend, Request
-from .gateway_state import GatewayState
+from switchline.policy import interface as api
+from switchline.policy.customer import LEASE_MS
+from switchline.policy.entities import Backend, Request
+from switchline.policy.gateway_state import GatewayState
 
 END_MS = 50.0  # a request is ended this long before it expires; small beside any aim
 MARK_MS, MARK_MEETINGS = 4_000.0, 5.0  # a mark fades to a third in this time or in so many usual gaps
--- a/mintford/customers.py
+++ b/switchline/policy/customer.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from . import interface as api
+from switchline.policy import interface as api
 
 LEASE_MS = 15_000.0  # the design's lease
 SPARSE, SCATTERED = 1.5, 0.25  # largest requests in an even part of a burst: too thin to spend; next to none
--- a/mintford/durable_state.py
+++ b/switchline/policy/durable_state.py
@@ -12,9 +12,9 @@
 from collections.abc import Collection, Mapping
 from typing import Any
 
-from . import interface as api
-from .customers import Customer
-from .state_records import check_customer
+from switchline.policy import interface as api
+from switchline.policy.customer import Customer
+from switchline.policy.state_records import check_customer
 
 PARTS, AHEAD_MS = 4.0, 100.0  # reserved at a time: a part of the burst, or what this time brings if more
 LAG_MS = 3_000.0  # what such a time brought may have been spent unreserved; a commit has half of it
--- a/mintford/entities.py
+++ b/switchline/policy/entities.py
@@ -4,8 +4,8 @@
 
 import math
 
-from . import interface as api
-from .customers import Customer
+from switchline.policy import interface as api
+from switchline.policy.customer import Customer
 
 # Outcomes of an attempt that surely did not run.
 NEVER_RAN = {api.Outcome.FULL, api.Outcome.CONNECT, api.Outcome.IGNORED, api.Outcome.NO_ROOM}
--- a/mintford/rules.py
+++ b/switchline/policy/gateway.py
@@ -9,14 +9,14 @@
 from collections.abc import Callable
 from typing import Any
 
-from . import interface as api
-from .attempts import LONGEST, PATIENCE, RATE_MS, RECENT, Attempts
-from .backend_choice import LEAST_OUT, MARK_MS, BackendChoice
-from .customers import LEASE_MS, Customer
-from .entities import Backend, Request
-from .gateway_state import RETRY_STORE
-from .leases import PERIOD_MS, Leases
-from .state_records import check, read_numbers
+from switchline.policy import interface as api
+from switchline.policy.attempts import LONGEST, PATIENCE, RATE_MS, RECENT, Attempts
+from switchline.policy.backend_selection import LEAST_OUT, MARK_MS, BackendChoice
+from switchline.policy.customer import LEASE_MS, Customer
+from switchline.policy.entities import Backend, Request
+from switchline.policy.gateway_state import RETRY_STORE
+from switchline.policy.leases import PERIOD_MS, Leases
+from switchline.policy.state_records import check, read_numbers
 
 FITTING_WEIGHT, CHANCE_PART = 0.1, 0.8  # of one reading; of a passed quota, which chance finds empty at times
 RETRY_SHARE, RETRY_CALM = 0.15, 0.6  # extra attempts earned a request; when calm
--- a/mintford/gateway_state.py
+++ b/switchline/policy/gateway_state.py
@@ -5,13 +5,13 @@
 import random
 from collections import deque
 
-from . import interface as api
-from .customers import Customer
-from .durable_state import DurableState
-from .entities import Attempt, Backend, Request
-from .recovery_ramp import RecoveryRamp
-from .state_records import StateRecords
-from .zones import Zones
+from switchline.policy import interface as api
+from switchline.policy.customer import Customer
+from switchline.policy.durable_state import DurableState
+from switchline.policy.entities import Attempt, Backend, Request
+from switchline.policy.recovery_ramp import RecoveryRamp
+from switchline.policy.state_records import StateRecords
+from switchline.policy.zones import Zones
 
 RETRY_STORE = 10.0  # extra attempts that are saved up at most
 
--- a/mintford/gateway_status.py
+++ b/switchline/policy/gateway_status.py
@@ -5,11 +5,11 @@
 import math
 from dataclasses import dataclass, field
 
-from . import interface as api
-from .backend_choice import EJECTED
-from .entities import Backend
-from .rules import Gateway
-from .zones import BAD, SHARE_MS, State, Zone, Zones
+from switchline.policy import interface as api
+from switchline.policy.backend_selection import EJECTED
+from switchline.policy.entities import Backend
+from switchline.policy.gateway import Gateway
+from switchline.policy.zones import BAD, SHARE_MS, State, Zone, Zones
 
 SLOW_TIMES = 2.5  # of the usual time, and for a cold one of what it takes: a backend counts as slow
 
--- a/mintford/leases.py
+++ b/switchline/policy/leases.py
@@ -6,10 +6,10 @@
 import math
 from collections import deque
 
-from . import interface as api
-from .customers import LEASE_MS, Customer
-from .entities import NEVER_RAN, Request
-from .gateway_state import GatewayState
+from switchline.policy import interface as api
+from switchline.policy.customer import LEASE_MS, Customer
+from switchline.policy.entities import NEVER_RAN, Request
+from switchline.policy.gateway_state import GatewayState
 
 PERIOD_MS = 15_000.0  # of a number on the counter: long, as each new one costs a call more
 REFRESH_MS = 500.0  # between refreshes at least: shares follow a shift, calls stay under requests
--- a/mintford/state_records.py
+++ b/switchline/policy/state_records.py
@@ -8,8 +8,8 @@
 import math
 from typing import Any
 
-from . import interface as api
-from .customers import Customer
+from switchline.policy import interface as api
+from switchline.policy.customer import Customer
 
 MOST_PASSED = 4_096  # customers that an upgrade passes over, those met last
 LARGEST = 1e9  # of any number that a row may hold, times apart
--- a/mintford/zones.py
+++ b/switchline/policy/zones.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 from enum import Enum
 
-from . import interface as api
+from switchline.policy import interface as api
 
 STEP = 0.8  # weight of an outcome in a backend's evidence: a gateway with thin traffic seldom has a second
 BAD = 0.5  # a backend whose evidence is over this looks lost
--- a/roadpulley/driver.py
+++ b/switchline/service/driver.py
@@ -11,21 +11,20 @@
 from functools import partial
 from typing import Any
 
-from mintford import Gateway, gateway_status
-from mintford import interface as api
-from mintford.entities import NEVER_RAN
-from mintford.shares import PRESSED, FairShares
-
-from .backends import Attempt, Backends
-from .clients import Slot
-from .clock import Timer, Timers, now_ms
-from .commands import Command, bulk
-from .counter import Counter
-from .descriptors import Part
-from .discovery import Member, host_number
-from .figures import Ended, Figures
-from .guard import Invariant
-from .streams import Passing, Room
+from switchline.backends.pool import Attempt, Backends
+from switchline.clients.commands import Command, bulk
+from switchline.clients.server import Slot
+from switchline.clock import Timer, Timers, now_ms
+from switchline.counter.client import Counter
+from switchline.discovery.client import Member, host_number
+from switchline.guard import Invariant
+from switchline.net.descriptors import Part
+from switchline.net.streams import Passing, Room
+from switchline.operators.metrics import Ended, Figures
+from switchline.policy import Gateway, gateway_status
+from switchline.policy import interface as api
+from switchline.policy.entities import NEVER_RAN
+from switchline.policy.fair_shares import PRESSED, FairShares
 
 log = logging.getLogger(__name__)
 
--- a/roadpulley/program.py
+++ b/switchline/service/program.py
@@ -14,12 +14,12 @@
 
 import uvloop
 
-from .accept import ListenError
-from .config import Config, ConfigError, load_config
-from .discovery import DiscoveryError
-from .service import Service
+from switchline.config import Config, ConfigError, load_config
+from switchline.discovery.client import DiscoveryError
+from switchline.net.accept import ListenError
+from switchline.service.service import Service
 
-log = logging.getLogger("roadpulley")
+log = logging.getLogger("switchline")
 
 # The file may be half written, or no descriptor be left for it: at SIGHUP, the platform waits 4 s for its
 # news to be taken.
@@ -171,10 +171,10 @@
         config = read_config(path)
         run_in_loop(lambda: run(path, config))
     except (ConfigError, DiscoveryError) as error:
-        print(f"roadpulley: bad configuration: {error}", file=sys.stderr)
+        print(f"switchline: bad configuration: {error}", file=sys.stderr)
         return 2
     except (ListenError, OSError) as error:
-        print(f"roadpulley: this machine does not let it serve: {error}", file=sys.stderr)
+        print(f"switchline: this machine does not let it serve: {error}", file=sys.stderr)
         return 1
     finally:
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
--- a/roadpulley/service.py
+++ b/switchline/service/service.py
@@ -14,36 +14,35 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
-from mintford import interface as api
-from mintford.leases import PERIOD_MS
-
-from .accept import inherited, listening_in_time
-from .backends import Backends
-from .bans import Bans, private_file
-from .clients import BACKLOG, ClientServer
-from .clock import Timers, now_ms
-from .config import Config
-from .counter import Counter
-from .descriptors import OF_LINE, OF_STATE, OWN, Budget
-from .discovery import Discovery, Member, asks_apart, read_list
-from .driver import Driver
-from .figures import Ended, Figures
-from .guard import Guard
-from .operators import Calls, Later, OperatorServer, Said
-from .streams import Room
-from .upgrade_handover import HOLDS, UpgradeHandover
+from switchline.backends.pool import Backends
+from switchline.clients.server import BACKLOG, ClientServer
+from switchline.clock import Timers, now_ms
+from switchline.config import Config
+from switchline.counter.client import Counter
+from switchline.discovery.client import Discovery, Member, asks_apart, read_list
+from switchline.guard import Guard
+from switchline.net.accept import inherited, listening_in_time
+from switchline.net.descriptors import OF_LINE, OF_STATE, OWN, Budget
+from switchline.net.streams import Room
+from switchline.operators.metrics import Ended, Figures
+from switchline.operators.overrides import Bans, private_file
+from switchline.operators.server import Calls, Later, OperatorServer, Said
+from switchline.policy import interface as api
+from switchline.policy.leases import PERIOD_MS
+from switchline.service.driver import Driver
+from switchline.upgrade.handover import HOLDS, UpgradeHandover
 
 if TYPE_CHECKING:
-    from .audit import Audit
-    from .fleet.messages import Entry, Exchange
-    from .fleet.quarantine import Quarantine
-    from .fleet.staleness import Divergence
-    from .fleet_calls import FleetCalls
-    from .fleet_recovery import FleetRecovery
-    from .list_repair import ListRepair
-    from .peers import Peers, Word
-    from .recovery import Recovery
-    from .zone_coordination import ZoneCoordinator
+    from switchline.audit.recorder import Audit
+    from switchline.fleet.messages import Entry, Exchange
+    from switchline.fleet.quarantine import Quarantine
+    from switchline.fleet.staleness import Divergence
+    from switchline.fleet_runtime.list_repair import ListRepair
+    from switchline.fleet_runtime.recovery import FleetRecovery
+    from switchline.fleet_runtime.transport import Peers, Word
+    from switchline.operators.fleet_calls import FleetCalls
+    from switchline.state.recovery import Recovery
+    from switchline.zones.coordination import ZoneCoordinator
 
 log = logging.getLogger(__name__)
 
@@ -120,7 +119,7 @@
                 changed = partial(self.on_held, kind)
                 self.hands[kind] = Bans(private_file(config.name, file), self.timers, changed)
         if config.state is not None:
-            from .recovery import Recovery
+            from switchline.state.recovery import Recovery
 
             self.recovery = Recovery(config.state, config.name, self.driver, self.discovery, self.hands)
             if config.known:
@@ -248,7 +247,7 @@
         here = said if isinstance(said, Said) else await said
         if here is not YES or self.fleet_calls is None:
             return here
-        from .fleet.facts import FOR_ALL
+        from switchline.fleet.facts import FOR_ALL
 
         return await self.fleet_calls.tell(FOR_ALL[kind], name, out)
 
@@ -296,7 +295,7 @@
             self.recovery.keep_hand(kind, name, out, since)
 
     def is_floor(self, name: str) -> bool:
-        from .fleet.staleness import floors_of
+        from switchline.fleet.staleness import floors_of
 
         return bool(floors_of([name]))
 
@@ -325,8 +324,8 @@
         if self.recovery is not None:
             await self.recovery.load()
             if self.config.line is not None:
-                from .fleet_recovery import FleetRecovery
-                from .list_repair import ListRepair
+                from switchline.fleet_runtime.list_repair import ListRepair
+                from switchline.fleet_runtime.recovery import FleetRecovery
 
                 index = self.config.settings.index
                 self.fleet_recovery = FleetRecovery(
@@ -340,8 +339,8 @@
         config = self.config
         if config.line is None and config.audit is None:
             return
-        from .audit import Audit, build_digest
-        from .fleet.messages import VERSION
+        from switchline.audit.recorder import Audit, build_digest
+        from switchline.fleet.messages import VERSION
 
         life = int(now_ms()), random.Random(f"{config.seed} audit").getrandbits(40)
         self.audit = Audit(config.name, life, config.audit, self.acts)
@@ -398,11 +397,11 @@
         """Take part in the fleet, if the configuration names one."""
         if self.config.line is None or self.peers is not None:
             return
-        from .fleet.facts import FOR_ALL
-        from .fleet.staleness import Divergence
-        from .fleet_calls import FleetCalls
-        from .peers import Peers, next_life
-        from .zone_coordination import ZoneCoordinator
+        from switchline.fleet.facts import FOR_ALL
+        from switchline.fleet.staleness import Divergence
+        from switchline.fleet_runtime.transport import Peers, next_life
+        from switchline.operators.fleet_calls import FleetCalls
+        from switchline.zones.coordination import ZoneCoordinator
 
         chance = random.Random(f"{self.config.seed} line")
         life = next_life(self.config.state, chance)
@@ -455,8 +454,8 @@
 
     def shut(self, list_repair: ListRepair, peers: Peers) -> None:
         """Go out, or come back, as its list stays behind the others' and most of them grant it."""
-        from .fleet.quarantine import Quarantine
-        from .fleet.staleness import floors_of
+        from switchline.fleet.quarantine import Quarantine
+        from switchline.fleet.staleness import floors_of
 
         if self.quarantine is None:
             self.quarantine = Quarantine(peers.line.shut_out_s, self.loop.time())
@@ -515,7 +514,7 @@
 
     def words(self) -> Iterator[Word]:
         """What this gateway tells the others of itself, and of what operators had it do."""
-        from .peers import Word
+        from switchline.fleet_runtime.transport import Word
 
         regions = dict(self.config.settings.regions)
         zone = self.config.settings.zone
--- a/mintford/wirehost.py
+++ b/switchline/simulator.py
@@ -1,4 +1,4 @@
-"""Adapter from the wire (JSON lines on standard input and output) to `mintford.rules`. Decides nothing."""
+"""Adapter from the simulator's wire, JSON lines on standard streams, to the decisions. It decides nothing."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from typing import Any, TextIO
 
-from . import interface as api
-from .rules import Gateway
+from switchline.policy import interface as api
+from switchline.policy.gateway import Gateway
 
 
 class WireError(Exception):
@@ -214,7 +214,7 @@
         try:
             reply = host.batch(line)
         except WireError as error:
-            print("mintford.wirehost: bad input: " + " ".join(str(error).split()), file=sys.stderr)
+            print("switchline.simulator: bad input: " + " ".join(str(error).split()), file=sys.stderr)
             return 2
         replies.write(reply + "\n")
         replies.flush()
--- /dev/null
+++ b/switchline/state/__init__.py
@@ -0,0 +1,1 @@
+"""State on disk, and its restoring at a start."""
--- a/roadpulley/recovery.py
+++ b/switchline/state/recovery.py
@@ -9,13 +9,12 @@
 from pathlib import Path
 from typing import Any
 
-from mintford import interface as api
-
-from .bans import BACK_MS, Bans
-from .clock import now_ms
-from .discovery import Discovery, DiscoveryError, read_list
-from .driver import Driver
-from .store import HELD, LOCK_S, Found, Store
+from switchline.clock import now_ms
+from switchline.discovery.client import Discovery, DiscoveryError, read_list
+from switchline.operators.overrides import BACK_MS, Bans
+from switchline.policy import interface as api
+from switchline.service.driver import Driver
+from switchline.state.store import HELD, LOCK_S, Found, Store
 
 log = logging.getLogger(__name__)
 
--- /dev/null
+++ b/switchline/upgrade/__init__.py
@@ -0,0 +1,1 @@
+"""The hand-over between two processes of one gateway."""
--- /dev/null
+++ b/switchline/zones/__init__.py
@@ -0,0 +1,1 @@
+"""Zones as a decision of the whole fleet."""
--- a/roadpulley/fleet/zonal.py
+++ b/switchline/zones/agreement.py
@@ -17,10 +17,10 @@
 
 import msgspec
 
-from .facts import ZONE_ACT, Facts
-from .messages import LONGEST_VALUE, Entry, State
-from .node import Node
-from .quarantine import outside
+from switchline.fleet.facts import ZONE_ACT, Facts
+from switchline.fleet.messages import LONGEST_VALUE, Entry, State
+from switchline.fleet.node import Node
+from switchline.fleet.quarantine import outside
 
 MET, ON, LOAD = "zone-met", "zone-on", "load"  # kinds of facts
 DOUBT = 0.75  # backends taken to be well beside those met
@@ -110,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Word:
-    """What this gateway is to follow of a zone; see `mintford.interface.ZoneTold`. `gap_s`: seconds."""
+    """What this gateway is to follow of a zone; see `ZoneTold` of the policy. `gap_s`: seconds."""
 
     state: str
     rate: float = 0.0
--- a/roadpulley/zone_coordination.py
+++ b/switchline/zones/coordination.py
@@ -15,16 +15,15 @@
 
 import msgspec
 
-from mintford import Gateway, gateway_status
-from mintford import interface as api
-
-from .audit import Noted
-from .clock import now_ms
-from .driver import Driver, figure_name
-from .fleet.facts import ZONE_ACT
-from .fleet.messages import Entry
-from .fleet.zonal import ID_DIGITS, ON, Act, Seen, Word, Zonal, part_of, read_act
-from .peers import Peers
+from switchline.audit.recorder import Noted
+from switchline.clock import now_ms
+from switchline.fleet.facts import ZONE_ACT
+from switchline.fleet.messages import Entry
+from switchline.fleet_runtime.transport import Peers
+from switchline.policy import Gateway, gateway_status
+from switchline.policy import interface as api
+from switchline.service.driver import Driver, figure_name
+from switchline.zones.agreement import ID_DIGITS, ON, Act, Seen, Word, Zonal, part_of, read_act
 
 log = logging.getLogger(__name__)
 
--- a/fleetlab/__main__.py
+++ b/testbed/__main__.py
@@ -1,4 +1,4 @@
-"""The lab's command line: `python -m fleetlab`.
+"""The lab's command line: `python -m testbed`.
 
 Exit codes: 0 the rules held, 1 a rule broken or an expectation missed, 2 bad input, 3 the play is void.
 """
@@ -16,13 +16,13 @@
 from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
 from rich.table import Table
 
-from . import scenario as given
-from . import soak as soaks
-from .addresses import AddressError
-from .judge import Breach
-from .play import BAD, VOID, PlayError, Result, play
-from .records import RecordError
-from .report import ReportError, compare, write_report
+from testbed import scenario as given
+from testbed import soak as soaks
+from testbed.network.addresses import AddressError
+from testbed.play.play import BAD, VOID, PlayError, Result, play
+from testbed.verdict.judge import Breach
+from testbed.verdict.records import RecordError
+from testbed.verdict.report import ReportError, compare, write_report
 
 VERDICTS = {0: "[green]rules held[/]", 1: "[red]broken[/]", 3: "[yellow]void[/]"}
 MOST_LINES = 12  # breaches that are printed
@@ -46,7 +46,7 @@
 
 
 def fail(error: Exception, code: int = BAD) -> None:
-    click.echo(f"fleetlab: {error}", err=True)
+    click.echo(f"testbed: {error}", err=True)
     sys.exit(code)
 
 
--- a/fleetlab/fixture.py
+++ b/testbed/fixture.py
@@ -9,9 +9,9 @@
 import msgspec
 import pytest
 
-from .play import Result, play
-from .records import Event, read
-from .scenario import Scenario, check
+from testbed.play.play import Result, play
+from testbed.scenario import Scenario, check
+from testbed.verdict.records import Event, read
 
 MOST_GATEWAYS, MOST_S = 8, 20.0
 PATIENT = {"slack_s": 2.0, "late_ms": 1e6, "stall_ms": 1e6}  # a starved machine breaks no rule
--- a/fleetlab/launch.py
+++ b/testbed/launch.py
@@ -1,6 +1,6 @@
 """Starts a gateway whose program is altered to break a rule.
 
-    python -m fleetlab.launch [ALTERATION ...]
+    python -m testbed.launch [ALTERATION ...]
 
 An alteration breaks one rule on purpose, so that the judge can be seen to find it. Other gateways are started
 as the deploy file says, without this.
@@ -24,7 +24,7 @@
 
 def lose() -> None:
     """It ends every tenth connection in place of an answer."""
-    from roadpulley import driver
+    from switchline.service import driver
 
     def finish(self: Any, request: str, reply: bytes, ended: Any) -> None:
         self.lost = getattr(self, "lost", 0) + 1
@@ -39,7 +39,7 @@
 
 def late() -> None:
     """Every tenth answer is never given."""
-    from roadpulley import driver
+    from switchline.service import driver
 
     def finish(self: Any, request: str, reply: bytes, ended: Any) -> None:
         seen.add(request)
@@ -56,14 +56,15 @@
 
 def made_up() -> None:
     """It answers with a value of its own."""
-    from roadpulley import driver
+    from switchline.service import driver
 
     replace(driver, "bulk", lambda value: b"$5\r\nhello\r\n")
 
 
 def twice() -> None:
     """It sends work that must not run twice a second time."""
-    from mintford import interface, rules
+    from switchline.policy import gateway as rules
+    from switchline.policy import interface
 
     def send(self: Any, now: float, request: Any, backend: Any, out: Any) -> None:
         before(self, now, request, backend, out)
@@ -76,15 +77,16 @@
 
 def denies() -> None:
     """It says of work that may have run that it has not."""
-    from roadpulley import driver
+    from switchline.service import driver
 
     replace(driver, "FAILED", b"-BUSY 100\r\n")
 
 
 def deaf() -> None:
     """It does not hear of drains and removals, nor keep to operators' bans."""
-    from mintford import entities, interface, rules
-    from roadpulley import backends
+    from switchline.backends import pool as backends
+    from switchline.policy import entities, interface
+    from switchline.policy import gateway as rules
 
     replace(rules.Gateway, "usable", lambda self, b: b.ready)
     replace(backends.Host, "takes_new", property(lambda self: True))
@@ -99,7 +101,8 @@
 
 def eager() -> None:
     """It knows of no cold backends, ceilings or quotas."""
-    from mintford import entities, rules
+    from switchline.policy import entities
+    from switchline.policy import gateway as rules
 
     replace(entities.Backend, "warmth", lambda self, now: 1.0)
 
@@ -114,7 +117,7 @@
 
 def falls() -> None:
     """It ends by itself after some requests."""
-    from roadpulley import driver
+    from switchline.service import driver
 
     def finish(self: Any, request: str, reply: bytes, ended: Any) -> None:
         self.ended = getattr(self, "ended", 0) + 1
@@ -129,7 +132,7 @@
     """It does not hear SIGTERM."""
     import asyncio
 
-    from roadpulley import program
+    from switchline.service import program
 
     async def serve(config: Any, stop: Any, **given: Any) -> None:
         await before(config, asyncio.Event(), **given)
@@ -141,7 +144,7 @@
     """It never gets ready."""
     import asyncio
 
-    from roadpulley import service
+    from switchline.service import service
 
     async def open(self: Any) -> None:
         await asyncio.Event().wait()
@@ -164,7 +167,7 @@
 
 
 def main() -> int:
-    from roadpulley import __main__ as program
+    from switchline import __main__ as program
 
     for word in sys.argv[1:]:
         ALTERATIONS[word]()
--- a/fleetlab/machine.py
+++ b/testbed/machine.py
@@ -123,7 +123,7 @@
     """The compiled library; built at first use. Raises NoCompilerError, with the reason."""
     source = SOURCE.read_bytes()
     digest = hashlib.blake2b(source, digest_size=8).hexdigest()
-    built = Path(tempfile.gettempdir()) / f"fleetlab-machine-faults-{digest}.so"
+    built = Path(tempfile.gettempdir()) / f"testbed-machine-faults-{digest}.so"
     if built.exists():
         return built
     compiler = next((found for name in COMPILERS if (found := shutil.which(name))), None)
--- /dev/null
+++ b/testbed/network/__init__.py
@@ -0,0 +1,1 @@
+"""Loopback addresses, links with faults, and peers on sockets."""
--- a/fleetlab/line.py
+++ b/testbed/network/fleet_link.py
@@ -8,10 +8,10 @@
 from collections import Counter as Counts
 from collections.abc import Callable, Iterable
 
-from roadpulley.fleet.gossip_queue import GossipQueue
-from roadpulley.fleet.members import Address, Member
-from roadpulley.fleet.messages import Entry, Life, Rumor, Seal, State
-from roadpulley.fleet.node import Node
+from switchline.fleet.gossip_queue import GossipQueue
+from switchline.fleet.members import Address, Member
+from switchline.fleet.messages import Entry, Life, Rumor, Seal, State
+from switchline.fleet.node import Node
 
 WALL_MS = 1.8e12
 LATE_S = 0.5
--- a/fleetlab/links.py
+++ b/testbed/network/links.py
@@ -16,9 +16,9 @@
 from dataclasses import dataclass, field
 from typing import Any, cast
 
-from . import sockets
-from .addresses import Address
-from .sockets import LINGER, Ends
+from testbed.network import sockets
+from testbed.network.addresses import Address
+from testbed.network.sockets import LINGER, Ends
 
 BACKLOG = 512
 AGAIN_S = 0.2  # until TCP sends a lost piece again; each further loss doubles it, five times at most
--- /dev/null
+++ b/testbed/play/__init__.py
@@ -0,0 +1,1 @@
+"""One play: processes, stage, faults and their timetable."""
--- a/fleetlab/faults.py
+++ b/testbed/play/faults.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from . import scenario as given
-from .links import Ills
-from .processes import Gateway
-from .scenario import AnyFault
-from .stage import Stage
+from testbed import scenario as given
+from testbed.network.links import Ills
+from testbed.play.processes import Gateway
+from testbed.play.stage import Stage
+from testbed.scenario import AnyFault
 
 CALL_S = 1.0  # for an operator's call
 STATE_COPY = "copy-{}"
--- a/fleetlab/play.py
+++ b/testbed/play/play.py
@@ -20,14 +20,14 @@
 import structlog
 import uvloop
 
-from .bearing import Bearing
-from .faults import Faults
-from .judge import Judge
-from .links import PLUGS
-from .processes import Gateway
-from .records import Event, Records
-from .scenario import Scenario
-from .stage import Stage
+from testbed.network.links import PLUGS
+from testbed.play.faults import Faults
+from testbed.play.processes import Gateway
+from testbed.play.stage import Stage
+from testbed.scenario import Scenario
+from testbed.verdict.capacity_use import Bearing
+from testbed.verdict.judge import Judge
+from testbed.verdict.records import Event, Records
 
 log = structlog.get_logger()
 
--- a/fleetlab/processes.py
+++ b/testbed/play/processes.py
@@ -14,13 +14,13 @@
 from pathlib import Path
 from typing import Any
 
-from .addresses import LINE, LISTEN, NEXT, OPERATOR, Net
-from .machine import MachineFaults, environment
-from .records import Records
+from testbed.machine import MachineFaults, environment
+from testbed.network.addresses import LINE, LISTEN, NEXT, OPERATOR, Net
+from testbed.verdict.records import Records
 
-ROOT = Path(__file__).resolve().parents[1]
-RUN = (sys.executable, "-OO", "-m", "roadpulley")  # as deploy/balancer.toml names it
-ALTERED = (sys.executable, "-OO", "-m", "fleetlab.launch")
+ROOT = Path(__file__).resolve().parents[2]
+RUN = (sys.executable, "-OO", "-m", "switchline")  # as deploy/balancer.toml names it
+ALTERED = (sys.executable, "-OO", "-m", "testbed.launch")
 PR_SET_PDEATHSIG = 1
 LOG_TAIL = 400  # bytes of a log that a crash is told with
 TICKS = os.sysconf("SC_CLK_TCK")
--- a/fleetlab/stage.py
+++ b/testbed/play/stage.py
@@ -9,18 +9,18 @@
 from pathlib import Path
 from typing import Any
 
-from . import scenario as given
-from . import settings
-from .addresses import LINE, Address, Net
-from .agents import Agent, Catalog, Host
-from .backends import ModelBackend, Rack
-from .clients import Clients, Front
-from .counters import MeteredCounter
-from .links import DirectLink, Joint, Paths, TcpLink, UdpLink
-from .processes import Gateway
-from .records import Records
-from .scenario import Scenario
-from .sockets import Ends
+from testbed import scenario as given
+from testbed import settings
+from testbed.network.addresses import LINE, Address, Net
+from testbed.network.links import DirectLink, Joint, Paths, TcpLink, UdpLink
+from testbed.network.sockets import Ends
+from testbed.play.processes import Gateway
+from testbed.scenario import Scenario
+from testbed.stand_ins.agents import Agent, Catalog, Host
+from testbed.stand_ins.backends import ModelBackend, Rack
+from testbed.stand_ins.clients import Clients, Front
+from testbed.stand_ins.counters import MeteredCounter
+from testbed.verdict.records import Records
 
 BACKLOG = 1_024  # of a listening socket that the platform holds
 LINE_ROW = 100  # added to a gateway's row: where the others reach it, by links
--- a/fleetlab/scenario.py
+++ b/testbed/scenario.py
@@ -15,8 +15,8 @@
 import msgspec
 import numpy as np
 
-from . import settings
-from .machine import DISK_ERRORS, LOOP_ERRORS, SOCKET_ERRORS, MachineFaults, failing
+from testbed import settings
+from testbed.machine import DISK_ERRORS, LOOP_ERRORS, SOCKET_ERRORS, MachineFaults, failing
 
 FOLDER = Path(__file__).parent / "scenarios"
 MOST_GATEWAYS, MOST_BACKENDS, MOST_RATE, MOST_S = 400, 400, 2_000.0, 3_600.0
@@ -52,7 +52,7 @@
     settle_s: Second = 0.0  # after that
     regions: dict[str, list[str]] = {}
     extra: dict[str, Any] = {}  # further tables of each gateway's configuration
-    altered: dict[str, list[str]] = {}  # gateway: what is altered in its program (fleetlab/launch.py)
+    altered: dict[str, list[str]] = {}  # gateway: what is altered in its program (testbed/launch.py)
     clock_s: dict[str, float] = {}  # gateway: how far its wall clock is off at its start
 
 
@@ -147,7 +147,7 @@
     gateways: Names
     for_s: Second
     chance: Part
-    errors: dict[str, list[str]] = {}  # by call; none: all that fleetlab/machine.py lists
+    errors: dict[str, list[str]] = {}  # by call; none: all that testbed/machine.py lists
     short: Part = 0.0
     from_start: bool = False  # it strikes also before the load begins
 
--- a/fleetlab/soak.py
+++ b/testbed/soak.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from .machine import SOCKET_ERRORS
-from .play import BROKEN, Result, play
-from .scenario import Scenario, check
+from testbed.machine import SOCKET_ERRORS
+from testbed.play.play import BROKEN, Result, play
+from testbed.scenario import Scenario, check
 
 DURATION_S = 30.0
 QUIET_S = 4.0  # at both ends of a play without a fault that begins
--- /dev/null
+++ b/testbed/stand_ins/__init__.py
@@ -0,0 +1,1 @@
+"""Stand-ins for the systems around a gateway."""
--- a/fleetlab/agents.py
+++ b/testbed/stand_ins/agents.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from .records import Records
-from .sockets import LOCAL, Server, reset
+from testbed.network.sockets import LOCAL, Server, reset
+from testbed.verdict.records import Records
 
 
 class Discovery(Server):
--- a/fleetlab/backends.py
+++ b/testbed/stand_ins/backends.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from .records import Records
-from .scenario import Backends as Given
-from .settings import RULES
-from .sockets import LOCAL, Ends, Peer, Reply, Script, Server, ends_of
+from testbed.network.sockets import LOCAL, Ends, Peer, Reply, Script, Server, ends_of
+from testbed.scenario import Backends as Given
+from testbed.settings import RULES
+from testbed.verdict.records import Records
 
 
 class Backend(Server):
--- a/fleetlab/clients.py
+++ b/testbed/stand_ins/clients.py
@@ -14,11 +14,11 @@
 
 import hiredis
 
-from . import settings
-from .links import DirectJoint, DirectLink
-from .records import Records
-from .scenario import BACK_OFF_MS, TRIES, Arrival, Scenario
-from .sockets import encode
+from testbed import settings
+from testbed.network.links import DirectJoint, DirectLink
+from testbed.network.sockets import encode
+from testbed.scenario import BACK_OFF_MS, TRIES, Arrival, Scenario
+from testbed.verdict.records import Records
 
 CONNECT_S = 1.0  # that a client waits for a connection
 KNOWN_S = 30.0  # for so long backends can be sent a request that has ended
--- a/fleetlab/counters.py
+++ b/testbed/stand_ins/counters.py
@@ -6,9 +6,9 @@
 from collections import Counter as Counts
 from collections.abc import Callable
 
-from .records import Records
-from .scenario import CounterGiven
-from .sockets import Ends, Reply, Script, Server, ends_of, reset
+from testbed.network.sockets import Ends, Reply, Script, Server, ends_of, reset
+from testbed.scenario import CounterGiven
+from testbed.verdict.records import Records
 
 
 class Counter(Server):
--- a/fleetlab/alone.py
+++ b/testbed/stand_ins/single_gateway.py
@@ -9,14 +9,13 @@
 
 import uvloop
 
-from roadpulley.config import parse_config
-from roadpulley.program import serve
-
-from .addresses import ClaimedPort
-from .agents import Discovery, host
-from .backends import Backend
-from .counters import Counter
-from .sockets import LOCAL, Peer, until
+from switchline.config import parse_config
+from switchline.service.program import serve
+from testbed.network.addresses import ClaimedPort
+from testbed.network.sockets import LOCAL, Peer, until
+from testbed.stand_ins.agents import Discovery, host
+from testbed.stand_ins.backends import Backend
+from testbed.stand_ins.counters import Counter
 
 SETTINGS: dict[str, Any] = {
     "az": "a",
--- /dev/null
+++ b/testbed/verdict/__init__.py
@@ -0,0 +1,1 @@
+"""What a play is judged by: records, rules, reports."""
--- a/fleetlab/bearing.py
+++ b/testbed/verdict/capacity_use.py
@@ -12,8 +12,8 @@
 
 import numpy as np
 
-from . import settings
-from .records import Event
+from testbed import settings
+from testbed.verdict.records import Event
 
 BIN_S = 0.5
 LATER_S = 3.0  # after the gateways' start: from then on the share is averaged
--- a/fleetlab/judge.py
+++ b/testbed/verdict/judge.py
@@ -15,8 +15,8 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
-from . import settings
-from .records import Event
+from testbed import settings
+from testbed.verdict.records import Event
 
 SLACK_S = 0.05  # by which sockets lengthen every limit
 DEADLINE_SLACK_S = 0.15  # by which the deadline told to a backend may pass that of the client
--- a/fleetlab/report.py
+++ b/testbed/verdict/report.py
@@ -21,9 +21,9 @@
 from hdrh.histogram import HdrHistogram  # noqa: E402
 from matplotlib.axes import Axes  # noqa: E402
 
-from .judge import DIGITS, FIRST_US, LAST_US  # noqa: E402
-from .play import RESULT, Result  # noqa: E402
-from .records import Event, read  # noqa: E402
+from testbed.play.play import RESULT, Result  # noqa: E402
+from testbed.verdict.judge import DIGITS, FIRST_US, LAST_US  # noqa: E402
+from testbed.verdict.records import Event, read  # noqa: E402
 
 STEP_S = 0.5
 ENDS = ("served", "refused", "failed", "broken", "unreached", "silent")
--- a/tests/test_audit.py
+++ b/tests/audit/test_audit.py
@@ -15,13 +15,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fleetlab.fixture import Plays
-from roadpulley import audit_queries, ctl, ctl_audit
-from roadpulley.audit import MOST_HELD, Audit
-from roadpulley.config import ConfigError, parse_audit, parse_config
-from roadpulley.fleet.chain import FIRST, GAP, Head, Record, read, verify, write
-from roadpulley.fleet.hybrid_clock import AHEAD_MS, HybridClock
-from roadpulley.segments import MOST_SEGMENTS, AuditError, Segments, Writer, lines, paths
+from switchline import ctl
+from switchline.audit import ctl as ctl_audit
+from switchline.audit import queries as audit_queries
+from switchline.audit.recorder import MOST_HELD, Audit
+from switchline.audit.segments import MOST_SEGMENTS, AuditError, Segments, Writer, lines, paths
+from switchline.config import ConfigError, parse_audit, parse_config
+from switchline.fleet.chain import FIRST, GAP, Head, Record, read, verify, write
+from switchline.fleet.hybrid_clock import AHEAD_MS, HybridClock
+from testbed.fixture import Plays
 
 LIFE = (7, 3)
 
@@ -143,7 +145,7 @@
 
 
 def test_segments_rotate_and_the_oldest_give_way(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("roadpulley.segments.SEGMENT_BYTES", 2_000)
+    monkeypatch.setattr("switchline.audit.segments.SEGMENT_BYTES", 2_000)
     filled(tmp_path, 400)
     assert len(paths(tmp_path)) == MOST_SEGMENTS and sum(p.stat().st_size for p in paths(tmp_path)) < 40_000
     records, wrong = found(tmp_path)
@@ -190,8 +192,8 @@
 def test_a_disk_that_fails_is_counted_and_told_by_a_record(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("roadpulley.segments.SYNC_S", 0.01)
-    monkeypatch.setattr("roadpulley.segments.RETRY_S", 0.01)
+    monkeypatch.setattr("switchline.audit.segments.SYNC_S", 0.01)
+    monkeypatch.setattr("switchline.audit.segments.RETRY_S", 0.01)
     heads: list[tuple[Head, bool]] = []
     folder = tmp_path / "audit"
     folder.write_text("no folder")
@@ -199,7 +201,7 @@
     def gap(why: str, lost: int) -> Record:
         return record(0, kind=GAP, version="", cause=why, counts={"lost": lost})
 
-    monkeypatch.setattr("roadpulley.segments.MOST_WAITING", 5)
+    monkeypatch.setattr("switchline.audit.segments.MOST_WAITING", 5)
     writer = Writer(folder, "g0", gap, lambda head, on: heads.append((head, on)))
     for n in range(20):
         writer.add(record(n))
--- a/tests/test_backends.py
+++ b/tests/backends/test_backends.py
@@ -9,17 +9,17 @@
 
 import pytest
 
-from fleetlab.alone import World, in_loop, request, running
-from fleetlab.backends import Backend
-from fleetlab.sockets import LOCAL, Peer, Reply, Server, encode, until
-from mintford.interface import BackendState, Outcome
-from roadpulley import backends as module
-from roadpulley.backends import Attempt, Backends, Connection
-from roadpulley.clock import Timers, now_ms
-from roadpulley.descriptors import Budget
-from roadpulley.figures import Figures
-from roadpulley.idle import MEMORY_MS, IdleTimes
-from roadpulley.streams import Room
+from switchline.backends import pool as module
+from switchline.backends.pool import Attempt, Backends, Connection
+from switchline.clock import Timers, now_ms
+from switchline.net.descriptors import Budget
+from switchline.net.idle import MEMORY_MS, IdleTimes
+from switchline.net.streams import Room
+from switchline.operators.metrics import Figures
+from switchline.policy.interface import BackendState, Outcome
+from testbed.network.sockets import LOCAL, Peer, Reply, Server, encode, until
+from testbed.stand_ins.backends import Backend
+from testbed.stand_ins.single_gateway import World, in_loop, request, running
 
 SERVED = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
--- a/tests/test_clients.py
+++ b/tests/clients/test_clients.py
@@ -11,13 +11,13 @@
 import pytest
 from test_driver import Scene
 
-from fleetlab.alone import Wire, World, in_loop, request, running
-from fleetlab.backends import Backend
-from fleetlab.sockets import LOCAL, Peer, Reply, encode, until
-from roadpulley import clients
-from roadpulley.descriptors import Budget
-from roadpulley.figures import Figures
-from roadpulley.streams import Room
+from switchline.clients import server as clients
+from switchline.net.descriptors import Budget
+from switchline.net.streams import Room
+from switchline.operators.metrics import Figures
+from testbed.network.sockets import LOCAL, Peer, Reply, encode, until
+from testbed.stand_ins.backends import Backend
+from testbed.stand_ins.single_gateway import Wire, World, in_loop, request, running
 
 
 def array(value: bytes) -> bytes:
--- a/tests/test_connections.py
+++ b/tests/clients/test_connections.py
@@ -23,20 +23,21 @@
 from test_process import connect, start
 from test_streams import Cutting
 
-from fleetlab.addresses import claimed_port
-from fleetlab.alone import Wire, World, in_loop, request, running
-from fleetlab.backends import Backend
-from fleetlab.sockets import LOCAL, Peer, Reply, encode, until
-from mintford.interface import BackendState, Outcome
-from mintford.shares import FairShares
-from roadpulley import accept, clients
-from roadpulley.accept import Acceptor, Pace
-from roadpulley.clients import ClientConnection, ClientServer, Slot
-from roadpulley.commands import Command, parse_command
-from roadpulley.config import ConfigError, load_config, parse_config
-from roadpulley.descriptors import FIXED, LEAST, OWN, Budget, Part, Shares
-from roadpulley.figures import Evicted, Figures
-from roadpulley.streams import Room
+from switchline.clients import server as clients
+from switchline.clients.commands import Command, parse_command
+from switchline.clients.server import ClientConnection, ClientServer, Slot
+from switchline.config import ConfigError, load_config, parse_config
+from switchline.net import accept
+from switchline.net.accept import Acceptor, Pace
+from switchline.net.descriptors import FIXED, LEAST, OWN, Budget, Part, Shares
+from switchline.net.streams import Room
+from switchline.operators.metrics import Evicted, Figures
+from switchline.policy.fair_shares import FairShares
+from switchline.policy.interface import BackendState, Outcome
+from testbed.network.addresses import claimed_port
+from testbed.network.sockets import LOCAL, Peer, Reply, encode, until
+from testbed.stand_ins.backends import Backend
+from testbed.stand_ins.single_gateway import Wire, World, in_loop, request, running
 
 # ---- the budget ----
 
@@ -499,7 +500,7 @@
 
 
 def test_a_rush_beyond_the_backlog_is_answered_in_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("roadpulley.service.BACKLOG", 4)
+    monkeypatch.setattr("switchline.service.service.BACKLOG", 4)
 
     async def scenario() -> None:
         async with running(World(Backend())) as world:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,7 +10,7 @@
 import pytest
 from hypothesis import settings
 
-from fleetlab.fixture import lab  # noqa: F401
+from testbed.fixture import lab  # noqa: F401
 
 KNOWN_RED = Path(__file__).parents[1] / "KNOWN-RED.txt"
 MOST_KNOWN_RED = 3
@@ -22,8 +22,8 @@
 @pytest.fixture(autouse=True)
 def quick_drain(monkeypatch: pytest.MonkeyPatch) -> None:
     """Gateways in tests have no front that still sends them connections."""
-    monkeypatch.setattr("roadpulley.service.NOTICE_S", 0.01)
-    monkeypatch.setattr("roadpulley.service.NEWS_S", 0.01)
+    monkeypatch.setattr("switchline.service.service.NOTICE_S", 0.01)
+    monkeypatch.setattr("switchline.service.service.NEWS_S", 0.01)
 
 
 @pytest.fixture(autouse=True)
@@ -35,9 +35,9 @@
 @pytest.fixture(autouse=True)
 def patient_store(monkeypatch: pytest.MonkeyPatch) -> None:
     """No test depends on the disk's speed, unless it sets these itself."""
-    monkeypatch.setattr("roadpulley.store.PATIENCE_S", 30.0)
+    monkeypatch.setattr("switchline.state.store.PATIENCE_S", 30.0)
     for name in ("LOAD_S", "HAND_S", "LOCK_S"):
-        monkeypatch.setattr(f"roadpulley.recovery.{name}", 15.0)
+        monkeypatch.setattr(f"switchline.state.recovery.{name}", 15.0)
 
 
 def read_known_red(text: str) -> dict[str, str]:
--- a/tests/test_counter.py
+++ b/tests/counter/test_counter.py
@@ -8,15 +8,15 @@
 
 import pytest
 
-from fleetlab.alone import World, in_loop, request, running
-from fleetlab.backends import Backend
-from fleetlab.counters import Counter as Service
-from fleetlab.sockets import LOCAL, Reply, until
-from mintford.interface import Outcome
-from roadpulley import counter as module
-from roadpulley.clock import Timer, Timers, now_ms
-from roadpulley.counter import Counter, read_answer
-from roadpulley.descriptors import Budget
+from switchline.clock import Timer, Timers, now_ms
+from switchline.counter import client as module
+from switchline.counter.client import Counter, read_answer
+from switchline.net.descriptors import Budget
+from switchline.policy.interface import Outcome
+from testbed.network.sockets import LOCAL, Reply, until
+from testbed.stand_ins.backends import Backend
+from testbed.stand_ins.counters import Counter as Service
+from testbed.stand_ins.single_gateway import World, in_loop, request, running
 
 Ending = tuple[str, Outcome, float]
 
--- a/tests/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -10,14 +10,14 @@
 
 import pytest
 
-from fleetlab.agents import Discovery, host
-from fleetlab.alone import World, in_loop, running
-from fleetlab.backends import Backend
-from fleetlab.sockets import LOCAL, reset, until
-from mintford.interface import BackendState, ListScope
-from roadpulley import discovery as module
-from roadpulley.descriptors import Budget
-from roadpulley.discovery import DiscoveryError, Member, host_number, read_list
+from switchline.discovery import client as module
+from switchline.discovery.client import DiscoveryError, Member, host_number, read_list
+from switchline.net.descriptors import Budget
+from switchline.policy.interface import BackendState, ListScope
+from testbed.network.sockets import LOCAL, reset, until
+from testbed.stand_ins.agents import Discovery, host
+from testbed.stand_ins.backends import Backend
+from testbed.stand_ins.single_gateway import World, in_loop, running
 
 TOLD_S = 6.0  # after which a change counts as told
 Heard = list[tuple[ListScope, list[tuple[int, BackendState]]]]
@@ -178,7 +178,7 @@
 
 def test_clients_are_taken_once_discovery_has_told_what_changed(monkeypatch: pytest.MonkeyPatch) -> None:
     """The list as last known may be old: a backend that it calls warm may have just been started."""
-    monkeypatch.setattr("roadpulley.service.NEWS_S", 5.0)
+    monkeypatch.setattr("switchline.service.service.NEWS_S", 5.0)
 
     async def scenario() -> None:
         class Telling(Discovery):
--- a/tests/test_fleet_line.py
+++ b/tests/fleet/test_fleet_protocol.py
@@ -14,11 +14,10 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from fleetlab.line import SEAL, WALL_MS, Net, address_of, fleet
-from roadpulley.config import ConfigError, parse_config
-from roadpulley.fleet.facts import CLOCK_MS, HELD_HOST, MOST_OF_ORIGIN, WITHDRAWN_MS, Facts, TooMuch
-from roadpulley.fleet.members import GONE_S, Members
-from roadpulley.fleet.messages import (
+from switchline.config import ConfigError, parse_config
+from switchline.fleet.facts import CLOCK_MS, HELD_HOST, MOST_OF_ORIGIN, WITHDRAWN_MS, Facts, TooMuch
+from switchline.fleet.members import GONE_S, Members
+from switchline.fleet.messages import (
     LIST,
     MOST_DATAGRAM,
     VERSION,
@@ -32,7 +31,8 @@
     State,
     Window,
 )
-from roadpulley.fleet.node import Node
+from switchline.fleet.node import Node
+from testbed.network.fleet_link import SEAL, WALL_MS, Net, address_of, fleet
 
 LIFE = (5, 1)
 
--- a/tests/test_outage.py
+++ b/tests/fleet/test_outage.py
@@ -14,14 +14,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fleetlab.line import WALL_MS, Net, fleet
-from mintford import Gateway, gateway_status
-from mintford import interface as api
-from roadpulley import ctl, fleet_recovery
-from roadpulley.fleet.messages import LIST, SPENDING, Entry, Exchange, HostRow, Listed, Spent
-from roadpulley.fleet.outage import OLD_S, judge, read_down
-from roadpulley.fleet.staleness import bound_by
-from roadpulley.fleet_recovery import DOUBT_S, FleetRecovery, Stage
+from switchline import ctl
+from switchline.fleet.messages import LIST, SPENDING, Entry, Exchange, HostRow, Listed, Spent
+from switchline.fleet.outage import OLD_S, judge, read_down
+from switchline.fleet.staleness import bound_by
+from switchline.fleet_runtime import recovery as fleet_recovery
+from switchline.fleet_runtime.recovery import DOUBT_S, FleetRecovery, Stage
+from switchline.policy import Gateway, gateway_status
+from switchline.policy import interface as api
+from testbed.network.fleet_link import WALL_MS, Net, fleet
 
 KINDS = (
     api.RequestClass("kalkyl", 1_500.0, 4_000.0, 3.0, api.Effect.SAFE),
--- a/tests/test_quarantine.py
+++ b/tests/fleet/test_quarantine.py
@@ -11,11 +11,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fleetlab.fixture import Plays
-from fleetlab.line import Net, acquaint, address_of
-from roadpulley.config import parse_line
-from roadpulley.fleet.members import Address, Members
-from roadpulley.fleet.quarantine import (
+from switchline.config import parse_line
+from switchline.fleet.members import Address, Members
+from switchline.fleet.quarantine import (
     GRANT,
     LEVEL_S,
     OUT,
@@ -27,7 +25,9 @@
     grants_each,
     most_out,
 )
-from roadpulley.fleet.staleness import Floors, floors_of
+from switchline.fleet.staleness import Floors, floors_of
+from testbed.fixture import Plays
+from testbed.network.fleet_link import Net, acquaint, address_of
 
 PATIENCE_S, STEP_S = 2.0, 0.25
 
--- a/tests/test_staleness.py
+++ b/tests/fleet/test_staleness.py
@@ -8,11 +8,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fleetlab.fixture import Plays
-from roadpulley import list_repair
-from roadpulley.fleet.messages import Exchange, HostRow, Listed
-from roadpulley.fleet.staleness import APART_S, BEHIND_S, Divergence, StaleList, agreed, number, usual
-from roadpulley.list_repair import ListRepair
+from switchline.fleet.messages import Exchange, HostRow, Listed
+from switchline.fleet.staleness import APART_S, BEHIND_S, Divergence, StaleList, agreed, number, usual
+from switchline.fleet_runtime import list_repair
+from switchline.fleet_runtime.list_repair import ListRepair
+from testbed.fixture import Plays
 
 HOSTS = ("h0", "h1", "h2", "h3")
 HEALTHS = st.sampled_from(["up", "draining", "gone"])
--- a/tests/fleet.py
+++ b/tests/gateway_fleet.py
@@ -10,8 +10,8 @@
 
 from helpers import settings
 
-from mintford import interface as api
-from mintford.rules import Gateway
+from switchline.policy import interface as api
+from switchline.policy.gateway import Gateway
 
 PLANS = api.Plan("free"), api.Plan("quota", rate=4, burst=8, beyond_costs=1)
 ANSWER_MS = 50.0  # that an answer takes
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,8 +5,8 @@
 import heapq
 from collections.abc import Iterable
 
-from mintford import interface as api
-from mintford.rules import Gateway
+from switchline.policy import interface as api
+from switchline.policy.gateway import Gateway
 
 SAFE = api.RequestClass("view", aim=1000, deadline=3000, importance=1, effect=api.Effect.SAFE)
 KEYED = api.RequestClass(
--- a/tests/lined.py
+++ b/tests/linked_fleet.py
@@ -5,14 +5,14 @@
 import random
 from collections.abc import Callable
 
-from fleet import Fleet
+from gateway_fleet import Fleet
 
-from fleetlab.line import Net, acquaint, address_of
-from mintford import gateway_status
-from mintford import interface as api
-from roadpulley.fleet.messages import Entry
-from roadpulley.fleet.zonal import Act, Word, Zonal, read_act
-from roadpulley.zone_coordination import LOOK_S, TICK_S, seen_of, told_of
+from switchline.fleet.messages import Entry
+from switchline.policy import gateway_status
+from switchline.policy import interface as api
+from switchline.zones.agreement import Act, Word, Zonal, read_act
+from switchline.zones.coordination import LOOK_S, TICK_S, seen_of, told_of
+from testbed.network.fleet_link import Net, acquaint, address_of
 
 
 class Lined(Fleet):
--- a/tests/test_json_stream.py
+++ b/tests/net/test_json_stream.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from roadpulley.json_stream import JsonStream, StreamError
+from switchline.net.json_stream import JsonStream, StreamError
 
 TEXTS = st.text(alphabet='ab{}[]"\\\n :,', max_size=8)
 VALUES = st.recursive(TEXTS | st.integers(), lambda inner: st.lists(inner, max_size=3), max_leaves=6)
--- a/tests/test_resp.py
+++ b/tests/net/test_resp.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from roadpulley.resp import LONGEST_LINE, NOT_YET, Line, ProtocolError, Reader, Value
+from switchline.net.resp import LONGEST_LINE, NOT_YET, Line, ProtocolError, Reader, Value
 
 
 def read(data: bytes, cuts: list[int] | None = None) -> list[Value]:
--- a/tests/test_streams.py
+++ b/tests/net/test_streams.py
@@ -8,11 +8,11 @@
 import pytest
 from test_operators import stats
 
-from fleetlab.alone import World, in_loop, request, running
-from fleetlab.backends import Backend
-from fleetlab.sockets import Peer, Reply, encode, until
-from roadpulley import clients
-from roadpulley.streams import LEAST, LONGEST, Body, Passing, Room
+from switchline.clients import server as clients
+from switchline.net.streams import LEAST, LONGEST, Body, Passing, Room
+from testbed.network.sockets import Peer, Reply, encode, until
+from testbed.stand_ins.backends import Backend
+from testbed.stand_ins.single_gateway import World, in_loop, request, running
 
 LONG = random.Random(7).randbytes(LONGEST)
 
--- a/tests/test_operators.py
+++ b/tests/operators/test_operators.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from fleetlab.alone import World, in_loop, request, running
-from fleetlab.backends import Backend
-from fleetlab.sockets import LOCAL, Peer, Reply, encode, until
-from roadpulley import operators
-from roadpulley.config import load_config
+from switchline.config import load_config
+from switchline.operators import server as operators
+from testbed.network.sockets import LOCAL, Peer, Reply, encode, until
+from testbed.stand_ins.backends import Backend
+from testbed.stand_ins.single_gateway import World, in_loop, request, running
 
 
 async def call(world: World, method: str, path: str, body: bytes = b"") -> tuple[int, str]:
--- a/tests/test_backends_out_by_hand.py
+++ b/tests/operators/test_overrides.py
@@ -12,13 +12,13 @@
 from helpers import backends, entry, sends
 from test_operators import call, stats
 
-from fleetlab.agents import host
-from fleetlab.alone import World, in_loop, running
-from fleetlab.backends import Backend
-from fleetlab.sockets import until
-from mintford import interface as api
-from roadpulley.bans import Bans, private_file
-from roadpulley.clock import Timers
+from switchline.clock import Timers
+from switchline.operators.overrides import Bans, private_file
+from switchline.policy import interface as api
+from testbed.network.sockets import until
+from testbed.stand_ins.agents import host
+from testbed.stand_ins.backends import Backend
+from testbed.stand_ins.single_gateway import World, in_loop, running
 
 DOWN, UP = "/ops/backends/down", "/ops/backends/up"
 
--- a/tests/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -7,8 +7,8 @@
 import pytest
 from helpers import BASIC, World, backends, entry, refusals, sends
 
-from mintford import interface as api
-from mintford.entities import Attempt, Request
+from switchline.policy import interface as api
+from switchline.policy.entities import Attempt, Request
 
 WIDE = api.Plan("basic")  # no quota, so that only the back end decides
 OPEN = dict(plans=(WIDE,), may_count=False)
--- a/tests/test_durable_state.py
+++ b/tests/policy/test_durable_state.py
@@ -11,8 +11,8 @@
 from hypothesis import settings as runs
 from hypothesis import strategies as st
 
-from mintford import interface as api
-from mintford.durable_state import DOWN_MS, LAG_MS, MOST_KEPT, PARTS, SPREAD_MS, STALE_MS
+from switchline.policy import interface as api
+from switchline.policy.durable_state import DOWN_MS, LAG_MS, MOST_KEPT, PARTS, SPREAD_MS, STALE_MS
 
 Told = tuple[str, str]
 
--- a/tests/test_leases.py
+++ b/tests/policy/test_leases.py
@@ -5,10 +5,10 @@
 import pytest
 from helpers import BASIC, World, counts, entry, refusals, sends
 
-from mintford import interface as api
-from mintford.customers import LEASE_MS
-from mintford.leases import EVENLY, PERIOD_MS, REFRESH_MS
-from mintford.rules import CHANCE_PART
+from switchline.policy import interface as api
+from switchline.policy.customer import LEASE_MS
+from switchline.policy.gateway import CHANCE_PART
+from switchline.policy.leases import EVENLY, PERIOD_MS, REFRESH_MS
 
 
 def drain(world: World, tries: int, gap: float = 0.0, **ask: object) -> int:
--- a/tests/test_rules_hold.py
+++ b/tests/policy/test_rules_hold.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mintford import interface as api
+from switchline.policy import interface as api
 
 NEVER_RAN = {api.Outcome.FULL, api.Outcome.CONNECT, api.Outcome.IGNORED}
 OUTCOMES = list(api.Outcome)
@@ -148,7 +148,7 @@
     )
     digests = set()
     for hash_seed in ("1", "2", "77"):
-        path = os.pathsep.join([str(here), str(here.parent)])
+        path = os.pathsep.join(str(folder) for folder in (here, here.parent, here.parents[1]))
         env = {**os.environ, "PYTHONHASHSEED": hash_seed, "PYTHONPATH": path}
         run = subprocess.run(
             [sys.executable, "-c", code], env=env, capture_output=True, text=True, check=True
--- a/tests/test_zones.py
+++ b/tests/policy/test_zones.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from fleet import Fleet
+from gateway_fleet import Fleet
 from helpers import settings
 from hypothesis import given
 from hypothesis import settings as limits
@@ -18,16 +18,16 @@
 from test_connections import config, figures
 from test_operators import call
 
-from fleetlab.agents import host
-from fleetlab.alone import World, in_loop, running
-from fleetlab.backends import Backend
-from fleetlab.sockets import until
-from mintford import interface as api
-from mintford.rules import Gateway
-from mintford.zones import FORGET_MS, MOST_ZONES, State, Zones
-from roadpulley.config import ConfigError, parse_config
+from switchline.config import ConfigError, parse_config
+from switchline.policy import interface as api
+from switchline.policy.gateway import Gateway
+from switchline.policy.zones import FORGET_MS, MOST_ZONES, State, Zones
+from testbed.network.sockets import until
+from testbed.stand_ins.agents import host
+from testbed.stand_ins.backends import Backend
+from testbed.stand_ins.single_gateway import World, in_loop, running
 
-RECORDED = Path(__file__).parent / "recorded/one_zone.txt"
+RECORDED = Path(__file__).parents[1] / "recorded/one_zone.txt"
 ZONES = {"a": 6, "b": 6, "c": 6}
 
 
--- a/tests/test_driver.py
+++ b/tests/service/test_driver.py
@@ -9,17 +9,17 @@
 import pytest
 from helpers import settings
 
-from fleetlab.alone import in_loop, request
-from fleetlab.sockets import LOCAL, until
-from mintford import interface as api
-from roadpulley.backends import Backends
-from roadpulley.clients import ClientConnection, ClientServer, Slot
-from roadpulley.clock import Timers
-from roadpulley.commands import parse_command
-from roadpulley.descriptors import Budget
-from roadpulley.driver import FAILED, REPEAT_MARGIN_MS, Driver, Request
-from roadpulley.figures import Figures
-from roadpulley.streams import Room
+from switchline.backends.pool import Backends
+from switchline.clients.commands import parse_command
+from switchline.clients.server import ClientConnection, ClientServer, Slot
+from switchline.clock import Timers
+from switchline.net.descriptors import Budget
+from switchline.net.streams import Room
+from switchline.operators.metrics import Figures
+from switchline.policy import interface as api
+from switchline.service.driver import FAILED, REPEAT_MARGIN_MS, Driver, Request
+from testbed.network.sockets import LOCAL, until
+from testbed.stand_ins.single_gateway import in_loop, request
 
 
 class Module:
@@ -165,7 +165,7 @@
 def keyed_request(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> tuple[Request, list[float]]:
     """An open request of a keyed class, and the time that the driver is told."""
     now = [10_000.0]
-    monkeypatch.setattr("roadpulley.driver.now_ms", lambda: now[0])
+    monkeypatch.setattr("switchline.service.driver.now_ms", lambda: now[0])
     words = list(request(b"r1", name=b"order"))
     words[3] += b",k=5c0f6e1a2b3d4c59"
     slot = Slot(scene.connection)
--- a/tests/test_fleet_budgets.py
+++ b/tests/service/test_fleet_budgets.py
@@ -12,8 +12,8 @@
 import pytest
 from helpers import entry, settings
 
-from mintford import interface as api
-from mintford.rules import Gateway
+from switchline.policy import interface as api
+from switchline.policy.gateway import Gateway
 
 ANSWER_MS = 200.0
 COUNTER_MS = 20.0
--- a/tests/test_guard.py
+++ b/tests/service/test_guard.py
@@ -7,13 +7,13 @@
 import pytest
 from test_driver import Scene
 
-from fleetlab.alone import Wire, World, in_loop, running
-from fleetlab.backends import Backend
-from mintford import interface as api
-from roadpulley.clients import Slot
-from roadpulley.clock import Timers, now_ms
-from roadpulley.commands import bulk
-from roadpulley.guard import Guard, Invariant
+from switchline.clients.commands import bulk
+from switchline.clients.server import Slot
+from switchline.clock import Timers, now_ms
+from switchline.guard import Guard, Invariant
+from switchline.policy import interface as api
+from testbed.stand_ins.backends import Backend
+from testbed.stand_ins.single_gateway import Wire, World, in_loop, running
 
 
 def fail() -> None:
@@ -52,7 +52,7 @@
 
 
 def test_a_background_task_that_fails_is_started_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("roadpulley.guard.RESTART_S", 0.0)
+    monkeypatch.setattr("switchline.guard.RESTART_S", 0.0)
 
     async def scenario() -> None:
         guard, tries = Guard(), list[int]()
@@ -149,8 +149,8 @@
 
 def test_a_part_that_fails_to_close_keeps_no_other_from_it(monkeypatch: pytest.MonkeyPatch) -> None:
     closed: list[str] = []
-    monkeypatch.setattr("roadpulley.operators.OperatorServer.close", lambda _: fail())
-    monkeypatch.setattr("roadpulley.descriptors.Budget.close", lambda _: closed.append("budget"))
+    monkeypatch.setattr("switchline.operators.server.OperatorServer.close", lambda _: fail())
+    monkeypatch.setattr("switchline.net.descriptors.Budget.close", lambda _: closed.append("budget"))
 
     async def scenario() -> None:
         async with running(World(Backend())):
--- a/tests/test_logs.py
+++ b/tests/service/test_logs.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from roadpulley.logs import MOST_LINES, PERIOD_S, RateLimit
+from switchline.logs import MOST_LINES, PERIOD_S, RateLimit
 
 
 def line(text: str = "peer %d broke off", *values: object) -> logging.LogRecord:
@@ -17,7 +17,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     limit, now = RateLimit(), [0.0]
-    monkeypatch.setattr("roadpulley.logs.time.monotonic", lambda: now[0])
+    monkeypatch.setattr("switchline.logs.time.monotonic", lambda: now[0])
 
     def passes(at: float, record: logging.LogRecord) -> bool:
         now[0] = at
--- a/tests/test_machine_faults.py
+++ b/tests/service/test_machine_faults.py
@@ -17,16 +17,16 @@
 import pytest
 from test_operators import call, stats
 
-from fleetlab.addresses import claimed_port
-from fleetlab.alone import World, in_loop, request
-from fleetlab.backends import Backend
-from fleetlab.machine import DISK_ERRORS, FailingCall, MachineFaults, environment, failing
-from fleetlab.sockets import LOCAL, Peer, Reply
-from roadpulley.clock import Timers
-from roadpulley.config import ConfigError
-from roadpulley.program import Signals, read_config
-
-ROOT = Path(__file__).parents[1]
+from switchline.clock import Timers
+from switchline.config import ConfigError
+from switchline.service.program import Signals, read_config
+from testbed.machine import DISK_ERRORS, FailingCall, MachineFaults, environment, failing
+from testbed.network.addresses import claimed_port
+from testbed.network.sockets import LOCAL, Peer, Reply
+from testbed.stand_ins.backends import Backend
+from testbed.stand_ins.single_gateway import World, in_loop, request
+
+ROOT = Path(__file__).parents[2]
 PATIENT_MS = 60_000.0
 DOWN, UP = "/ops/backends/down", "/ops/backends/up"
 VALUE = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
@@ -56,7 +56,7 @@
         given = {**environment(self.control), "LB_CONFIG": str(self.config), "TMPDIR": str(self.folder)}
         with (self.folder / "log").open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "roadpulley", cwd=ROOT, env={**os.environ, **given}, stderr=log
+                sys.executable, "-m", "switchline", cwd=ROOT, env={**os.environ, **given}, stderr=log
             )
 
     async def client(self) -> Peer:
@@ -339,9 +339,9 @@
     path = tmp_path / "config.json"
     whole = json.dumps({**World().config(), "listen": f"{LOCAL}:1", "discovery": f"{LOCAL}:1"})
     path.write_text(whole[:100])
-    monkeypatch.setattr("roadpulley.program.time.sleep", lambda _: path.write_text(whole))
+    monkeypatch.setattr("switchline.service.program.time.sleep", lambda _: path.write_text(whole))
     assert read_config(str(path)).name == "n0"
     path.write_text(whole[:100])
-    monkeypatch.setattr("roadpulley.program.time.sleep", lambda _: None)
+    monkeypatch.setattr("switchline.service.program.time.sleep", lambda _: None)
     with pytest.raises(ConfigError):
         read_config(str(path))
--- a/tests/test_process.py
+++ b/tests/service/test_process.py
@@ -17,28 +17,28 @@
 
 import pytest
 
-from fleetlab.addresses import claimed_port
-from fleetlab.agents import host
-from fleetlab.alone import World, in_loop, request, running
-from fleetlab.backends import Backend
-from fleetlab.sockets import LOCAL, Peer, Reply, encode, until
-from roadpulley import clock
-from roadpulley.accept import Acceptor, listening
-from roadpulley.clients import ClientServer
-from roadpulley.config import ConfigError, parse_config
-from roadpulley.descriptors import Budget
-from roadpulley.figures import Figures
-from roadpulley.service import CLOSING_S, Service
-from roadpulley.streams import Room
-
-ROOT = Path(__file__).parents[1]
+from switchline import clock
+from switchline.clients.server import ClientServer
+from switchline.config import ConfigError, parse_config
+from switchline.net.accept import Acceptor, listening
+from switchline.net.descriptors import Budget
+from switchline.net.streams import Room
+from switchline.operators.metrics import Figures
+from switchline.service.service import CLOSING_S, Service
+from testbed.network.addresses import claimed_port
+from testbed.network.sockets import LOCAL, Peer, Reply, encode, until
+from testbed.stand_ins.agents import host
+from testbed.stand_ins.backends import Backend
+from testbed.stand_ins.single_gateway import World, in_loop, request, running
+
+ROOT = Path(__file__).parents[2]
 
 
 async def start(config: Path) -> asyncio.subprocess.Process:
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
-        "roadpulley",
+        "switchline",
         cwd=ROOT,
         env={**os.environ, "LB_CONFIG": str(config)},
         stderr=asyncio.subprocess.PIPE,
@@ -119,7 +119,7 @@
 
 def test_what_is_open_at_the_end_is_failed_rather_than_lost(monkeypatch: pytest.MonkeyPatch) -> None:
     """SIGKILL would leave its client without an answer; whether it ran is not known, so it is no refusal."""
-    monkeypatch.setattr("roadpulley.service.Service.longest_drain", lambda _: 0.05)
+    monkeypatch.setattr("switchline.service.service.Service.longest_drain", lambda _: 0.05)
 
     async def silent(command: list[bytes]) -> Reply:
         return None
@@ -153,8 +153,8 @@
 def test_at_the_end_what_never_left_is_refused_and_so_is_what_still_comes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("roadpulley.service.Service.longest_drain", lambda _: 0.05)
-    monkeypatch.setattr("roadpulley.service.CLOSING_S", 60.0)
+    monkeypatch.setattr("switchline.service.service.Service.longest_drain", lambda _: 0.05)
+    monkeypatch.setattr("switchline.service.service.CLOSING_S", 60.0)
 
     class Deaf(World):
         """Its backend's handshakes never come up: nobody accepts, and the backlog is full."""
@@ -298,7 +298,7 @@
     config = tmp_path / "config.json"
     config.write_text(text)
     run = subprocess.run(
-        [sys.executable, "-m", "roadpulley"],
+        [sys.executable, "-m", "switchline"],
         cwd=ROOT,
         env={**os.environ, "LB_CONFIG": str(config)},
         capture_output=True,
@@ -306,7 +306,7 @@
         timeout=30,
     )
     assert run.returncode == 2 and run.stderr.count("\n") == 1
-    assert run.stderr.startswith("roadpulley: bad configuration: ")
+    assert run.stderr.startswith("switchline: bad configuration: ")
 
 
 def test_the_settings_are_those_of_the_simulator_s_wire() -> None:
--- a/tests/test_wall_clock.py
+++ b/tests/service/test_wall_clock.py
@@ -10,11 +10,11 @@
 from test_discovery import Watch
 from test_leases import answer, counts
 
-from fleetlab.agents import host
-from fleetlab.alone import in_loop
-from fleetlab.sockets import until
-from mintford import interface as api
-from roadpulley.logs import MOST_LINES, PERIOD_S, RateLimit
+from switchline.logs import MOST_LINES, PERIOD_S, RateLimit
+from switchline.policy import interface as api
+from testbed.network.sockets import until
+from testbed.stand_ins.agents import host
+from testbed.stand_ins.single_gateway import in_loop
 
 HOUR_MS = 3_600_000.0
 
@@ -82,7 +82,7 @@
 
 def test_a_clock_set_back_keeps_no_line_of_the_log_back(monkeypatch: pytest.MonkeyPatch) -> None:
     limit, now = RateLimit(), [100.0]
-    monkeypatch.setattr("roadpulley.logs.time.monotonic", lambda: now[0])
+    monkeypatch.setattr("switchline.logs.time.monotonic", lambda: now[0])
 
     def passes(wall: float) -> bool:
         record = logging.makeLogRecord({"msg": "what"})
--- a/tests/test_recovery.py
+++ b/tests/state/test_recovery.py
@@ -21,17 +21,17 @@
 from test_process import connect, start
 from test_upgrade import Site, site
 
-from fleetlab.addresses import claimed_port
-from fleetlab.agents import host
-from fleetlab.alone import World, in_loop, running
-from fleetlab.backends import Backend
-from fleetlab.sockets import Peer
-from roadpulley import recovery, store
-from roadpulley.config import ConfigError, parse_config
-from roadpulley.descriptors import OF_STATE, OWN, Budget
-from roadpulley.store import FILE, Files
-
-ROOT = Path(__file__).parents[1]
+from switchline.config import ConfigError, parse_config
+from switchline.net.descriptors import OF_STATE, OWN, Budget
+from switchline.state import recovery, store
+from switchline.state.store import FILE, Files
+from testbed.network.addresses import claimed_port
+from testbed.network.sockets import Peer
+from testbed.stand_ins.agents import host
+from testbed.stand_ins.backends import Backend
+from testbed.stand_ins.single_gateway import World, in_loop, running
+
+ROOT = Path(__file__).parents[2]
 DOWN, UP = "/ops/backends/down", "/ops/backends/up"
 
 
@@ -113,8 +113,8 @@
 
 
 def test_without_a_folder_nothing_is_imported_and_a_start_knows_nothing(tmp_path: Path) -> None:
-    unwanted = "{'sqlite3', 'roadpulley.store'}"
-    code = f"import sys, roadpulley.program; sys.exit(bool({unwanted} & set(sys.modules)))"
+    unwanted = "{'sqlite3', 'switchline.state.store'}"
+    code = f"import sys, switchline.service.program; sys.exit(bool({unwanted} & set(sys.modules)))"
     assert subprocess.run([sys.executable, "-c", code], cwd=ROOT, timeout=30).returncode == 0
 
     async def scenario() -> None:
--- a/tests/test_store.py
+++ b/tests/state/test_store.py
@@ -17,10 +17,10 @@
 
 import pytest
 
-from fleetlab.alone import in_loop
-from fleetlab.sockets import until
-from roadpulley import store as module
-from roadpulley.store import FILE, MOST_ASIDE, MOST_STARTS, Files, Found, Held, Store
+from switchline.state import store as module
+from switchline.state.store import FILE, MOST_ASIDE, MOST_STARTS, Files, Found, Held, Store
+from testbed.network.sockets import until
+from testbed.stand_ins.single_gateway import in_loop
 
 PAGE = 4096
 NAME = "n0"
@@ -194,7 +194,7 @@
 CHILD = """
 import os, random, signal, sys, json
 from pathlib import Path
-from roadpulley import store
+from switchline.state import store
 
 folder, name, limit = Path(sys.argv[1]), "n0", int(sys.argv[2])
 steps = 0
@@ -238,7 +238,7 @@
         folder = tmp_path / f"state-{limit}"
         made = subprocess.Popen(
             [sys.executable, "-c", CHILD, str(folder), str(limit)],
-            cwd=Path(__file__).parents[1],
+            cwd=Path(__file__).parents[2],
             stdout=subprocess.PIPE,
             text=True,
         )
--- a/tests/test_wirehost.py
+++ b/tests/test_simulator.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from mintford import wirehost
+from switchline import simulator
 
 SETUP = {
     "az": "a",
@@ -33,7 +33,7 @@
 
 def play(*lines: str) -> tuple[int, list[dict[str, object]]]:
     out = io.StringIO()
-    code = wirehost.main(io.StringIO("".join(lines)), out)
+    code = simulator.main(io.StringIO("".join(lines)), out)
     return code, [json.loads(line) for line in out.getvalue().splitlines()]
 
 
@@ -97,12 +97,12 @@
     code, replies = play(line)
     said = capsys.readouterr()
     assert code != 0 and replies == []
-    assert said.err.count("\n") == 1 and said.err.startswith("mintford.wirehost: bad input: ")
+    assert said.err.count("\n") == 1 and said.err.startswith("switchline.simulator: bad input: ")
 
 
 def test_the_adapter_runs_as_a_command() -> None:
     run = subprocess.run(
-        [sys.executable, "-m", "mintford.wirehost"],
+        [sys.executable, "-m", "switchline.simulator"],
         input=batch(*CREATE) + "oops\n",
         capture_output=True,
         text=True,
--- a/tests/test_line_plays.py
+++ b/tests/testbed/test_fleet_plays.py
@@ -11,10 +11,11 @@
 
 import pytest
 
-from fleetlab.fixture import Played, Plays
-from roadpulley import ctl, ctl_audit
+from switchline import ctl
+from switchline.audit import ctl as ctl_audit
+from testbed.fixture import Played, Plays
 
-ROOT = Path(__file__).parents[1]
+ROOT = Path(__file__).parents[2]
 LINE: dict[str, Any] = {"line": True, "seeds": 2}
 AMONG = {"between": ["gateways"], "and": ["gateways"]}
 MEET_S = 4.0  # for all to hear of one that has begun, on a starved machine
@@ -132,7 +133,7 @@
 def test_spoilt_and_foreign_datagrams_are_counted_and_two_of_one_name_are_told_apart(
     lab: Plays, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    from fleetlab import stage
+    from testbed.play import stage
 
     def throw(self: stage.Stage, gateway: Any, before: Any = stage.Stage.start_gateway) -> Any:
         noise = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -244,8 +245,8 @@
 
 def test_without_the_table_nothing_of_the_line_is_imported() -> None:
     code = (
-        "import sys, roadpulley.program;"
-        "line = 'roadpulley.fleet', 'roadpulley.peers', 'msgspec';"
+        "import sys, switchline.service.program;"
+        "line = 'switchline.fleet', 'switchline.fleet_runtime.transport', 'msgspec';"
         "sys.exit(any(m.startswith(line) for m in sys.modules))"
     )
     assert subprocess.run([sys.executable, "-c", code], cwd=ROOT, check=False).returncode == 0
--- a/tests/test_lab.py
+++ b/tests/testbed/test_testbed.py
@@ -17,20 +17,20 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fleetlab import scenario
-from fleetlab.addresses import AddressError, Net
-from fleetlab.agents import Agent, Catalog, host
-from fleetlab.alone import in_loop
-from fleetlab.backends import Machine, Rack
-from fleetlab.bearing import Bearing
-from fleetlab.counters import MeteredCounter
-from fleetlab.judge import Judge
-from fleetlab.links import Flow, Ills, Joint, TcpLink, UdpLink, Way
-from fleetlab.links import Path as LinkPath
-from fleetlab.play import Play, PlayError
-from fleetlab.records import FILE, RecordError, Records, read
-from fleetlab.scenario import Backends, CounterGiven, ScenarioError
-from fleetlab.sockets import Peer, Server, until
+from testbed import scenario
+from testbed.network.addresses import AddressError, Net
+from testbed.network.links import Flow, Ills, Joint, TcpLink, UdpLink, Way
+from testbed.network.links import Path as LinkPath
+from testbed.network.sockets import Peer, Server, until
+from testbed.play.play import Play, PlayError
+from testbed.scenario import Backends, CounterGiven, ScenarioError
+from testbed.stand_ins.agents import Agent, Catalog, host
+from testbed.stand_ins.backends import Machine, Rack
+from testbed.stand_ins.counters import MeteredCounter
+from testbed.stand_ins.single_gateway import in_loop
+from testbed.verdict.capacity_use import Bearing
+from testbed.verdict.judge import Judge
+from testbed.verdict.records import FILE, RecordError, Records, read
 
 GOOD = """
 name = "good"
--- a/tests/test_lab_plays.py
+++ b/tests/testbed/test_testbed_plays.py
@@ -12,11 +12,11 @@
 
 import pytest
 
-from fleetlab import soak
-from fleetlab.fixture import Plays
-from fleetlab.report import compare, write_report
+from testbed import soak
+from testbed.fixture import Plays
+from testbed.verdict.report import compare, write_report
 
-ROOT = Path(__file__).parents[1]
+ROOT = Path(__file__).parents[2]
 FEW: dict[str, Any] = {"count": 4, "warm_s": 4.0}
 
 
@@ -237,7 +237,7 @@
 ) -> None:
     (tmp_path / "long.toml").write_text(LONG)
     out = tmp_path / "out"
-    command = (sys.executable, "-m", "fleetlab", "play", str(tmp_path / "long.toml"), "--out", str(out))
+    command = (sys.executable, "-m", "testbed", "play", str(tmp_path / "long.toml"), "--out", str(out))
     lab = subprocess.Popen(command, cwd=ROOT, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
     try:
         record = out / "events.jsonl"
@@ -259,6 +259,6 @@
     (tmp_path / "out").mkdir()
     (tmp_path / "out/events.jsonl").symlink_to("/dev/full")
     out = str(tmp_path / "out")
-    command = (sys.executable, "-m", "fleetlab", "play", str(tmp_path / "long.toml"), "--out", out)
+    command = (sys.executable, "-m", "testbed", "play", str(tmp_path / "long.toml"), "--out", out)
     ended = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
     assert ended.returncode == 3 and "No space left" in ended.stderr and not alive(tmp_path)
--- a/tests/test_upgrade.py
+++ b/tests/upgrade/test_upgrade.py
@@ -17,14 +17,14 @@
 from helpers import counts, entry, refusals, sends
 from test_operators import call
 
-from fleetlab.addresses import claimed_port
-from fleetlab.alone import World, in_loop, request
-from fleetlab.backends import Backend
-from fleetlab.sockets import LOCAL, Peer, Reply, until
-from mintford import interface as api
-from roadpulley.bans import private_file
+from switchline.operators.overrides import private_file
+from switchline.policy import interface as api
+from testbed.network.addresses import claimed_port
+from testbed.network.sockets import LOCAL, Peer, Reply, until
+from testbed.stand_ins.backends import Backend
+from testbed.stand_ins.single_gateway import World, in_loop, request
 
-ROOT = Path(__file__).parents[1]
+ROOT = Path(__file__).parents[2]
 
 
 class Site:
@@ -50,7 +50,7 @@
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "roadpulley",
+            "switchline",
             cwd=ROOT,
             env={**os.environ, **given},
             pass_fds=[self.listener.fileno()],
--- a/tests/test_zonal.py
+++ b/tests/zones/test_zone_agreement.py
@@ -13,16 +13,16 @@
 from helpers import settings as module_settings
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from lined import Lined
-
-from fleetlab.line import Net, acquaint, address_of
-from mintford import Gateway
-from mintford import interface as api
-from roadpulley import ctl
-from roadpulley.clock import now_ms
-from roadpulley.fleet.facts import MOST_COUNTED, ZONE_ACT, Facts, higher
-from roadpulley.fleet.messages import Entry, State
-from roadpulley.fleet.zonal import (
+from linked_fleet import Lined
+
+from switchline import ctl
+from switchline.clock import now_ms
+from switchline.fleet.facts import MOST_COUNTED, ZONE_ACT, Facts, higher
+from switchline.fleet.messages import Entry, State
+from switchline.policy import Gateway
+from switchline.policy import interface as api
+from switchline.state.recovery import holds
+from switchline.zones.agreement import (
     ENDED_S,
     HOLD_S,
     LOAD,
@@ -41,8 +41,8 @@
     read_met,
     share_at,
 )
-from roadpulley.recovery import holds
-from roadpulley.zone_coordination import entry_of, row_of
+from switchline.zones.coordination import entry_of, row_of
+from testbed.network.fleet_link import Net, acquaint, address_of
 
 ZONES = {"a": 8, "b": 8, "c": 8}
 
--- a/tests/test_zone_plays.py
+++ b/tests/zones/test_zone_plays.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from fleetlab.fixture import Played, Plays
+from testbed.fixture import Played, Plays
 
 LINE: dict[str, Any] = {"line": True, "seeds": 2, "settle_s": 2.0}
 AMONG = {"between": ["gateways"], "and": ["gateways"]}
