--- a/switchline/audit/recorder.py
+++ b/switchline/audit/recorder.py
@@ -20,7 +20,7 @@
 from switchline.clock import now_ms
 from switchline.fleet.chain import GAP, LONGEST_TEXT, MOST_COUNTS, Head, Record
 from switchline.fleet.hybrid_clock import HybridClock
-from switchline.fleet.messages import Life
+from switchline.fleet.messages import Incarnation
 
 log = logging.getLogger(__name__)
 
@@ -43,7 +43,7 @@
     """Owns the versions that this process acts on, and the records of their changes."""
 
     def __init__(
-        self, name: str, life: Life, folder: Path | None, counts: Callable[[], Mapping[str, int]]
+        self, name: str, life: Incarnation, folder: Path | None, counts: Callable[[], Mapping[str, int]]
     ) -> None:
         """`counts`: acts on requests since the start."""
         self.name, self.life, self.counts = name, life, counts
@@ -56,7 +56,7 @@
         self.head, self.on = Head(0, ""), False
         self.writer = Writer(folder, name, self._gap, self._told) if folder is not None else None
 
-    def follow(self, order: HybridClock, life: Life) -> None:
+    def follow(self, order: HybridClock, life: Incarnation) -> None:
         """The line is open: records stand in the order of what came over it."""
         order.last = max(order.last, self.order.last)
         self.order, self.life = order, life
--- a/switchline/backends/pool.py
+++ b/switchline/backends/pool.py
@@ -22,9 +22,9 @@
 from switchline.net.accept import close_socket
 from switchline.net.descriptors import Budget, Part
 from switchline.net.idle import AT_ONCE_MS, IdleTimes
-from switchline.net.resp import END, NOT_YET, Line, NotWhole, Opened, ProtocolError, Reader, Value
-from switchline.net.streams import LONGEST, WHOLE, Body, Passing, Room
-from switchline.operators.metrics import Figures
+from switchline.net.resp import END, NOT_YET, NotWhole, Opened, ProtocolError, RespParser, TextLine, Value
+from switchline.net.streams import LONGEST, WHOLE, BufferBudget, StreamedRequestBody, StreamedResponse
+from switchline.operators.metrics import Metrics
 from switchline.policy.interface import BackendState, Outcome
 
 log = logging.getLogger(__name__)
@@ -51,9 +51,9 @@
     expires: float  # when the client gives up
     ended: Callable[[Attempt, Outcome, bytes], None]
     written: Callable[[Attempt], None]  # the last byte has left
-    began: Callable[[Attempt, int], Passing | None]  # a long answer has begun; None: nobody needs it
+    began: Callable[[Attempt, int], StreamedResponse | None]  # a long answer has begun; None: nobody needs it
     hindrance: Callable[[float], Outcome | None]  # why it must not begin at that time, if so
-    body: Body | None = None  # a long value that follows what `encode` gives
+    body: StreamedRequestBody | None = None  # a long value that follows what `encode` gives
     connection: Connection | None = None
     host: Host | None = None  # where it waits for a connection
     connecting: bool = False  # while it waits, a handshake was begun for it
@@ -88,11 +88,11 @@
     def __init__(self, pool: Backends, host: Host) -> None:
         self.pool, self.host, self.address = pool, host, host.address
         self.attempt: Attempt | None = None
-        self.reader = Reader(MOST_ITEMS, LARGEST_REPLY, WHOLE, LONGEST)
+        self.reader = RespParser(MOST_ITEMS, LARGEST_REPLY, WHOLE, LONGEST)
         self.unsent = memoryview(b"")
         self.up = self.closed = self.writing = self.flushing = self.paused = False
         self.sent = self.ending = False  # all has left; the end of a long value is on its way
-        self.value: Passing | None = None  # a long answer that is being passed on
+        self.value: StreamedResponse | None = None  # a long answer that is being passed on
         self.moved_at = 0.0  # when bytes of a long value last moved
         self.idle_since = self.idle_for = self.sent_at = 0.0  # idle_for: before the attempt that is on it
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -340,7 +340,7 @@
 def read_reply(reply: Value) -> tuple[Outcome, bytes]:
     if isinstance(reply, list) and reply and isinstance(reply[0], bytes):
         return Outcome.OK, reply[0]
-    if isinstance(reply, Line) and reply.kind == b"-" and reply.text.split(b" ", 1)[0] == b"BUSY":
+    if isinstance(reply, TextLine) and reply.kind == b"-" and reply.text.split(b" ", 1)[0] == b"BUSY":
         return Outcome.FULL, b""
     return Outcome.FAILED, b""
 
@@ -390,8 +390,8 @@
         connect_timeout: float,
         keepalive: float,
         budget: Budget,
-        figures: Figures,
-        room: Room,
+        figures: Metrics,
+        room: BufferBudget,
     ) -> None:
         self.loop, self.timers, self.connect_timeout = loop, timers, connect_timeout
         self.budget, self.figures, self.room = budget, figures, room
@@ -508,7 +508,7 @@
         if now_ms() >= attempt.expires:
             return Outcome.IGNORED
         shaking = attempt.connecting or (attempt.host is not None and bool(attempt.host.opening))
-        return Outcome.CONNECT if shaking else Outcome.NO_ROOM
+        return Outcome.CONNECT if shaking else Outcome.NO_CAPACITY
 
     def serve(self) -> None:
         """Places have become free: those who want them get them in turn."""
--- a/switchline/clients/commands.py
+++ b/switchline/clients/commands.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from switchline.clock import now_ms
-from switchline.net.streams import Body
+from switchline.net.streams import StreamedRequestBody
 
 SAFE = b"API.READ"
 REQUESTS = {SAFE, b"API.WRITE"}
@@ -33,7 +33,7 @@
     attributes: dict[bytes, bytes]
     wait: float  # how long the client waits, in milliseconds
     came_at: float  # when its bytes came: it may have waited behind others of its connection since
-    stream: Body | None = None  # of a long value, whose bytes follow what is encoded here
+    stream: StreamedRequestBody | None = None  # of a long value, whose bytes follow what is encoded here
 
     def encode(self, wait: int) -> bytes:
         """The command with the time left that a backend is told."""
@@ -45,7 +45,9 @@
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
-def parse_command(args: list[bytes], stream: Body | None = None, came_at: float | None = None) -> Command:
+def parse_command(
+    args: list[bytes], stream: StreamedRequestBody | None = None, came_at: float | None = None
+) -> Command:
     """Raises ValueError, with the reason, for what is not a request. `came_at`: now, if it is not told."""
     if not 4 <= len(args) <= 5:
         raise ValueError("wrong number of arguments")
--- a/switchline/clients/server.py
+++ b/switchline/clients/server.py
@@ -15,10 +15,10 @@
 from switchline.guard import Guard, Invariant
 from switchline.net.accept import Acceptor
 from switchline.net.descriptors import Budget, Part
-from switchline.net.resp import NOT_YET, Opened, ProtocolError, Reader, Value
+from switchline.net.resp import NOT_YET, Opened, ProtocolError, RespParser, Value
 from switchline.net.socket_state import has_unread_bytes, peer_has_closed
-from switchline.net.streams import LONGEST, WHOLE, Body, Passing, Room
-from switchline.operators.metrics import Evicted, Figures
+from switchline.net.streams import LONGEST, WHOLE, BufferBudget, StreamedRequestBody, StreamedResponse
+from switchline.operators.metrics import Evicted, Metrics
 from switchline.policy.fair_shares import FairShares
 
 log = logging.getLogger(__name__)
@@ -59,10 +59,10 @@
         self.reply: bytes | None = None
         self.request: str | None = None  # the id of a request that is still open
         self.answered = False
-        self.value: Passing | None = None  # a long answer that is passed on as it comes
+        self.value: StreamedResponse | None = None  # a long answer that is passed on as it comes
         self.passed: Callable[[], None] | None = None  # all of it has been written
 
-    def begin(self, value: Passing, passed: Callable[[], None]) -> None:
+    def begin(self, value: StreamedResponse, passed: Callable[[], None]) -> None:
         self.answered, self.value, self.passed = True, value, passed
         self.connection.begin_value()
 
@@ -103,8 +103,10 @@
 class ClientConnection(asyncio.BufferedProtocol):
     def __init__(self, server: ClientServer) -> None:
         self.server = server
-        self.reader = Reader(MOST_ARGUMENTS, LARGEST, WHOLE, LONGEST)
-        self.body: Body | None = None  # a long value that is coming in, and the place of its command
+        self.reader = RespParser(MOST_ARGUMENTS, LARGEST, WHOLE, LONGEST)
+        self.body: StreamedRequestBody | None = (
+            None  # a long value that is coming in, and the place of its command
+        )
         self.body_slot: Slot | None = None
         self.slots: deque[Slot] = deque()
         self.transport: asyncio.Transport | None = None
@@ -296,13 +298,13 @@
         if opened.missing != 1 or items != opened.items or not items or items[0].upper() not in REQUESTS:
             raise ProtocolError("value too long")
         self.heard_at = self.body_since = time.monotonic()
-        body = self.body = Body(self.server.room, opened.length)
+        body = self.body = StreamedRequestBody(self.server.room, opened.length)
         body.spare = self.pump
         slot = self.body_slot = self.command([*items, b""], body)
         if slot is None or slot.request is None:
             body.drop()  # it has its answer; what still comes of it is discarded
 
-    def _take_piece(self, body: Body) -> bool:
+    def _take_piece(self, body: StreamedRequestBody) -> bool:
         """Whether something came of the long value."""
         if piece := self.reader.piece(READ_BYTES):
             self.heard_at = time.monotonic()
@@ -431,7 +433,7 @@
         """Whether no long answer is on its way through here: such a one lasts as long as its bytes move."""
         return not self.slots or self.slots[0].value is None
 
-    def command(self, given: Value, body: Body | None = None) -> Slot | None:
+    def command(self, given: Value, body: StreamedRequestBody | None = None) -> Slot | None:
         args = [arg for arg in given if isinstance(arg, bytes)] if isinstance(given, list) else []
         if not args or args != given:
             self.refuse_protocol(ValueError("not an array of bulk strings"))
@@ -498,8 +500,8 @@
         self,
         handler: Handler,
         budget: Budget,
-        room: Room,
-        figures: Figures,
+        room: BufferBudget,
+        figures: Metrics,
         guard: Guard | None = None,
     ) -> None:
         self.handler, self.budget, self.room, self.figures = handler, budget, room, figures
--- a/switchline/config.py
+++ b/switchline/config.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True)
-class Line:
+class FleetLink:
     """The line between gateways."""
 
     fleet: str  # its name: others are not heard
@@ -64,7 +64,7 @@
     shares: Shares  # of the descriptors
     state: Path | None  # the folder where state is kept on disk; none: nowhere
     audit: Path | None  # the folder of the audit's records; none: they are on no disk
-    line: Line | None  # between gateways; none: this one knows of no other
+    line: FleetLink | None  # between gateways; none: this one knows of no other
     release: str  # of the program
     digest: str  # of the file, without what each start has of its own
     known: dict[str, Any]  # the list of backends as this gateway last had it, in discovery's form
@@ -136,7 +136,7 @@
     return Path(given)
 
 
-def parse_line(given: Any) -> Line | None:
+def parse_line(given: Any) -> FleetLink | None:
     """The optional table `fleet`; without one nothing of the line is even imported."""
     if given is None:
         return None
@@ -167,7 +167,7 @@
     if not good and shut_out != 0:
         raise ValueError(f"fleet: shut_out_s can't be {shut_out!r}")
     found = tuple(parse_address(seed) for seed in seeds)
-    return Line(name, listen, advertise, found, secret, float(shut_out))
+    return FleetLink(name, listen, advertise, found, secret, float(shut_out))
 
 
 def digest_of(raw: dict[str, Any]) -> str:
--- a/switchline/fleet/chain.py
+++ b/switchline/fleet/chain.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from switchline.fleet.messages import Count, Life, Stamp
+from switchline.fleet.messages import Count, Incarnation, Stamp
 
 FIRST = ""  # the hash before the first record
 SUM_BYTES = 12
@@ -34,7 +34,7 @@
 
     n: Count
     name: Text  # of the gateway
-    life: Life
+    life: Incarnation
     at: Stamp
     wall: float
     own: float
--- a/switchline/fleet/facts.py
+++ b/switchline/fleet/facts.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from switchline.fleet.messages import LONGEST_NAME, LONGEST_VALUE, Entry, Life
+from switchline.fleet.messages import LONGEST_NAME, LONGEST_VALUE, Entry, Incarnation
 
 MOST_ENTRIES, MOST_OF_ORIGIN = 4_096, 64
 HELD_HOST, HELD_ZONE = "held-host", "held-zone"  # what any gateway was called to do; value: down or up
@@ -73,7 +73,7 @@
 class Facts:
     """Owns the table. Times are seconds on a clock that never steps; `wall` is milliseconds of wall time."""
 
-    def __init__(self, origin: str, life: Life) -> None:
+    def __init__(self, origin: str, life: Incarnation) -> None:
         self.origin, self.life = origin, life
         self.table: dict[Key, Held] = {}
         self.kinds: dict[str, dict[Key, Held]] = {}  # the same, by kind
@@ -169,7 +169,7 @@
 
     # ---- the end of facts ----
 
-    def tidy(self, now: float, wall: float, life_of: Callable[[str], Life | None]) -> None:
+    def tidy(self, now: float, wall: float, life_of: Callable[[str], Incarnation | None]) -> None:
         """Forget what has ended, and, some time after its end, what was told by a life that is gone."""
         for key, held in list(self.table.items()):
             entry = held.entry
@@ -208,7 +208,7 @@
         """By name and origin."""
         return {(key[1], key[2]): held for key, held in self.kinds.get(kind, {}).items()}
 
-    def begin(self, life: Life) -> None:
+    def begin(self, life: Incarnation) -> None:
         """From here on this gateway tells as a later life, and tells anew all that it has told."""
         self.life = life
         for held in list(self.table.values()):
--- a/switchline/fleet/members.py
+++ b/switchline/fleet/members.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from switchline.fleet.messages import Life, Rumor, State
+from switchline.fleet.messages import Incarnation, Rumor, State
 
 Address = tuple[str, int]
 
@@ -75,7 +75,7 @@
         self.refused = 0  # members beyond the bound
         self.changed: Callable[[Rumor], None] = lambda rumor: None  # to be told on
         self.denied: Callable[[], None] = lambda: None  # of a suspicion of this one: it is urgent
-        self.began: Callable[[Life], None] = lambda life: None  # of a life above one that has ended
+        self.began: Callable[[Incarnation], None] = lambda life: None  # of a life above one that has ended
         self.counts = {"suspected": 0, "died": 0, "left": 0, "joined": 0, "refuted": 0}
 
     # ---- reading ----
@@ -88,7 +88,7 @@
         """Members that are here, this one too."""
         return 1 + len(self.present)
 
-    def life_of(self, name: str) -> Life | None:
+    def life_of(self, name: str) -> Incarnation | None:
         """The life of a member that is here."""
         if name == self.me.name:
             return self.me.life
@@ -119,7 +119,7 @@
 
     # ---- what is heard ----
 
-    def heard(self, name: str, life: Life, now: float) -> None:
+    def heard(self, name: str, life: Incarnation, now: float) -> None:
         member = self.others.get(name)
         if member is not None and member.rumor.life == life:
             member.heard = now
--- a/switchline/fleet/messages.py
+++ b/switchline/fleet/messages.py
@@ -25,7 +25,9 @@
 
 Name = Annotated[str, msgspec.Meta(max_length=LONGEST_NAME)]
 Count = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
-Life = tuple[Count, Count]  # which start of a process: a count or a time, and chance; the higher is the later
+Incarnation = tuple[
+    Count, Count
+]  # which start of a process: a count or a time, and chance; the higher is the later
 Stamp = tuple[Count, Count]  # of the fleet's order (hybrid.py): milliseconds of wall time, and a count
 Port = Annotated[int, msgspec.Meta(ge=1, le=65_535)]
 Host = Annotated[str, msgspec.Meta(max_length=15, pattern=r"^\d{1,3}(\.\d{1,3}){3}$")]
@@ -54,7 +56,7 @@
     """What somebody says of a member; `by` is who suspects it."""
 
     name: Name
-    life: Life
+    life: Incarnation
     incarnation: Count
     state: State
     host: Host
@@ -71,7 +73,7 @@
     kind: Name
     name: Name
     origin: Name
-    life: Life
+    life: Incarnation
     version: Count
     at: Annotated[float, msgspec.Meta(ge=0, le=1e15)]
     value: Annotated[str, msgspec.Meta(max_length=LONGEST_VALUE)] | None
@@ -81,7 +83,7 @@
     """One message: what it is, and what is told along with it."""
 
     sender: Name
-    life: Life
+    life: Incarnation
     number: Count  # rises with each message of a life: an old one is a replay
     kind: Kind
     seq: Count = 0  # of a ping, and of the answer to it
@@ -128,7 +130,7 @@
     """
 
     sender: Name
-    life: Life
+    life: Incarnation
     number: Count
     answer: bool
     rumors: list[Rumor]
@@ -200,10 +202,10 @@
 
     WIDTH = 64
 
-    def __init__(self, life: Life) -> None:
+    def __init__(self, life: Incarnation) -> None:
         self.life, self.highest, self.bits = life, 0, 0
 
-    def fresh(self, life: Life, number: int) -> bool:
+    def fresh(self, life: Incarnation, number: int) -> bool:
         """Whether this message is new; notes it. An older life's message never is."""
         if life != self.life:
             if life < self.life:
--- a/switchline/fleet/node.py
+++ b/switchline/fleet/node.py
@@ -25,8 +25,8 @@
     Datagram,
     Entry,
     Exchange,
+    Incarnation,
     Kind,
-    Life,
     Listed,
     Refused,
     Rumor,
@@ -76,7 +76,7 @@
     def __init__(
         self,
         name: str,
-        life: Life,
+        life: Incarnation,
         address: Address,
         seeds: tuple[Address, ...],
         seal: Seal,
@@ -317,14 +317,14 @@
                 pass
         return True
 
-    def _later(self, sender: str, life: Life) -> Rumor | None:
+    def _later(self, sender: str, life: Incarnation) -> Rumor | None:
         """What is known of a later life of a sender."""
         if sender == self.members.me.name:
             return self.members.me if life < self.members.me.life else None
         member = self.members.others.get(sender)
         return member.rumor if member is not None and life < member.rumor.life else None
 
-    def _check(self, sender: str, life: Life, number: int) -> None:
+    def _check(self, sender: str, life: Incarnation, number: int) -> None:
         me = self.members.me
         if sender == me.name and life == me.life:
             raise Refused("own")
--- a/switchline/fleet/quarantine.py
+++ b/switchline/fleet/quarantine.py
@@ -11,7 +11,7 @@
 from collections.abc import Collection
 
 from switchline.fleet.facts import Facts
-from switchline.fleet.messages import Life, State
+from switchline.fleet.messages import Incarnation, State
 from switchline.fleet.node import Node
 from switchline.fleet.staleness import Floors, number, seq_of
 
@@ -34,7 +34,7 @@
     return (most_out(members) + 1) // 2
 
 
-def grant_of(life: Life) -> str:
+def grant_of(life: Incarnation) -> str:
     return f"{life[0]} {life[1]}"
 
 
--- a/switchline/fleet_runtime/recovery.py
+++ b/switchline/fleet_runtime/recovery.py
@@ -24,7 +24,7 @@
 from switchline.fleet.outage import RISEN, RISEN_S, UNKNOWN, Verdict, judge, read_down
 from switchline.fleet.staleness import bound_by, leaves_none, seq_of
 from switchline.fleet_runtime.transport import Peers, Word
-from switchline.operators.overrides import Bans
+from switchline.operators.overrides import OperatorOverrides
 from switchline.policy import gateway_status
 from switchline.policy import interface as api
 from switchline.service.driver import Driver
@@ -59,7 +59,7 @@
 
     def __init__(
         self,
-        hands: Mapping[str, Bans],
+        hands: Mapping[str, OperatorOverrides],
         recovery: Recovery,
         driver: Driver,
         discovery: Discovery,
@@ -202,7 +202,7 @@
         if told.spent is not None and told.sender in self.asked:
             self.asked.discard(told.sender)
             for one in told.spent:
-                self.driver.give(api.PeerTold(one.key, one.plan, one.even, one.left))
+                self.driver.give(api.PeerQuotaReport(one.key, one.plan, one.even, one.left))
             self.customers += len(told.spent)
 
     def take_list(self) -> None:
@@ -308,7 +308,7 @@
         said = f"{found.risen} of {found.heard} gateways began lately, down for {found.down_s:.1f} s"
         self.turn(Stage.COLD, f"the fleet lost power: {said}")
         back = now_ms() - (time.monotonic() - self.began) * 1000
-        self.driver.give(api.Outage(back - (found.down_s + SINCE_S) * 1000, back))
+        self.driver.give(api.FleetOutage(back - (found.down_s + SINCE_S) * 1000, back))
 
     def turn(self, stage: Stage, why: str) -> None:
         self.stage, self.stage_at = stage, time.monotonic()
--- a/switchline/fleet_runtime/transport.py
+++ b/switchline/fleet_runtime/transport.py
@@ -15,9 +15,9 @@
 from typing import Any, NamedTuple, cast
 
 from switchline.clock import now_ms
-from switchline.config import Address, Line
+from switchline.config import Address, FleetLink
 from switchline.fleet.facts import TooMuch
-from switchline.fleet.messages import MOST_EXCHANGE, Entry, Life, Seal, State
+from switchline.fleet.messages import MOST_EXCHANGE, Entry, Incarnation, Seal, State
 from switchline.fleet.node import Node
 
 log = logging.getLogger(__name__)
@@ -43,7 +43,7 @@
     at: float = 0.0
 
 
-def next_life(folder: Path | None, chance: random.Random) -> Life:
+def next_life(folder: Path | None, chance: random.Random) -> Incarnation:
     """A life above all before it: by the wall clock, and by the last one on disk where there is a folder.
 
     The second number tells two processes apart that begin from copies of one folder, or at one moment.
@@ -71,7 +71,12 @@
     """One gateway's end of the line, from its start to its end."""
 
     def __init__(
-        self, name: str, line: Line, life: Life, chance: random.Random, words: Callable[[], Iterator[Word]]
+        self,
+        name: str,
+        line: FleetLink,
+        life: Incarnation,
+        chance: random.Random,
+        words: Callable[[], Iterator[Word]],
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.line, self.words = line, words
--- a/switchline/net/resp.py
+++ b/switchline/net/resp.py
@@ -20,14 +20,14 @@
     """What came in is not RESP2, or more of it than is taken."""
 
 
-class Line(NamedTuple):
+class TextLine(NamedTuple):
     """A simple string, an error or an integer: its first byte and the rest."""
 
     kind: bytes
     text: bytes
 
 
-Item = bytes | Line | None
+Item = bytes | TextLine | None
 
 
 class Opened(NamedTuple):
@@ -48,7 +48,7 @@
 Value = Item | list[Item]
 
 
-class Reader:
+class RespParser:
     """Takes bytes as they come and gives the values in them. After an error it is of no further use."""
 
     def __init__(self, most_items: int, most_bytes: int, whole: int = 0, longest: int = 0) -> None:
@@ -124,7 +124,7 @@
         kind, text = bytes(buffer[at : at + 1]), bytes(buffer[at + 1 : end])
         self.at = end + 2
         if kind in LINE_KINDS:
-            return Line(kind, text)
+            return TextLine(kind, text)
         if text == b"-1":
             return None
         if not text.isdigit():
--- a/switchline/net/streams.py
+++ b/switchline/net/streams.py
@@ -14,7 +14,7 @@
 LEAST, MOST = 8 * 1024, 64 * 1024  # bytes held of one value in one place
 
 
-class Room:
+class BufferBudget:
     """Divides the memory that may be held among the values under way.
 
     Of a value, at most this much each is kept for a retry, waits to be passed on, and has just been read.
@@ -29,14 +29,14 @@
         return max(LEAST, min(MOST, self.budget // max(1, self.values)))
 
 
-class Body:
+class StreamedRequestBody:
     """A long value on its way to a backend. Owns the bytes that a backend may still need.
 
     As long as no more than a window has been sent, the beginning is kept and another attempt can send it
     again; from then on what has been sent is let go, and the request can't be sent a second time.
     """
 
-    def __init__(self, room: Room, length: int) -> None:
+    def __init__(self, room: BufferBudget, length: int) -> None:
         self.room, self.length = room, length
         self.buffer, self.start = bytearray(), 0  # start: where in the value the buffer begins
         self.came = self.sent = 0  # bytes so far
@@ -92,10 +92,10 @@
                 self.spare()
 
 
-class Passing:
+class StreamedResponse:
     """A long value on its way to a client. Owns what has come of it and waits to be written."""
 
-    def __init__(self, room: Room, length: int, wake: Callable[[], None]) -> None:
+    def __init__(self, room: BufferBudget, length: int, wake: Callable[[], None]) -> None:
         self.room, self.wake = room, wake  # wake: the client's connection may write
         self.pieces = [b"$%d\r\n" % length]
         self.held = 0
--- a/switchline/operators/fleet_calls.py
+++ b/switchline/operators/fleet_calls.py
@@ -16,7 +16,7 @@
 from switchline.fleet.facts import FLEET_FLOOR, FLEET_HOST, FLEET_SPARE, FLEET_ZONE, TooMuch
 from switchline.fleet.messages import Entry, State
 from switchline.fleet_runtime.transport import Peers, Word
-from switchline.operators.overrides import Bans
+from switchline.operators.overrides import OperatorOverrides
 from switchline.operators.server import Said
 
 log = logging.getLogger(__name__)
@@ -39,7 +39,7 @@
 class FleetCalls:
     """Owns this gateway's part in calls for the whole fleet."""
 
-    def __init__(self, hands: Mapping[str, Bans]) -> None:
+    def __init__(self, hands: Mapping[str, OperatorOverrides]) -> None:
         self.hands = hands  # by kind of fact
         self.peers: Peers | None = None
         self.calls: dict[tuple[str, str], float] = {}  # made here, of those in `took`: the call's time
--- a/switchline/operators/metrics.py
+++ b/switchline/operators/metrics.py
@@ -9,7 +9,7 @@
 ZONE_GAUGES = {"share", "state"}
 
 
-class Ended(Enum):
+class OutcomeKind(Enum):
     """How a request ended, by the figures' names."""
 
     SUCCEEDED = "succeeded"
@@ -29,17 +29,17 @@
     PARTING = "parting"  # idle on a drain
 
 
-class Figures:
+class Metrics:
     """Owns the counts; every class that the settings name is shown from the start."""
 
     def __init__(self, classes: Sequence[str]) -> None:
-        self.requests = {(ended, name): 0 for ended in Ended for name in classes}
+        self.requests = {(ended, name): 0 for ended in OutcomeKind for name in classes}
         self.forwards = 0
         self.evicted = dict.fromkeys(Evicted, 0)
         self.begun = self.failed = self.waited = 0  # handshakes with backends; attempts that waited for one
         self.crowded = 0  # requests refused as all places for requests, or connections, were taken
 
-    def ended(self, name: str, ended: Ended) -> None:
+    def ended(self, name: str, ended: OutcomeKind) -> None:
         self.requests[ended, name] += 1
 
     def forwarded(self) -> None:
--- a/switchline/operators/overrides.py
+++ b/switchline/operators/overrides.py
@@ -35,7 +35,7 @@
     return Path(os.environ.get("TMPDIR") or "/tmp") / f"roadpulley-{safe}-{suffix}"
 
 
-class Bans:
+class OperatorOverrides:
     """Owns which hosts are out; tells `changed` of each host that goes out or comes back."""
 
     def __init__(self, path: Path, timers: Timers, changed: Changed) -> None:
--- a/switchline/policy/attempts.py
+++ b/switchline/policy/attempts.py
@@ -36,18 +36,18 @@
         out.append(api.Send(request.id, b.id))
         self.watch(now, request, now + self.patience(now, attempt) if request.whole else math.inf, out)
 
-    def on_whole(self, now: float, event: api.RequestWhole, out: api.Actions) -> None:
+    def on_whole(self, now: float, event: api.RequestBodyReceived, out: api.Actions) -> None:
         if request := self.requests.get(event.request):
             request.whole, request.expires = True, event.expires
             request.aim_at = min(event.expires, now + request.kind.aim)
             self.watch(now, request, request.check_at, out)
 
-    def on_written(self, now: float, event: api.AttemptWritten, out: api.Actions) -> None:
+    def on_written(self, now: float, event: api.RequestBodySent, out: api.Actions) -> None:
         """A long value has left: only now the backend can begin, and its time is counted from here."""
         if attempt := self.attempts.get((event.request, event.attempt)):
             attempt.sent_at = now
 
-    def on_began(self, now: float, event: api.ValueBegan, out: api.Actions) -> None:
+    def on_began(self, now: float, event: api.StreamedAnswerStarted, out: api.Actions) -> None:
         """A long answer is the final one: nothing may cut it off, and its other attempts are not needed."""
         attempt = self.attempts.get((event.request, event.attempt))
         request = self.requests.pop(event.request, None)
@@ -102,7 +102,9 @@
         if request.customer.plan.open_limit:
             self.tell(request.customer, out, open=-1)
         request.live.remove(event.attempt)
-        no_room = event.outcome is api.Outcome.NO_ROOM  # tells of this gateway, and nothing of the backend
+        no_room = (
+            event.outcome is api.Outcome.NO_CAPACITY
+        )  # tells of this gateway, and nothing of the backend
         if not attempt.began and not no_room:
             self.judge(now, attempt, event.outcome)
         if never_ran:
@@ -161,10 +163,10 @@
     def finish(self, request: Request, out: api.Actions, wait: float = 0.0, reason: str = "attempts") -> None:
         """The one final answer: a refusal only where a new try is known to do no harm, else a failure."""
         del self.requests[request.id]
-        keyed_by_all = request.kind.effect is api.Effect.KEYED and request.kind.group is api.Group.ALL
+        keyed_by_all = request.kind.effect is api.Effect.KEYED and request.kind.group is api.RepeatScope.ALL
         harmless = not request.ran or request.kind.effect is api.Effect.SAFE or keyed_by_all
         wait = wait or request.kind.aim * PATIENCE  # a client is told when to come back, whatever the reason
-        refusal = api.Refuse(request.id, min(wait, self.settings.max_retry_after), reason)
+        refusal = api.Reject(request.id, min(wait, self.settings.max_retry_after), reason)
         out.append(refusal if harmless else api.Fail(request.id))
         self.cancel_all(request, out)
 
--- a/switchline/policy/backend_selection.py
+++ b/switchline/policy/backend_selection.py
@@ -178,5 +178,5 @@
         first, sent_at = request.ran[0].backend, request.ran[0].sent_at
         if kind.effect is api.Effect.UNSAFE or now - sent_at >= kind.repeat_window - END_MS:
             return False
-        same_zone = first.zone == b.zone and (kind.group is not api.Group.CELL or first.cell == b.cell)
-        return kind.group is api.Group.ALL or same_zone
+        same_zone = first.zone == b.zone and (kind.group is not api.RepeatScope.CELL or first.cell == b.cell)
+        return kind.group is api.RepeatScope.ALL or same_zone
--- a/switchline/policy/durable_state.py
+++ b/switchline/policy/durable_state.py
@@ -1,8 +1,9 @@
 """What is kept on disk, and when: rows of the state, and spending that is reserved ahead of them.
 
-Pure, as all of the module: it gives rows (`Keep`) and is told which of them are committed (`Kept`). A row
-shows a customer's buckets as if the next part of its units were spent. The part is spent from memory once the
-row is committed, and whoever restarts from the row counts it as spent, so nothing is ever given twice.
+Pure, as all of the module: it gives rows (`PersistRecord`) and is told which of them are committed
+(`RecordsPersisted`). A row shows a customer's buckets as if the next part of its units were spent. The part
+is spent from memory once the row is committed, and whoever restarts from the row counts it as spent, so
+nothing is ever given twice.
 """
 
 from __future__ import annotations
@@ -137,7 +138,7 @@
 
     def keep(self, said: list[Any], out: api.Actions) -> int:
         self.serial += 1
-        out.append(api.Keep(self.serial, said))
+        out.append(api.PersistRecord(self.serial, said))
         return self.serial
 
     def forget(self, keys: list[str], out: api.Actions) -> None:
@@ -176,7 +177,7 @@
     def turn(
         self,
         now: float,
-        event: api.KeepingTurned,
+        event: api.PersistenceChanged,
         customers: Mapping[str, Customer],
         state: Mapping[str, Any],
         out: api.Actions,
@@ -199,12 +200,12 @@
 
     # ---- after a restart ----
 
-    def begin(self, now: float, event: api.Restarted, out: api.Actions) -> None:
+    def begin(self, now: float, event: api.StateFileFound, out: api.Actions) -> None:
         """What the file tells of the lives before this one: when it was last written, and the restarts."""
         self.alive, self.restarts = event.alive, event.restarts
         self.believed = event.whole and 0.0 <= now - self.alive <= DOWN_MS
         if not self.believed:
-            out.append(api.Remark(f"a downtime of {(now - self.alive) / 1000:.0f} s is not believed"))
+            out.append(api.LogMessage(f"a downtime of {(now - self.alive) / 1000:.0f} s is not believed"))
 
     def restore(self, now: float, c: Customer, at: float) -> None:
         """Give a customer of a row what time has brought it since, as far as that is sure."""
--- a/switchline/policy/entities.py
+++ b/switchline/policy/entities.py
@@ -8,7 +8,7 @@
 from switchline.policy.customer import Customer
 
 # Outcomes of an attempt that surely did not run.
-NEVER_RAN = {api.Outcome.FULL, api.Outcome.CONNECT, api.Outcome.IGNORED, api.Outcome.NO_ROOM}
+NEVER_RAN = {api.Outcome.FULL, api.Outcome.CONNECT, api.Outcome.IGNORED, api.Outcome.NO_CAPACITY}
 OWED_MS = 1_500.0  # a backend put back gets a request after so long at the latest, as it may be worth using
 
 
--- a/switchline/policy/gateway.py
+++ b/switchline/policy/gateway.py
@@ -34,26 +34,26 @@
             api.AttemptEnded: self.on_ended,
             api.TimerFired: self.on_timer,
             api.CounterReplied: self.on_counted,
-            api.RequestWhole: self.on_whole,
-            api.AttemptWritten: self.on_written,
-            api.ValueBegan: self.on_began,
-            api.BesideCame: self.on_beside_came,
-            api.BesideSaid: self.on_beside_said,
-            api.BesideLeft: self.on_beside_left,
-            api.KeepingTurned: lambda now, e, o: self.durable_state.turn(
+            api.RequestBodyReceived: self.on_whole,
+            api.RequestBodySent: self.on_written,
+            api.StreamedAnswerStarted: self.on_began,
+            api.PeerProcessJoined: self.on_beside_came,
+            api.PeerProcessMessage: self.on_beside_said,
+            api.PeerProcessLeft: self.on_beside_left,
+            api.PersistenceChanged: lambda now, e, o: self.durable_state.turn(
                 now, e, self.customers, self.state(), o
             ),
-            api.Recovered: self.on_recovered,
-            api.ZoneHeld: self.on_zone_held,
-            api.Kept: lambda now, event, out: self.durable_state.kept(now, event.serial, out),
-            api.Restarted: lambda now, event, out: self.durable_state.begin(now, event, out),
+            api.RecordRestored: self.on_recovered,
+            api.ZoneOverridden: self.on_zone_held,
+            api.RecordsPersisted: lambda now, event, out: self.durable_state.kept(now, event.serial, out),
+            api.StateFileFound: lambda now, event, out: self.durable_state.begin(now, event, out),
             api.BackendsChanged: self.on_list,
-            api.BackendHeld: self.on_held,
+            api.BackendOverridden: self.on_held,
             api.RegionsChanged: lambda _, event, __: setattr(self.zones, "regions", dict(event.regions)),
-            api.Outage: self.on_outage,
-            api.PeerTold: self.on_peer_told,
-            api.Lagging: lambda _, event, __: setattr(self, "lags", event.lags),
-            api.ZoneTold: lambda now, event, _: self.zones.follow(now, event),
+            api.FleetOutage: self.on_outage,
+            api.PeerQuotaReport: self.on_peer_told,
+            api.StalenessChanged: lambda _, event, __: setattr(self, "lags", event.lags),
+            api.ZoneDirective: lambda now, event, _: self.zones.follow(now, event),
             api.RequestLapsed: lambda _, event, __: self.requests.pop(event.request, None),
         }  # peers' messages and begun answers change no decision
 
@@ -65,7 +65,7 @@
                 out.append(api.FollowList())
         if handler := self.handlers.get(type(event)):
             handler(now, event, out)
-        out.extend(api.Remark(text) for text in self.zones.told)
+        out.extend(api.LogMessage(text) for text in self.zones.told)
         self.zones.told.clear()
         return out
 
@@ -133,7 +133,7 @@
 
     # ---- beside another process of this gateway, in an upgrade ----
 
-    def on_beside_said(self, now: float, event: api.BesideSaid, out: api.Actions) -> None:
+    def on_beside_said(self, now: float, event: api.PeerProcessMessage, out: api.Actions) -> None:
         """Take over what the other process holds. Raises ValueError for what no such process says."""
         self.beside = True
         match event.said:
@@ -150,7 +150,7 @@
 
     # ---- the disk ----
 
-    def on_recovered(self, now: float, event: api.Recovered, _: api.Actions) -> None:
+    def on_recovered(self, now: float, event: api.RecordRestored, _: api.Actions) -> None:
         """Take over a row of an earlier life. Raises ValueError for what this program never wrote."""
         if event.said[:1] != ["customer"]:
             check(event.said)
@@ -225,7 +225,7 @@
             if entry.backend in self.returned:
                 b.put_back(now, self.returned[entry.backend])
 
-    def on_held(self, now: float, event: api.BackendHeld, _: api.Actions) -> None:
+    def on_held(self, now: float, event: api.BackendOverridden, _: api.Actions) -> None:
         """Operators' word goes before the list's, and lasts until they take it back."""
         warm_at = now - self.settings.rules.warm_within
         self.returned = {i: at for i, at in self.returned.items() if at > warm_at}
@@ -239,7 +239,7 @@
                 b.put_back(now, event.since)
         self.regroup(now)
 
-    def on_zone_held(self, now: float, event: api.ZoneHeld, _: api.Actions) -> None:
+    def on_zone_held(self, now: float, event: api.ZoneOverridden, _: api.Actions) -> None:
         """As for a backend: operators' word goes before the list's, and what is put back counts as cold."""
         self.zones.hold(now, event.zone, event.out)
         for b in self.backends.values():
@@ -248,7 +248,7 @@
                 b.put_back(now, event.since)
         self.regroup(now)
 
-    def on_outage(self, now: float, event: api.Outage, _: api.Actions) -> None:
+    def on_outage(self, now: float, event: api.FleetOutage, _: api.Actions) -> None:
         """The whole fleet lost power: so may the backends have, whatever an old list tells of their ages."""
         self.recovery_ramp.begin(now, event.back + self.settings.rules.warm_within)
         for b in self.backends.values():
@@ -256,7 +256,7 @@
                 b.put_back(now, event.back, guessed=True)
         self.durable_state.take_turns(now, self.customers.values())
 
-    def on_peer_told(self, now: float, event: api.PeerTold, _: api.Actions) -> None:
+    def on_peer_told(self, now: float, event: api.PeerQuotaReport, _: api.Actions) -> None:
         """What a peer knows all to have left of a quota: a disk that is lost or old forgets what it spent."""
         plan = self.plans.get(event.plan)
         if plan and 0 <= event.left <= plan.burst and 0 < event.even <= 1:
--- a/switchline/policy/gateway_status.py
+++ b/switchline/policy/gateway_status.py
@@ -57,7 +57,7 @@
     }
 
 
-def spending(gateway: Gateway, now: float, most: int) -> list[api.PeerTold]:
+def spending(gateway: Gateway, now: float, most: int) -> list[api.PeerQuotaReport]:
     """What all gateways have left of customers' quotas, as this one knows: where most is spent first."""
     found = []
     for c in gateway.customers.values():
@@ -65,7 +65,7 @@
             passed = max(0.0, now - c.filled_at) / 1000
             left = min(c.plan.burst, max(0.0, c.store + passed * c.plan.rate))
             if left < c.plan.burst:
-                found.append(api.PeerTold(c.key, c.plan.name, c.even, left))
+                found.append(api.PeerQuotaReport(c.key, c.plan.name, c.even, left))
     found.sort(key=lambda told: told.left - gateway.plans[told.plan].burst)
     return found[:most]
 
--- a/switchline/policy/interface.py
+++ b/switchline/policy/interface.py
@@ -19,7 +19,7 @@
     UNSAFE = "side_effect"
 
 
-class Group(Enum):
+class RepeatScope(Enum):
     """The backends that drop the repeats of a keyed request."""
 
     ALL = "all"
@@ -53,7 +53,7 @@
     RESET = "ResetByPeer"
     CANCELLED = "Canceled"
     IGNORED = "Ignored"
-    NO_ROOM = "no room"  # no connection of this gateway's own was left for it; the simulator knows none
+    NO_CAPACITY = "no room"  # no connection of this gateway's own was left for it; the simulator knows none
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,7 +63,7 @@
     deadline: float
     importance: float = 1.0
     effect: Effect = Effect.UNSAFE
-    group: Group = Group.ALL
+    group: RepeatScope = RepeatScope.ALL
     repeat_window: float = 0.0
 
 
@@ -132,7 +132,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BackendHeld:
+class BackendOverridden:
     """An operator took a backend out (nothing more may go there), or put it back, at a time."""
 
     backend: int
@@ -141,7 +141,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ZoneHeld:
+class ZoneOverridden:
     """An operator took a zone out, or put it back, at a time."""
 
     zone: str
@@ -150,7 +150,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ZoneTold:
+class ZoneDirective:
     """What the gateways decided together on a zone; `state`: up, left, returning, or "": they have no word.
 
     While they return, `rate` is how many requests a second this gateway may send there, and `share` what is
@@ -169,14 +169,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lagging:
+class StalenessChanged:
     """What this gateway acts on is behind the fleet's: until it is level, quotas go by the even share."""
 
     lags: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Outage:
+class FleetOutage:
     """The whole fleet lost power, at the earliest then; this gateway has come back, at `back`."""
 
     since: float
@@ -184,7 +184,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerTold:
+class PeerQuotaReport:
     """What another gateway knows all to have left of a customer's quota; `even`: a gateway's even share."""
 
     key: str
@@ -227,7 +227,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RequestWhole:
+class RequestBodyReceived:
     """The long value of a streamed request has come in; only now its client begins to wait for the answer."""
 
     request: str
@@ -235,7 +235,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptWritten:
+class RequestBodySent:
     """The last byte of a streamed request has left; only now its backend can begin."""
 
     request: str
@@ -243,7 +243,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ValueBegan:
+class StreamedAnswerStarted:
     """A long answer has begun to be passed on: the request has its final answer, and its attempt goes on."""
 
     request: str
@@ -251,7 +251,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerBegan:
+class AnswerStarted:
     request: str
     attempt: int
     backend: int
@@ -275,30 +275,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerSpoke:
+class GossipReceived:
     sender: int
     payload: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class BesideCame:
+class PeerProcessJoined:
     """A new process of this gateway starts beside this one, and asks for all that both must hold together."""
 
 
 @dataclass(frozen=True, slots=True)
-class BesideSaid:
-    """What the module of the other process of this gateway told (`Tell`)."""
+class PeerProcessMessage:
+    """What the module of the other process of this gateway told (`Replicate`)."""
 
     said: list[Any]
 
 
 @dataclass(frozen=True, slots=True)
-class BesideLeft:
+class PeerProcessLeft:
     """The other process of this gateway has ended."""
 
 
 @dataclass(frozen=True, slots=True)
-class KeepingTurned:
+class PersistenceChanged:
     """From now on all state is kept on disk, in a file that holds nothing yet; or no more."""
 
     on: bool
@@ -306,14 +306,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class RecordsPersisted:
     """All rows up to that one are committed."""
 
     serial: int
 
 
 @dataclass(frozen=True, slots=True)
-class Restarted:
+class StateFileFound:
     """A file of this gateway was found: when it was last written, and its restarts, this one too."""
 
     alive: float
@@ -322,7 +322,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Recovered:
+class RecordRestored:
     """A row of that file, and when it was told."""
 
     said: list[Any]
@@ -331,30 +331,30 @@
 
 Event = (
     BackendsChanged
-    | BackendHeld
-    | ZoneHeld
+    | BackendOverridden
+    | ZoneOverridden
     | RegionsChanged
-    | ZoneTold
-    | Lagging
-    | Outage
-    | PeerTold
+    | ZoneDirective
+    | StalenessChanged
+    | FleetOutage
+    | PeerQuotaReport
     | RequestArrived
     | AttemptEnded
-    | AnswerBegan
-    | BesideCame
-    | BesideSaid
-    | BesideLeft
-    | KeepingTurned
-    | Kept
-    | Restarted
-    | Recovered
-    | RequestWhole
-    | AttemptWritten
-    | ValueBegan
+    | AnswerStarted
+    | PeerProcessJoined
+    | PeerProcessMessage
+    | PeerProcessLeft
+    | PersistenceChanged
+    | RecordsPersisted
+    | StateFileFound
+    | RecordRestored
+    | RequestBodyReceived
+    | RequestBodySent
+    | StreamedAnswerStarted
     | RequestLapsed
     | CounterReplied
     | TimerFired
-    | PeerSpoke
+    | GossipReceived
 )
 
 
@@ -374,7 +374,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """A final answer that promises a new try does no harm."""
 
     request: str
@@ -410,26 +410,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class Replicate:
     """Something for the module of the other process of this gateway."""
 
     said: list[Any]
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
-    """A row for the disk, in the form of `Tell`, or `["forget", KIND, NAME]`. `Kept` answers it."""
+class PersistRecord:
+    """A row for the disk, in the form of `Replicate`, or `["forget", KIND, NAME]`.
+
+    `RecordsPersisted` answers it.
+    """
 
     serial: int
     said: list[Any]
 
 
 @dataclass(frozen=True, slots=True)
-class Remark:
+class LogMessage:
     """A line for the log."""
 
     text: str
 
 
-Action = Send | Cancel | Refuse | Fail | SetTimer | Count | FollowList | Tell | Keep | Remark
+Action = (
+    Send | Cancel | Reject | Fail | SetTimer | Count | FollowList | Replicate | PersistRecord | LogMessage
+)
 Actions = list[Action]
--- a/switchline/policy/state_records.py
+++ b/switchline/policy/state_records.py
@@ -89,17 +89,17 @@
                 raise ValueError(f"no state of this program: {said[:1]}")
         return None
 
-    def on_beside_came(self, now: float, _: api.BesideCame, out: api.Actions) -> None:
+    def on_beside_came(self, now: float, _: api.PeerProcessJoined, out: api.Actions) -> None:
         """A new process takes over: tell it all that both must hold together, and from now on each spend.
 
         Danger: two processes with a bucket each would let in everything twice.
         """
         self.beside, self.counts = True, False
-        out.extend(api.Tell(said) for said in self.state().values())
+        out.extend(api.Replicate(said) for said in self.state().values())
         for c in sorted(self.customers.values(), key=lambda c: c.filled_at)[-MOST_PASSED:]:
-            out.append(api.Tell(c.state()))
+            out.append(api.Replicate(c.state()))
 
-    def on_beside_left(self, now: float, _: api.BesideLeft, __: api.Actions) -> None:
+    def on_beside_left(self, now: float, _: api.PeerProcessLeft, __: api.Actions) -> None:
         self.beside, self.counts = False, True
         for c in self.customers.values():
             c.elsewhere = 0
@@ -116,7 +116,9 @@
     ) -> None:
         """Let the other process take the same from its copy of a customer's buckets."""
         if self.beside:
-            out.append(api.Tell(["spent", c.key, c.plan.name, c.even, asked, tokens, units, ceiling, open]))
+            out.append(
+                api.Replicate(["spent", c.key, c.plan.name, c.even, asked, tokens, units, ceiling, open])
+            )
 
     def customer(self, now: float, key: str, plan: str, even: float) -> Customer:
         """The customer of that key."""
--- a/switchline/policy/zones.py
+++ b/switchline/policy/zones.py
@@ -44,7 +44,7 @@
         self.back_at, self.flaps = -math.inf, 0  # its last return
         self.attempts, self.failures = 0, 0
         self.recent, self.recent_at = 0.0, 0.0  # attempts, fading
-        self.word: api.ZoneTold | None = None  # the fleet's, while it has left the zone or returns there
+        self.word: api.ZoneDirective | None = None  # the fleet's, while it has left the zone or returns there
         self.granted, self.granted_at = 0.0, 0.0  # requests that the fleet's ramp lets go there now
 
     def level(self, now: float, memory: float) -> float:
@@ -92,7 +92,7 @@
                 del self.zones[name]
         self.several = len(listed) > 1
 
-    def follow(self, now: float, told: api.ZoneTold) -> None:
+    def follow(self, now: float, told: api.ZoneDirective) -> None:
         """The fleet's word goes before the own evidence; where there is none, that alone holds."""
         if (zone := self.zones.get(told.zone)) is None:
             return
--- a/switchline/service/driver.py
+++ b/switchline/service/driver.py
@@ -19,8 +19,8 @@
 from switchline.discovery.client import Member, host_number
 from switchline.guard import Invariant
 from switchline.net.descriptors import Part
-from switchline.net.streams import Passing, Room
-from switchline.operators.metrics import Ended, Figures
+from switchline.net.streams import BufferBudget, StreamedResponse
+from switchline.operators.metrics import Metrics, OutcomeKind
 from switchline.policy import Gateway, gateway_status
 from switchline.policy import interface as api
 from switchline.policy.entities import NEVER_RAN
@@ -72,7 +72,7 @@
         self.timer: Timer | None = None  # of its end
         self.came_at = command.came_at  # its head
         self.begun: int | None = None  # the attempt whose long answer is being passed on
-        self.value: Passing | None = None
+        self.value: StreamedResponse | None = None
 
     @property
     def repeat_until(self) -> float:
@@ -97,8 +97,8 @@
         backends: Backends,
         counter: Counter | None,
         max_open: int,
-        figures: Figures,
-        room: Room,
+        figures: Metrics,
+        room: BufferBudget,
         tell: Callable[[list[Any]], None],
     ) -> None:
         self.shares = FairShares(max_open)  # of requests open at once, among customers
@@ -167,13 +167,13 @@
                 self.act(action)
             except Exception:
                 self.guard.caught(type(action).__name__)
-                if isinstance(action, api.Send | api.Refuse | api.Fail):
-                    self.finish(action.request, FAILED, Ended.ABORTED)
+                if isinstance(action, api.Send | api.Reject | api.Fail):
+                    self.finish(action.request, FAILED, OutcomeKind.ABORTED)
 
     def recover(self, said: list[Any], at: float) -> bool:
         """Give the module a row of an earlier life; whether it could be taken."""
         try:
-            self.gateway.handle(now_ms(), api.Recovered(said, at))
+            self.gateway.handle(now_ms(), api.RecordRestored(said, at))
         except (ValueError, TypeError, OverflowError) as error:
             log.info("a row of the state on disk is left out: %s", error)
             return False
@@ -182,7 +182,7 @@
     def abandon(self, event: api.Event) -> None:
         """The honest end of a request whose event the module failed at: whether it ran is not known."""
         if isinstance(event, api.RequestArrived | api.AttemptEnded):
-            self.finish(event.request, FAILED, Ended.ABORTED)
+            self.finish(event.request, FAILED, OutcomeKind.ABORTED)
 
     def members(
         self, scope: api.ListScope, members: tuple[Member, ...], held_until: float = -math.inf
@@ -221,12 +221,12 @@
         """Operators took a host out, or put it back."""
         log.info("%s is %s by hand", host, "taken out" if out else "put back")
         self.backends.hold(host_number(host), out)
-        self.give(api.BackendHeld(host_number(host), out, since))
+        self.give(api.BackendOverridden(host_number(host), out, since))
 
     def hold_zone(self, zone: str, out: bool, since: float) -> None:
         """Operators took a zone out, or put it back."""
         self.backends.hold_zone(zone, out)
-        self.give(api.ZoneHeld(zone, out, since))
+        self.give(api.ZoneOverridden(zone, out, since))
 
     def on_command(self, command: Command, slot: Slot) -> None:
         if command.id in self.requests:
@@ -251,7 +251,7 @@
 
     def crowd(self, kind: str, slot: Slot) -> None:
         """Refuse a request before the module is told of it."""
-        self.figures.ended(kind, Ended.DECLINED)
+        self.figures.ended(kind, OutcomeKind.DECLINED)
         self.figures.crowded += 1
         self.seen["refused for room"] += 1
         slot.answer(b"-BUSY %d\r\n" % FULL_MS)
@@ -304,7 +304,7 @@
         owner.timer = self.timers.at(owner.expires, partial(self.on_expired, owner))
         for attempt in owner.live.values():
             attempt.expires = owner.expires
-        self.give(api.RequestWhole(request, owner.expires))
+        self.give(api.RequestBodyReceived(request, owner.expires))
 
     def on_expired(self, owner: Request) -> None:
         """The client's patience ends: so do the attempts, and the module owes the final answer."""
@@ -313,14 +313,14 @@
         if self.requests.get(request) is owner:
             # Only a fault brings a request here unanswered; its client must not wait in vain even so.
             log.error("request %s had no answer at its end", request)
-            self.finish(request, FAILED, Ended.ABORTED)
+            self.finish(request, FAILED, OutcomeKind.ABORTED)
             self.give(api.RequestLapsed(request))
 
     def on_client_gone(self, request: str) -> None:
         owner = self.leave(request)
         if owner is None:
             return
-        self.figures.ended(owner.kind.name, Ended.ABORTED)
+        self.figures.ended(owner.kind.name, OutcomeKind.ABORTED)
         if owner.value is not None:
             owner.value.drop()
         self.leave_body(owner)
@@ -348,9 +348,9 @@
         if owner.begun == number and owner.value is not None and outcome is api.Outcome.OK:
             owner.value.end()  # the request ends once its client has been given the last byte
         elif outcome is api.Outcome.OK and owner.begun is None:
-            self.finish(request, bulk(value), Ended.SUCCEEDED)
+            self.finish(request, bulk(value), OutcomeKind.SUCCEEDED)
         elif owner.begun == number:
-            self.finish(request, FAILED, Ended.ABORTED)
+            self.finish(request, FAILED, OutcomeKind.ABORTED)
         finished = owner.begun is not None or self.requests.get(request) is not owner
         if finished:
             self.settle(owner)
@@ -393,9 +393,9 @@
     def on_written(self, owner: Request, number: int, attempt: Attempt) -> None:
         owner.written[number] = now_ms()
         if owner.command.stream is not None:
-            self.give(api.AttemptWritten(owner.command.id, number))
+            self.give(api.RequestBodySent(owner.command.id, number))
 
-    def on_began(self, owner: Request, number: int, attempt: Attempt, length: int) -> Passing | None:
+    def on_began(self, owner: Request, number: int, attempt: Attempt, length: int) -> StreamedResponse | None:
         """A long answer has begun: it is the final one, and is passed on as it comes."""
         request = owner.command.id
         if self.requests.get(request) is not owner or owner.begun is not None:
@@ -403,14 +403,14 @@
         owner.begun = number
         if owner.timer is not None:
             owner.timer.cancel()
-        value = owner.value = Passing(self.room, length, owner.slot.connection.pump)
+        value = owner.value = StreamedResponse(self.room, length, owner.slot.connection.pump)
         owner.slot.begin(value, partial(self.on_passed, owner))
-        self.give(api.ValueBegan(request, number))
+        self.give(api.StreamedAnswerStarted(request, number))
         return value
 
     def on_passed(self, owner: Request) -> None:
         if self.leave(owner.command.id) is not None:
-            self.figures.ended(owner.kind.name, Ended.SUCCEEDED)
+            self.figures.ended(owner.kind.name, OutcomeKind.SUCCEEDED)
         if owner.value is not None:
             owner.value.drop()
         self.leave_body(owner)
@@ -428,14 +428,16 @@
             case api.Cancel(request, number):
                 if attempt := self.attempts.get((request, number)):
                     self.backends.give_up(attempt, api.Outcome.CANCELLED)
-            case api.Refuse(request, retry_after, reason):
+            case api.Reject(request, retry_after, reason):
                 self.seen["refused for " + reason] += 1
                 self.withheld += reason == "return"
                 wait = math.ceil(retry_after)
-                self.finish(request, b"-BUSY %d\r\n" % wait if wait > 0 else b"-BUSY\r\n", Ended.DECLINED)
+                self.finish(
+                    request, b"-BUSY %d\r\n" % wait if wait > 0 else b"-BUSY\r\n", OutcomeKind.DECLINED
+                )
             case api.Fail(request):
                 self.seen["failed"] += 1
-                self.finish(request, FAILED, Ended.ABORTED)
+                self.finish(request, FAILED, OutcomeKind.ABORTED)
             case api.SetTimer(delay, token):
                 self.timers.at(now_ms() + delay, partial(self.give, api.TimerFired(token)))
             case api.Count(name, amount, expire_in):
@@ -443,11 +445,11 @@
                     self.give(api.CounterReplied(name, api.Outcome.CONNECT, 0.0))
                 else:
                     self.counter.add(name, amount, expire_in, self.on_counted)
-            case api.Tell(said):
+            case api.Replicate(said):
                 self.tell(said)
-            case api.Keep(serial, said):
+            case api.PersistRecord(serial, said):
                 self.keep(serial, said)
-            case api.Remark(text):
+            case api.LogMessage(text):
                 log.info("%s", text)
             case api.FollowList():
                 pass  # the list is always followed
@@ -477,7 +479,7 @@
         for attempt in list(owner.live.values()):
             self.backends.give_up(attempt, outcome)
 
-    def finish(self, request: str, reply: bytes, ended: Ended) -> None:
+    def finish(self, request: str, reply: bytes, ended: OutcomeKind) -> None:
         """Give the one final answer; a second one is not sent."""
         if owner := self.leave(request):
             self.figures.ended(owner.kind.name, ended)
@@ -514,7 +516,7 @@
         self.ending = True
         for request, owner in list(self.requests.items()):
             if owner.written or any(attempt.connection for attempt in owner.live.values()):
-                self.finish(request, FAILED, Ended.ABORTED)
+                self.finish(request, FAILED, OutcomeKind.ABORTED)
             else:  # nothing of it has left
-                self.finish(request, REFUSED, Ended.DECLINED)
+                self.finish(request, REFUSED, OutcomeKind.DECLINED)
             self.give(api.RequestLapsed(request))
--- a/switchline/service/service.py
+++ b/switchline/service/service.py
@@ -23,9 +23,9 @@
 from switchline.guard import Guard
 from switchline.net.accept import inherited, listening_in_time
 from switchline.net.descriptors import OF_LINE, OF_STATE, OWN, Budget
-from switchline.net.streams import Room
-from switchline.operators.metrics import Ended, Figures
-from switchline.operators.overrides import Bans, private_file
+from switchline.net.streams import BufferBudget
+from switchline.operators.metrics import Metrics, OutcomeKind
+from switchline.operators.overrides import OperatorOverrides, private_file
 from switchline.operators.server import Calls, Later, OperatorServer, Said
 from switchline.policy import interface as api
 from switchline.policy.leases import PERIOD_MS
@@ -76,8 +76,8 @@
         self.stop = stop  # set when this process shall end
         self.guard = Guard()
         self.timers = Timers(self.loop, self.guard)
-        self.figures = Figures([kind.name for kind in config.settings.classes])
-        self.room = Room(config.memory)
+        self.figures = Metrics([kind.name for kind in config.settings.classes])
+        self.room = BufferBudget(config.memory)
         self.budget = Budget(config.sockets, config.shares, self.own(config))
         self.backends = Backends(
             self.loop,
@@ -113,11 +113,11 @@
         self.discovery = Discovery(config.discovery, version, self.on_list, chance, self.budget, apart)
         self.audit: Audit | None = None  # the versions acted on, with `fleet` or `audit`
         self.recovery: Recovery | None = None  # of the state on disk, if there is a folder for it
-        self.hands: dict[str, Bans] = {}  # what operators call, by kind
+        self.hands: dict[str, OperatorOverrides] = {}  # what operators call, by kind
         for kind, (file, *_) in HANDS.items():
             if kind in (HOST, ZONE) or config.line is not None:
                 changed = partial(self.on_held, kind)
-                self.hands[kind] = Bans(private_file(config.name, file), self.timers, changed)
+                self.hands[kind] = OperatorOverrides(private_file(config.name, file), self.timers, changed)
         if config.state is not None:
             from switchline.state.recovery import Recovery
 
@@ -128,8 +128,8 @@
         self.operators = OperatorServer(self.calls(), self.budget)
         self.upgrade = UpgradeHandover(
             private_file(config.name, "beside.sock"),
-            came=partial(self.driver.give, api.BesideCame()),
-            heard=lambda said: self.driver.give(api.BesideSaid(said)),
+            came=partial(self.driver.give, api.PeerProcessJoined()),
+            heard=lambda said: self.driver.give(api.PeerProcessMessage(said)),
             handed=self.hand_over,
             left=self.beside_left,
             holds=self.share,
@@ -217,7 +217,7 @@
     def acts(self) -> dict[str, int]:
         """Acts on requests since the start, for the audit."""
         ended = self.figures.requests.items()
-        found = {state.value: sum(n for (one, _), n in ended if one is state) for state in Ended}
+        found = {state.value: sum(n for (one, _), n in ended if one is state) for state in OutcomeKind}
         return found | {"forwards": self.figures.forwards}
 
     def note(self, kind: str, of: str = "", version: str = "", cause: str = "") -> None:
@@ -263,7 +263,7 @@
             return self.hold_kept(self.recovery, kind, bans, out, name)
         return self.set_hand(bans, out, name)
 
-    def set_hand(self, bans: Bans, out: bool, name: str) -> Said:
+    def set_hand(self, bans: OperatorOverrides, out: bool, name: str) -> Said:
         try:
             bans.set(name, out)
         except OSError as error:
@@ -272,7 +272,9 @@
             return Said(503, "it could not be kept\n")
         return YES
 
-    async def hold_kept(self, recovery: Recovery, kind: str, bans: Bans, out: bool, name: str) -> Said:
+    async def hold_kept(
+        self, recovery: Recovery, kind: str, bans: OperatorOverrides, out: bool, name: str
+    ) -> Said:
         """A yes is given once it is on disk."""
         if not out and name not in bans.out:
             return YES  # calls may be repeated
@@ -477,7 +479,7 @@
         """Something that this gateway acts on is behind, or nothing is any more: quotas by the safe share."""
         if kind != self.lags:
             if bool(kind) != bool(self.lags):
-                self.driver.give(api.Lagging(bool(kind)))
+                self.driver.give(api.StalenessChanged(bool(kind)))
             self.lags = kind
             said = ("even share", f"its {kind} is behind") if kind else (LEASED, "level again")
             self.note("quota", "", *said)
@@ -569,7 +571,7 @@
         self.stop.set()
 
     def beside_left(self) -> None:
-        self.driver.give(api.BesideLeft())
+        self.driver.give(api.PeerProcessLeft())
         self.share(0)
         if self.emptying is not None:
             self.emptying.cancel()
--- a/switchline/simulator.py
+++ b/switchline/simulator.py
@@ -48,7 +48,7 @@
         deadline=float(raw["deadline"]),
         importance=float(raw.get("importance") or 0),
         effect=api.Effect(raw["effect"]),
-        group=api.Group(raw.get("group") or "all"),
+        group=api.RepeatScope(raw.get("group") or "all"),
         repeat_window=float(raw.get("repeatWindow") or 0),
     )
 
@@ -121,7 +121,7 @@
 
 
 def read_began(request: str, attempt: int, backend: int, *_: Any) -> api.Event:
-    return api.AnswerBegan(text(request), int(attempt), int(backend))
+    return api.AnswerStarted(text(request), int(attempt), int(backend))
 
 
 def read_counted(reading: Any, _lag: Any, outcome: str, name: str, *_: Any) -> api.Event:
@@ -142,7 +142,7 @@
     "lapsed": lambda request, *_: api.RequestLapsed(text(request)),
     "ledgerReply": read_counted,
     "wakeup": lambda token, *_: api.TimerFired(text(token)),
-    "whisper": lambda sender, payload, *_: api.PeerSpoke(int(sender), bytes.fromhex(payload)),
+    "whisper": lambda sender, payload, *_: api.GossipReceived(int(sender), bytes.fromhex(payload)),
     "health": lambda *_: None,
 }
 
@@ -153,7 +153,7 @@
             return ["callOut", request, timeout, backend]
         case api.Cancel(request, attempt):
             return ["cancel", request, attempt]
-        case api.Refuse(request, retry_after):
+        case api.Reject(request, retry_after):
             return ["bounce", request, retry_after]
         case api.Fail(request):
             return ["dropRequest", request]
@@ -163,9 +163,9 @@
             return ["incr", name, expire_in, amount]
         case api.FollowList(enable):
             return ["follow", enable]
-        case api.Remark(text):
+        case api.LogMessage(text):
             return ["remark", text]
-        case api.Tell() | api.Keep():
+        case api.Replicate() | api.PersistRecord():
             raise WireError("an instance has no other process beside it")
 
 
--- a/switchline/state/recovery.py
+++ b/switchline/state/recovery.py
@@ -11,7 +11,7 @@
 
 from switchline.clock import now_ms
 from switchline.discovery.client import Discovery, DiscoveryError, read_list
-from switchline.operators.overrides import BACK_MS, Bans
+from switchline.operators.overrides import BACK_MS, OperatorOverrides
 from switchline.policy import interface as api
 from switchline.service.driver import Driver
 from switchline.state.store import HELD, LOCK_S, Found, Store
@@ -40,7 +40,12 @@
     """Owns the store from the start to the end of the process, through faults and upgrades."""
 
     def __init__(
-        self, folder: Path, name: str, driver: Driver, discovery: Discovery, hands: dict[str, Bans]
+        self,
+        folder: Path,
+        name: str,
+        driver: Driver,
+        discovery: Discovery,
+        hands: dict[str, OperatorOverrides],
     ) -> None:
         self.folder, self.name = folder, name
         self.driver, self.discovery, self.hands = driver, discovery, hands
@@ -157,7 +162,7 @@
         """Customers first: where one is missing, the age of the gateway would promise it too much."""
         if not found.restarts:
             return
-        self.driver.give(api.Restarted(found.alive, found.restarts, whole))
+        self.driver.give(api.StateFileFound(found.alive, found.restarts, whole))
         self.dropped += found.dropped
         for kind in ("customer", "backend", "gateway"):
             for row in found.rows:
@@ -190,7 +195,7 @@
                     store.put(kind, name, {"out": False, "at": at})
         for name, said in self.acts.items():
             store.put(ACT, name, said)
-        self.driver.give(api.KeepingTurned(True))
+        self.driver.give(api.PersistenceChanged(True))
         store.begin()
 
     def on_kept(self, serial: int) -> None:
@@ -199,7 +204,7 @@
             gap_s, self.off_since = time.monotonic() - self.off_since, None
             self.off_s += gap_s
             log.warning("state is kept again, after %.1f s in which it was not", gap_s)
-        self.driver.give(api.Kept(serial))
+        self.driver.give(api.RecordsPersisted(serial))
 
     def on_failed(self, reason: str) -> None:
         self.retire()
@@ -208,7 +213,7 @@
         self.held = reason == HELD
         self.failures += not self.held
         self.ready.set()
-        self.driver.give(api.KeepingTurned(False))
+        self.driver.give(api.PersistenceChanged(False))
         if self.served or not self.held:
             self.again = self.loop.call_later(AGAIN_S, self.start_anew)
 
@@ -303,7 +308,7 @@
         if self.store is not None:
             self.store.close()
         self.retire()
-        self.driver.give(api.KeepingTurned(False))
+        self.driver.give(api.PersistenceChanged(False))
 
     def take_files(self) -> None:
         """The other process lets go of the files, or is gone."""
@@ -317,7 +322,7 @@
             self.trying.close()
         if self.store is not None:
             store = self.store
-            self.driver.give(api.KeepingTurned(False, last=True))
+            self.driver.give(api.PersistenceChanged(False, last=True))
             store.close()
             store.join()
 
--- a/switchline/zones/agreement.py
+++ b/switchline/zones/agreement.py
@@ -110,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Word:
-    """What this gateway is to follow of a zone; see `ZoneTold` of the policy. `gap_s`: seconds."""
+    """What this gateway is to follow of a zone; see `ZoneDirective` of the policy. `gap_s`: seconds."""
 
     state: str
     rate: float = 0.0
--- a/switchline/zones/coordination.py
+++ b/switchline/zones/coordination.py
@@ -1,6 +1,6 @@
 """Zones as one act of the fleet: joins what the module meets, the facts of the line, and the module's zones.
 
-`fleet.zonal` decides with the other gateways; the module follows its words (`ZoneTold`). Only with the
+`fleet.zonal` decides with the other gateways; the module follows its words (`ZoneDirective`). Only with the
 configuration's table `fleet`, and where the list names several zones.
 """
 
@@ -199,6 +199,8 @@
     return {short(backend): age / 1000 for backend, age in of.items()}
 
 
-def told_of(zone: str, word: Word) -> api.ZoneTold:
+def told_of(zone: str, word: Word) -> api.ZoneDirective:
     """A word as the module takes it."""
-    return api.ZoneTold(zone, word.state, word.rate, word.share, word.gap_s * 1000, word.first, word.part)
+    return api.ZoneDirective(
+        zone, word.state, word.rate, word.share, word.gap_s * 1000, word.first, word.part
+    )
--- a/testbed/network/fleet_link.py
+++ b/testbed/network/fleet_link.py
@@ -10,7 +10,7 @@
 
 from switchline.fleet.gossip_queue import GossipQueue
 from switchline.fleet.members import Address, Member
-from switchline.fleet.messages import Entry, Life, Rumor, Seal, State
+from switchline.fleet.messages import Entry, Incarnation, Rumor, Seal, State
 from switchline.fleet.node import Node
 
 WALL_MS = 1.8e12
@@ -44,7 +44,9 @@
     def wall(self, at: Address) -> float:
         return WALL_MS + self.now * 1000 + self.clocks.get(at, 0.0)
 
-    def add(self, number: int, seeds: Iterable[int] = (0,), life: Life | None = None, name: str = "") -> Node:
+    def add(
+        self, number: int, seeds: Iterable[int] = (0,), life: Incarnation | None = None, name: str = ""
+    ) -> Node:
         """Start a node; one of the same number before it is gone without a word."""
         address = address_of(number)
         given = life or (int(self.wall(address)), self.chance.getrandbits(30))
--- a/tests/backends/test_backends.py
+++ b/tests/backends/test_backends.py
@@ -14,8 +14,8 @@
 from switchline.clock import Timers, now_ms
 from switchline.net.descriptors import Budget
 from switchline.net.idle import MEMORY_MS, IdleTimes
-from switchline.net.streams import Room
-from switchline.operators.metrics import Figures
+from switchline.net.streams import BufferBudget
+from switchline.operators.metrics import Metrics
 from switchline.policy.interface import BackendState, Outcome
 from testbed.network.sockets import LOCAL, Peer, Reply, Server, encode, until
 from testbed.stand_ins.backends import Backend
@@ -31,8 +31,8 @@
         connect_timeout=250,
         keepalive=15_000,
         budget=Budget(1024),
-        figures=Figures([]),
-        room=Room(2**26),
+        figures=Metrics([]),
+        room=BufferBudget(2**26),
     )
     made = Backends(loop, Timers(loop), **{**values, **given})
     for number, server in enumerate(servers):
@@ -301,7 +301,7 @@
             held = [Try(made, backend=1) for _ in range(8)]
             await until(lambda: len(second.got) == 8)
             await until(lambda: first.ended)
-            assert (await Try(made).result())[0] is Outcome.NO_ROOM
+            assert (await Try(made).result())[0] is Outcome.NO_CAPACITY
             assert not any(t.endings for t in held) and len(made.connections) == 8
 
     in_loop(scenario)
--- a/tests/clients/test_connections.py
+++ b/tests/clients/test_connections.py
@@ -30,8 +30,8 @@
 from switchline.net import accept
 from switchline.net.accept import Acceptor, Pace
 from switchline.net.descriptors import FIXED, LEAST, OWN, Budget, Part, Shares
-from switchline.net.streams import Room
-from switchline.operators.metrics import Evicted, Figures
+from switchline.net.streams import BufferBudget
+from switchline.operators.metrics import Evicted, Metrics
 from switchline.policy.fair_shares import FairShares
 from switchline.policy.interface import BackendState, Outcome
 from testbed.network.addresses import claimed_port
@@ -216,8 +216,8 @@
     """A server without a socket, of `limit` descriptors: half of them for clients."""
 
     def __init__(self, limit: int = 256) -> None:
-        self.handler, self.budget, self.figures = Takes(), Budget(limit), Figures([])
-        self.server = ClientServer(self.handler, self.budget, Room(2**26), self.figures)
+        self.handler, self.budget, self.figures = Takes(), Budget(limit), Metrics([])
+        self.server = ClientServer(self.handler, self.budget, BufferBudget(2**26), self.figures)
         self.ids = 0
 
     def connect(self, peer: str = LOCAL) -> ClientConnection:
--- a/tests/fleet/test_outage.py
+++ b/tests/fleet/test_outage.py
@@ -50,7 +50,7 @@
 
 def ask(gateway: Gateway, now: float, number: int, plan: str = "free", kind: str = "kalkyl") -> Any:
     event = api.RequestArrived(f"r{number}", kind, plan, f"c{plan}", now + 4_000, 1.0, 3, 0)
-    return [a for a in gateway.handle(now, event) if isinstance(a, api.Send | api.Refuse)]
+    return [a for a in gateway.handle(now, event) if isinstance(a, api.Send | api.Reject)]
 
 
 # ---- the verdict ----
@@ -151,7 +151,7 @@
     assert all(host["dial"] == "127.0.0.1:1" for host in found.values())  # the way from here, not from there
 
 
-class Kept:
+class RecordsPersisted:
     """Stands in for the state on disk, and for discovery."""
 
     version: int | None = 7
@@ -169,7 +169,7 @@
 def test_an_empty_or_older_list_of_a_discovery_that_is_just_back_takes_nothing_away_but_what_it_drains(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    kept: Any = Kept("h1", "h2")
+    kept: Any = RecordsPersisted("h1", "h2")
     one = FleetRecovery({}, kept, cast(Any, None), kept, 0)
     assert kept.weigh({"seq": 9, "whole": True, "hosts": []}) is None and one.held_back
     older = {"seq": 3, "whole": True, "hosts": [{"host": "h2", "health": "draining"}]}
@@ -189,7 +189,7 @@
         ask(knows, 1e6 + number, number, "bas")
     (told,) = gateway_status.spending(knows, 1e6 + 20, 10)
     assert told.key == "cbas" and told.left == pytest.approx(14.0, abs=0.1)  # its even share: six
-    for word in (told, api.PeerTold("cbas", "bas", told.even, 18.0)):  # a liar's, or an older one's
+    for word in (told, api.PeerQuotaReport("cbas", "bas", told.even, 18.0)):  # a liar's, or an older one's
         lost.handle(1e6 + 20, word)
     assert lost.customers["cbas"].tokens == pytest.approx(told.left / 3, abs=0.1)
     before = module().customer(1e6, "cbas", "bas", 1 / 3).tokens
@@ -199,8 +199,8 @@
 @pytest.mark.parametrize("spoilt", [(0.5, -1.0), (0.5, 21.0), (0.0, 3.0), (1.5, 3.0), (0.5, math.nan)])
 def test_spending_out_of_range_changes_nothing(spoilt: tuple[float, float]) -> None:
     gateway = module()
-    gateway.handle(1e6, api.PeerTold("cbas", "bas", *spoilt))
-    gateway.handle(1e6, api.PeerTold("cbas", "unknown", 0.5, 1.0))
+    gateway.handle(1e6, api.PeerQuotaReport("cbas", "bas", *spoilt))
+    gateway.handle(1e6, api.PeerQuotaReport("cbas", "unknown", 0.5, 1.0))
     assert not gateway.customers
 
 
@@ -269,7 +269,7 @@
     """At 55% of the warm capacity, nearly three times what the cold ones bear at first."""
     now, rate = 1e6, 24 * 0.55 / 0.2
     told, untold = module(gateways=1, now=now), module(gateways=1, now=now)
-    told.handle(now, api.Outage(now - 3_000, now))
+    told.handle(now, api.FleetOutage(now - 3_000, now))
     with_stage, without = (admitted(one, rate, 200.0, 6.0, now) for one in (told, untold))
     assert sum(with_stage[2:5]) > sum(without[2:5]) + 0.1
     assert sum(with_stage[2:5]) / 3 > 0.85
@@ -278,7 +278,7 @@
 
 def test_little_work_is_let_in_whole_though_all_backends_are_cold() -> None:
     gateway, now = module(gateways=1), 1e6
-    gateway.handle(now, api.Outage(now - 3_000, now))
+    gateway.handle(now, api.FleetOutage(now - 3_000, now))
     rate = 24 * 0.1 / 0.2  # half of what they bear cold
     used = admitted(gateway, rate, 200.0, 6.0, now)
     asked = [0.1 / (0.2 + 0.8 * (second + 0.5) / 16) for second in range(6)]
@@ -288,7 +288,7 @@
 
 def test_silence_lifts_no_lot() -> None:
     gateway, now = module(), 1e6
-    gateway.handle(now, api.Outage(now - 3_000, now))
+    gateway.handle(now, api.FleetOutage(now - 3_000, now))
     sent = 0
     for number in range(300):  # three seconds, and nobody answers
         sent += any(isinstance(a, api.Send) for a in ask(gateway, now + number * 10, number))
@@ -297,7 +297,7 @@
 
 def test_the_stage_ends_with_the_slow_start_and_on_discovery_s_word_of_a_warm_backend() -> None:
     gateway, now = module(), 1e6
-    gateway.handle(now, api.Outage(now - 3_000, now))
+    gateway.handle(now, api.FleetOutage(now - 3_000, now))
     assert gateway.warmth(now) == pytest.approx(0.2)
     entry = api.BackendEntry(0, "a", 0, now - 2_000, api.BackendState.READY)
     gateway.handle(now + 100, api.BackendsChanged(api.ListScope.CHANGES, (entry,)))
@@ -311,13 +311,13 @@
     gateway, now = module(), 1e6
     entry = api.BackendEntry(0, "a", 0, now - 2_000, api.BackendState.READY)
     gateway.handle(now, api.BackendsChanged(api.ListScope.CHANGES, (entry,)))
-    gateway.handle(now + 100, api.Outage(now - 3_000, now))
+    gateway.handle(now + 100, api.FleetOutage(now - 3_000, now))
     assert gateway.backends[0].warmth(now + 100) > gateway.backends[1].warmth(now + 100)
 
 
 def test_quota_d_work_goes_first_and_those_sent_away_come_back_spread_out() -> None:
     gateway, now = module(), 1e6
-    gateway.handle(now, api.Outage(now - 3_000, now))
+    gateway.handle(now, api.FleetOutage(now - 3_000, now))
     waits, beyond = [], []
     for number in range(1_000, 1_020):
         for action in ask(gateway, now, number):
@@ -327,7 +327,7 @@
     now += 200
     for number in range(200):
         for action in ask(gateway, now + number, number, "spare" if number % 2 else "free"):
-            if isinstance(action, api.Refuse) and action.reason == "return":
+            if isinstance(action, api.Reject) and action.reason == "return":
                 waits.append(action.retry_after)
         beyond.append(gateway.customers["cspare"].tokens < -1e-6 if number > 1 else False)
     assert not any(beyond)  # work beyond a quota is not let in for its worth
@@ -339,7 +339,7 @@
     for number in range(40):
         customer = gateway.customer(now, f"c{number}", "bas", 1 / 3)
         customer.tokens = number / 10
-    gateway.handle(now, api.Outage(now - 3_000, now))
+    gateway.handle(now, api.FleetOutage(now - 3_000, now))
     turns = sorted(gateway.customers.values(), key=lambda c: c.fresh_until)
     assert [c.tokens for c in turns] == sorted((c.tokens for c in turns), reverse=True)
     assert max(c.fresh_until for c in turns) <= now + 5_000
@@ -386,7 +386,7 @@
 
 def test_no_wait_for_one_that_never_answers_is_longer_than_its_bound(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(fleet_recovery, "SPENDING_S", 0.1)
-    kept: Any = Kept("h1")
+    kept: Any = RecordsPersisted("h1")
     kept.down_s, kept.restored = (lambda: math.nan), 0
     driver: Any = SimpleNamespace(settings=SimpleNamespace(gateways=2), withheld=0)
     one = FleetRecovery({}, kept, driver, kept, 0)
@@ -404,7 +404,7 @@
 
 
 def test_a_process_that_takes_over_answers_and_begins_no_recovery() -> None:
-    kept: Any = Kept("h1")
+    kept: Any = RecordsPersisted("h1")
     one = FleetRecovery({}, kept, cast(Any, SimpleNamespace(gateway=module(), withheld=0)), kept, 3)
     assert one.spent() is None and [word.value for word in one.words()] == ["2.0"]
     one.settle()
--- a/tests/gateway_fleet.py
+++ b/tests/gateway_fleet.py
@@ -123,13 +123,13 @@
                 self.later(0, lambda: self.end(index, request, number, -1, api.Outcome.CANCELLED, self.now))
             case api.SetTimer(delay, token):
                 self.later(delay, lambda: self.give(index, api.TimerFired(token)))
-            case api.Refuse(request) | api.Fail(request):
+            case api.Reject(request) | api.Fail(request):
                 self.answered.add((index, request))
                 self.ended[type(action).__name__] += 1
                 self.refused_after.append(self.now - self.came.pop((index, request)))
             case api.Count(name, amount):
                 self.count(index, name, amount)
-            case api.Remark(text):
+            case api.LogMessage(text):
                 self.remarks.append((self.now, index, text))
 
     def count(self, index: int, name: str, amount: float) -> None:
@@ -139,6 +139,7 @@
         self.totals[name] += amount  # type: ignore[assignment]
         reply = api.CounterReplied(name, api.Outcome.OK, self.totals[name])
         self.later(2.0, lambda: self.give(index, reply))
+        return None
 
     def meet(self, index: int, request: str, number: int, backend: int, sent_at: float) -> None:
         mode = self.mode.get(backend) or self.mode.get(self.zone_of[backend], "answers")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -15,7 +15,7 @@
     deadline=3000,
     importance=4,
     effect=api.Effect.KEYED,
-    group=api.Group.CELL,
+    group=api.RepeatScope.CELL,
     repeat_window=2000,
 )
 UNSAFE = api.RequestClass("wipe", aim=1000, deadline=3000, importance=2, effect=api.Effect.UNSAFE)
@@ -120,5 +120,5 @@
     return [a for a in actions if isinstance(a, api.Count)]
 
 
-def refusals(actions: Iterable[api.Action]) -> list[api.Refuse]:
-    return [a for a in actions if isinstance(a, api.Refuse)]
+def refusals(actions: Iterable[api.Action]) -> list[api.Reject]:
+    return [a for a in actions if isinstance(a, api.Reject)]
--- a/tests/linked_fleet.py
+++ b/tests/linked_fleet.py
@@ -76,6 +76,7 @@
                 again_ms += 2 * again_ms
             return self.later(again_ms, lambda: self.meet(index, request, number, backend, sent_at))
         super().meet(index, request, number, backend, sent_at)
+        return None
 
     def seconds(self) -> float:
         """The time of the line."""
--- a/tests/net/test_resp.py
+++ b/tests/net/test_resp.py
@@ -8,12 +8,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from switchline.net.resp import LONGEST_LINE, NOT_YET, Line, ProtocolError, Reader, Value
+from switchline.net.resp import LONGEST_LINE, NOT_YET, ProtocolError, RespParser, TextLine, Value
 
 
 def read(data: bytes, cuts: list[int] | None = None) -> list[Value]:
     """All values in data that comes in pieces."""
-    reader = Reader(most_items=5, most_bytes=1000)
+    reader = RespParser(most_items=5, most_bytes=1000)
     places = sorted({0, len(data), *(cut % (len(data) + 1) for cut in cuts or [])})
     values: list[Value] = []
     for start, end in zip(places, places[1:], strict=False):
@@ -27,14 +27,16 @@
 def encode(value: Value) -> bytes:
     if value is None:
         return b"$-1\r\n"
-    if isinstance(value, Line):
+    if isinstance(value, TextLine):
         return value.kind + value.text + b"\r\n"
     if isinstance(value, bytes):
         return b"$%d\r\n%b\r\n" % (len(value), value)
     return b"*%d\r\n" % len(value) + b"".join(map(encode, value))
 
 
-ITEMS = st.none() | st.binary(max_size=100) | st.just(Line(b"-", b"BUSY 7")) | st.just(Line(b"+", b"OK"))
+ITEMS = (
+    st.none() | st.binary(max_size=100) | st.just(TextLine(b"-", b"BUSY 7")) | st.just(TextLine(b"+", b"OK"))
+)
 VALUES = ITEMS | st.lists(ITEMS, max_size=5)
 
 
@@ -44,7 +46,7 @@
 
 
 def test_a_value_is_not_given_before_its_last_byte() -> None:
-    reader = Reader(5, 1000)
+    reader = RespParser(5, 1000)
     for byte in encode([b"PING", b""])[:-1]:
         reader.feed(bytes([byte]))
         assert reader.gets() is NOT_YET and reader.has_data()
@@ -74,14 +76,14 @@
     ],
 )
 def test_what_is_not_taken_is_told_at_once(data: bytes) -> None:
-    reader = Reader(most_items=5, most_bytes=1000)
+    reader = RespParser(most_items=5, most_bytes=1000)
     reader.feed(data)
     with pytest.raises(ProtocolError):
         reader.gets()
 
 
 def test_nothing_is_set_aside_for_what_has_not_come() -> None:
-    reader = Reader(most_items=1_000_000, most_bytes=1_000_000_000)
+    reader = RespParser(most_items=1_000_000, most_bytes=1_000_000_000)
     reader.feed(b"*1000000\r\n$900000000\r\n")
     tracemalloc.start()
     try:
--- a/tests/net/test_streams.py
+++ b/tests/net/test_streams.py
@@ -9,7 +9,7 @@
 from test_operators import stats
 
 from switchline.clients import server as clients
-from switchline.net.streams import LEAST, LONGEST, Body, Passing, Room
+from switchline.net.streams import LEAST, LONGEST, BufferBudget, StreamedRequestBody, StreamedResponse
 from testbed.network.sockets import Peer, Reply, encode, until
 from testbed.stand_ins.backends import Backend
 from testbed.stand_ins.single_gateway import World, in_loop, request, running
@@ -61,14 +61,14 @@
 def test_a_long_value_comes_through_both_ways_however_it_is_cut(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    taken: list[Room] = []
-    begin = Body.__init__
+    taken: list[BufferBudget] = []
+    begin = StreamedRequestBody.__init__
 
-    def note(body: Body, room: Room, length: int) -> None:
+    def note(body: StreamedRequestBody, room: BufferBudget, length: int) -> None:
         taken.append(room)
         begin(body, room, length)
 
-    monkeypatch.setattr(Body, "__init__", note)
+    monkeypatch.setattr(StreamedRequestBody, "__init__", note)
 
     async def scenario() -> None:
         async def script(command: list[bytes]) -> Reply:
@@ -273,16 +273,16 @@
                 await asyncio.Event().wait()
 
         peak, bodies = 0, set()
-        feed = Body.feed
+        feed = StreamedRequestBody.feed
 
-        def watch(body: Body, data: bytes) -> None:
+        def watch(body: StreamedRequestBody, data: bytes) -> None:
             nonlocal peak
             feed(body, data)
             bodies.add(body)
             peak = max(peak, len(body.buffer))
 
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(Body, "feed", watch)
+            patch.setattr(StreamedRequestBody, "feed", watch)
             async with running(World(Deaf())) as world:
                 peers = [await world.client() for _ in range(8)]
                 for number, peer in enumerate(peers):
@@ -295,10 +295,10 @@
 
 
 def test_room_is_divided_among_the_values_under_way() -> None:
-    room = Room(32 * 1024 * 1024)
-    bodies = [Body(room, LONGEST) for _ in range(100)]
+    room = BufferBudget(32 * 1024 * 1024)
+    bodies = [StreamedRequestBody(room, LONGEST) for _ in range(100)]
     assert room.window * 100 <= room.budget
-    values = [Passing(room, LONGEST, lambda: None) for _ in range(1_000)]
+    values = [StreamedResponse(room, LONGEST, lambda: None) for _ in range(1_000)]
     assert room.window == LEAST
     for value in [*bodies, *values]:
         value.drop()
@@ -307,8 +307,8 @@
 
 
 def test_a_body_lets_go_of_what_was_sent_and_says_so() -> None:
-    room = Room(64 * 1024 * 1024)
-    body = Body(room, LONGEST)
+    room = BufferBudget(64 * 1024 * 1024)
+    body = StreamedRequestBody(room, LONGEST)
     body.begin(lambda: None)
     body.feed(LONG[: room.window])
     assert body.full and body.pull() == LONG[: room.window] and body.repeatable
--- a/tests/operators/test_overrides.py
+++ b/tests/operators/test_overrides.py
@@ -13,7 +13,7 @@
 from test_operators import call, stats
 
 from switchline.clock import Timers
-from switchline.operators.overrides import Bans, private_file
+from switchline.operators.overrides import OperatorOverrides, private_file
 from switchline.policy import interface as api
 from testbed.network.sockets import until
 from testbed.stand_ins.agents import host
@@ -74,7 +74,9 @@
         timers = Timers(asyncio.get_running_loop())
         heard: list[tuple[str, bool]] = []
         one, other = (
-            Bans(tmp_path / "bans.json", timers, lambda host, out, since: heard.append((host, out)))
+            OperatorOverrides(
+                tmp_path / "bans.json", timers, lambda host, out, since: heard.append((host, out))
+            )
             for _ in range(2)
         )
         one.set("h0", True)
@@ -83,7 +85,9 @@
         other.set("h0", False)
         await until(lambda: len(heard) == 6)
         assert one.out.keys() == other.out.keys() == {"h1"}
-        third = Bans(tmp_path / "bans.json", timers, lambda host, out, since: heard.append((host, out)))
+        third = OperatorOverrides(
+            tmp_path / "bans.json", timers, lambda host, out, since: heard.append((host, out))
+        )
         assert heard[6:] == [("h1", True), ("h0", False)] and third.out.keys() == {"h1"}
 
     in_loop(scenario)
@@ -138,14 +142,14 @@
 
 def test_the_module_sends_nothing_to_a_backend_that_is_out_and_starts_it_slowly_after() -> None:
     world = Decisions([entry(1), entry(2)], plans=(api.Plan("basic"),))
-    world.give(api.BackendHeld(1, True, world.now))
+    world.give(api.BackendOverridden(1, True, world.now))
     world.give(backends(entry(1, api.BackendState.GONE), scope=api.ListScope.CHANGES))
     world.give(backends(entry(1), entry(2)))
     for _ in range(50):
         for send in sends(world.ask()):
             assert send.backend == 2
             world.end(send)
-    world.give(api.BackendHeld(1, False, world.now))
+    world.give(api.BackendOverridden(1, False, world.now))
     got: list[float] = []
     back_at = world.now
     for _ in range(100):
@@ -160,8 +164,8 @@
 def test_a_backend_put_back_is_used_soon_even_with_little_to_send() -> None:
     for seed in range(20):
         world = Decisions([entry(n) for n in range(10)], seed=seed, plans=(api.Plan("basic"),))
-        world.give(api.BackendHeld(1, True, world.now))
-        world.give(api.BackendHeld(1, False, world.now))
+        world.give(api.BackendOverridden(1, True, world.now))
+        world.give(api.BackendOverridden(1, False, world.now))
         used = False
         for _ in range(10):
             world.pass_time(300)
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -158,7 +158,7 @@
     assert lone.end(first, api.Outcome.FAILED) == [api.Fail(first.request)]
     late = world(entry(1, cell=0), entry(3, cell=0))
     late.gateway.classes["order"] = api.RequestClass(
-        "order", 5000, 9000, 1, api.Effect.KEYED, api.Group.CELL, 2000
+        "order", 5000, 9000, 1, api.Effect.KEYED, api.RepeatScope.CELL, 2000
     )
     first = one(late.ask("order", life=9000))
     late.now += 1990
@@ -405,8 +405,8 @@
     w.give(api.RequestLapsed("nobody"))
     w.give(api.TimerFired("unwanted"))
     w.give(api.CounterReplied("nothing", api.Outcome.OK, 1))
-    w.give(api.PeerSpoke(1, b"\xff\x00"))
-    w.give(api.AnswerBegan("nobody", 0, 1))
+    w.give(api.GossipReceived(1, b"\xff\x00"))
+    w.give(api.AnswerStarted("nobody", 0, 1))
     send = one(w.ask("no such class", "no such plan"))
     w.give(api.RequestLapsed(send.request))
     assert w.end(send, api.Outcome.TIMED_OUT) == []
--- a/tests/policy/test_durable_state.py
+++ b/tests/policy/test_durable_state.py
@@ -24,7 +24,7 @@
         self.changes = {"may_count": False, **changes}
         self.seed = int(str(self.changes.pop("seed", 0)))
         self.rows: dict[Told, tuple[list[object], float]] = {}
-        self.waiting: list[api.Keep] = []
+        self.waiting: list[api.PersistRecord] = []
         self.alive, self.starts = 0.0, list[float]()
         self.real, self.offset = 0.0, 1.7e12
         self.spent: list[tuple[float, float]] = []
@@ -38,11 +38,11 @@
         self.waiting.clear()
         if self.rows:
             restarts = (*self.starts[1:], self.world.now)
-            self.give(api.Restarted(self.alive, restarts[-8:]))
+            self.give(api.StateFileFound(self.alive, restarts[-8:]))
             for kind in ("customer", "backend", "gateway"):
                 for said, at in [row for (k, _), row in self.rows.items() if k == kind]:
-                    self.give(api.Recovered(json.loads(json.dumps(said)), at))
-        self.give(api.KeepingTurned(True))
+                    self.give(api.RecordRestored(json.loads(json.dumps(said)), at))
+        self.give(api.PersistenceChanged(True))
         self.starts.append(self.world.now)
         self.rows.clear()
         self.commit()
@@ -51,7 +51,7 @@
         return self.note(self.world.give(event))
 
     def note(self, actions: list[api.Action]) -> list[api.Action]:
-        self.waiting += [copy.deepcopy(a) for a in actions if isinstance(a, api.Keep)]
+        self.waiting += [copy.deepcopy(a) for a in actions if isinstance(a, api.PersistRecord)]
         return actions
 
     def commit(self) -> None:
@@ -65,7 +65,7 @@
         if self.waiting:
             last = self.waiting[-1].serial
             self.waiting = []
-            self.give(api.Kept(last))
+            self.give(api.RecordsPersisted(last))
 
     def ask(self, **given: object) -> bool:
         made = sends(self.note(self.world.ask(**given)))  # type: ignore[arg-type]
@@ -218,7 +218,7 @@
         while disk.ask():
             disk.commit()
         disk.crash(down, jump)
-        assert any(isinstance(a, api.Remark) for _, a in disk.world.log) is not bool(most)
+        assert any(isinstance(a, api.LogMessage) for _, a in disk.world.log) is not bool(most)
         let_in = 0
         while disk.ask():
             disk.commit()
@@ -235,7 +235,7 @@
             assert disk.ask(plan="fast")
             disk.commit()
         if planned:
-            disk.give(api.KeepingTurned(False, last=True))
+            disk.give(api.PersistenceChanged(False, last=True))
             disk.commit()
         disk.crash(100)
         left.append(disk.world.gateway.customers["c"].tokens)
@@ -333,9 +333,9 @@
 )
 def test_a_row_out_of_range_is_left_out(said: list[object]) -> None:
     world = World()
-    world.give(api.Restarted(world.now, (world.now,)))
+    world.give(api.StateFileFound(world.now, (world.now,)))
     with pytest.raises((ValueError, TypeError)):
-        world.give(api.Recovered(said, world.now))
+        world.give(api.RecordRestored(said, world.now))
     assert not world.gateway.customers
 
 
@@ -344,7 +344,7 @@
     for _ in range(20):
         world.ask()
         world.pass_time(1_000)
-    assert not any(isinstance(a, api.Keep) for _, a in world.log)
+    assert not any(isinstance(a, api.PersistRecord) for _, a in world.log)
     assert not world.gateway.durable_state.reserves
 
 
@@ -353,7 +353,7 @@
     disk.ask()
     disk.commit()
     ahead = disk.world.gateway.durable_state.reserves["c"].ahead
-    disk.give(api.BesideSaid(["spent", "c", "basic", 0.5, 0, 1, 1, 1, 0]))
+    disk.give(api.PeerProcessMessage(["spent", "c", "basic", 0.5, 0, 1, 1, 1, 0]))
     assert disk.world.gateway.durable_state.reserves["c"].ahead == ahead - 1
 
 
--- a/tests/policy/test_leases.py
+++ b/tests/policy/test_leases.py
@@ -115,7 +115,7 @@
             answer(world, call, call.amount)
         customer = world.gateway.customers["c"]
         customer.part, customer.tokens, said = 1.0, 8.0, customer.unsaid
-        world.give(api.Lagging(True))
+        world.give(api.StalenessChanged(True))
         taken = 0.0
         for _ in range(200):  # twenty seconds at ten a second
             actions = world.ask(spread=spread)
@@ -125,7 +125,7 @@
                 world.end(send)
             world.pass_time(100)
         assert taken <= 8 * even + 20 * 2 * even + 1 and customer.unsaid == said
-        world.give(api.Lagging(False))
+        world.give(api.StalenessChanged(False))
         world.pass_time(1000)
         assert counts(world.ask(spread=spread))  # and no burst of what was asked meanwhile
         assert sum(call.amount for call in counts(world.ask(spread=spread))) <= 2
--- a/tests/policy/test_rules_hold.py
+++ b/tests/policy/test_rules_hold.py
@@ -58,7 +58,7 @@
                     self.ceiling_at = now
                     assert self.ceiling >= -1e-6, "more than this gateway's part of the ceiling"
                 tries.append((action.backend, now, None))
-            elif isinstance(action, api.Refuse | api.Fail):
+            elif isinstance(action, api.Reject | api.Fail):
                 assert action.request not in self.final
                 name, expires = self.asked[action.request]
                 assert now <= expires + 8
--- a/tests/policy/test_zones.py
+++ b/tests/policy/test_zones.py
@@ -347,7 +347,7 @@
             fleet.tell(fleet.of(zone), state=api.BackendState.DRAINING)
         elif what in ("hold", "free"):
             for index in range(2):
-                fleet.give(index, api.ZoneHeld(zone, what == "hold", fleet.now))
+                fleet.give(index, api.ZoneOverridden(zone, what == "hold", fleet.now))
         since = fleet.now
         fleet.run(400, gap=30, kinds=KINDS)
         held = fleet.gateways[0].zones.held
@@ -400,14 +400,14 @@
     fleet = Fleet(ZONES, 4, own=spread)
     fleet.run(2000, gap=50)
     for index in range(4):
-        fleet.give(index, api.ZoneHeld("b", True, fleet.now))
-        fleet.give(index, api.ZoneHeld("b", True, fleet.now))  # calls may be repeated
+        fleet.give(index, api.ZoneOverridden("b", True, fleet.now))
+        fleet.give(index, api.ZoneOverridden("b", True, fleet.now))  # calls may be repeated
     since = fleet.now
     fleet.run(3000, gap=50)
     assert not fleet.to("b", since) and states(fleet, "b") == {State.HELD: 4}
     back = fleet.now
     for index in range(4):
-        fleet.give(index, api.ZoneHeld("b", False, fleet.now))
+        fleet.give(index, api.ZoneOverridden("b", False, fleet.now))
     fleet.run(20_000, gap=50)
     first, last = fleet.share("b", back, back + 2000), fleet.share("b", fleet.now - 3000)
     assert 0 < first < 0.5 * last and last > 0.2
@@ -417,7 +417,7 @@
     fleet = Fleet(ZONES, 1, own=spread)
     fleet.run(500, gap=50)
     for zone in ZONES:
-        fleet.give(0, api.ZoneHeld(zone, True, fleet.now))
+        fleet.give(0, api.ZoneOverridden(zone, True, fleet.now))
     since, before = fleet.now, fleet.ended["Refuse"]
     fleet.run(500, gap=50)
     assert not [at for at, *_ in fleet.sent if at > since] and fleet.ended["Refuse"] > before
--- a/tests/service/test_driver.py
+++ b/tests/service/test_driver.py
@@ -14,8 +14,8 @@
 from switchline.clients.server import ClientConnection, ClientServer, Slot
 from switchline.clock import Timers
 from switchline.net.descriptors import Budget
-from switchline.net.streams import Room
-from switchline.operators.metrics import Figures
+from switchline.net.streams import BufferBudget
+from switchline.operators.metrics import Metrics
 from switchline.policy import interface as api
 from switchline.service.driver import FAILED, REPEAT_MARGIN_MS, Driver, Request
 from testbed.network.sockets import LOCAL, until
@@ -45,8 +45,8 @@
         loop = asyncio.get_running_loop()
         timers = Timers(loop)
         given = settings(max_attempts=2, plans=(api.Plan("free"),))
-        self.figures = Figures([kind.name for kind in given.classes])
-        room, budget = Room(2**26), Budget(256)
+        self.figures = Metrics([kind.name for kind in given.classes])
+        room, budget = BufferBudget(2**26), Budget(256)
         self.backends = Backends(loop, timers, 250, 15_000, budget, self.figures, room)
         self.driver = Driver(given, 1, timers, self.backends, None, max_open, self.figures, room, print)
         self.module = Module()
@@ -66,7 +66,7 @@
         scene = Scene()
         scene.module.answers[api.RequestArrived] = ValueError("what")
         assert scene.ask().reply == FAILED
-        scene.module.answers[api.RequestArrived] = [api.Refuse("r2", 30.5)]
+        scene.module.answers[api.RequestArrived] = [api.Reject("r2", 30.5)]
         assert scene.ask(b"r2").reply == b"-BUSY 31\r\n"
 
     in_loop(scenario)
@@ -91,7 +91,7 @@
     async def scenario() -> None:
         scene = Scene()
         send = api.Send("r1", 7)
-        scene.module.answers[api.RequestArrived] = [send, send, send, api.Refuse("r1"), send]
+        scene.module.answers[api.RequestArrived] = [send, send, send, api.Reject("r1"), send]
         scene.ask()
         ended = scene.module.of(api.AttemptEnded)
         outcomes = [(e.attempt, e.outcome, e.finished) for e in ended if isinstance(e, api.AttemptEnded)]
@@ -112,7 +112,7 @@
         port = server.sockets[0].getsockname()[1]
         scene.backends.update(7, (LOCAL, port), api.BackendState.READY)
         scene.module.answers[api.RequestArrived] = [api.Send("r1", 7, timeout=20.0)]
-        scene.module.answers[api.AttemptEnded] = [api.Refuse("r1")]
+        scene.module.answers[api.AttemptEnded] = [api.Reject("r1")]
         slot = scene.ask()
         await until(lambda: slot.answered)
         (ended,) = scene.module.of(api.AttemptEnded)
@@ -147,7 +147,7 @@
 def test_a_report_tells_what_became_of_the_requests(caplog: pytest.LogCaptureFixture) -> None:
     async def scenario() -> None:
         scene = Scene()
-        scene.module.answers[api.RequestArrived] = [api.Refuse("r1", 30.0, "quota")]
+        scene.module.answers[api.RequestArrived] = [api.Reject("r1", 30.0, "quota")]
         scene.driver.states = lambda: {"clients.idle": 2, "clients.young": 0}
         scene.ask()
         with caplog.at_level("INFO"):
--- a/tests/service/test_process.py
+++ b/tests/service/test_process.py
@@ -22,8 +22,8 @@
 from switchline.config import ConfigError, parse_config
 from switchline.net.accept import Acceptor, listening
 from switchline.net.descriptors import Budget
-from switchline.net.streams import Room
-from switchline.operators.metrics import Figures
+from switchline.net.streams import BufferBudget
+from switchline.operators.metrics import Metrics
 from switchline.service.service import CLOSING_S, Service
 from testbed.network.addresses import claimed_port
 from testbed.network.sockets import LOCAL, Peer, Reply, encode, until
@@ -278,7 +278,7 @@
 
 def test_the_end_waits_for_a_connection_that_is_being_opened() -> None:
     async def scenario() -> None:
-        server = ClientServer(None, Budget(256), Room(2**26), Figures([]))  # type: ignore[arg-type]
+        server = ClientServer(None, Budget(256), BufferBudget(2**26), Metrics([]))  # type: ignore[arg-type]
         port = server.listen(listening((LOCAL, 0), 16))
         sock = socket.create_connection((LOCAL, port))
         server.stop_accepting()
--- a/tests/service/test_wall_clock.py
+++ b/tests/service/test_wall_clock.py
@@ -57,8 +57,8 @@
 
 def test_what_was_put_back_by_a_clock_that_is_ahead_warms_up_from_now_on() -> None:
     world = World(now=2 * HOUR_MS)
-    world.give(api.BackendHeld(1, True, world.now))
-    world.give(api.BackendHeld(1, False, world.now + HOUR_MS))
+    world.give(api.BackendOverridden(1, True, world.now))
+    world.give(api.BackendOverridden(1, False, world.now + HOUR_MS))
     backend = world.gateway.backends[1]
     assert backend.warmth(world.now) == pytest.approx(RULES.start_capacity)
     assert backend.warmth(world.now + RULES.warm_within) == pytest.approx(1.0)
--- a/tests/state/test_recovery.py
+++ b/tests/state/test_recovery.py
@@ -43,7 +43,7 @@
         yield Path(made) / "s"
 
 
-class Kept(World):
+class RecordsPersisted(World):
     """A world whose gateway has a folder."""
 
     def __init__(self, folder: Path, *backends: Backend, **limits: Any) -> None:
@@ -77,11 +77,11 @@
 
 def test_a_planned_end_keeps_what_is_left(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with running(Kept(tmp_path / "s", Backend())) as world:
+        async with running(RecordsPersisted(tmp_path / "s", Backend())) as world:
             peer = await world.client()
             assert await world.ask(peer, plan=b"basic", name=b"wipe") == b"value"
             await committed(world)
-        async with running(Kept(tmp_path / "s", Backend())) as world:
+        async with running(RecordsPersisted(tmp_path / "s", Backend())) as world:
             assert await spend(world) == 1  # after a kill it would count as spent
 
     in_loop(scenario)
@@ -94,19 +94,19 @@
 
 def test_what_was_spent_stays_spent_and_what_is_out_stays_out(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with running(Kept(tmp_path / "s", Backend(), Backend())) as world:
+        async with running(RecordsPersisted(tmp_path / "s", Backend(), Backend())) as world:
             assert await spend(world) >= 2
             assert (await call(world, "POST", DOWN, b'{"id": "h1"}'))[0] == 200
             assert (await stats(world))["state.on"] == 1
         lose_tmp(tmp_path)
-        async with running(Kept(tmp_path / "s", Backend(), Backend())) as world:
+        async with running(RecordsPersisted(tmp_path / "s", Backend(), Backend())) as world:
             figures = await stats(world)
             assert figures["state.restored"] > 3 and figures["state.dropped"] == 0
             assert await spend(world) == 0
             assert figures["ejected"] == 1
             assert (await call(world, "POST", UP, b'{"id": "h1"}'))[0] == 200
         lose_tmp(tmp_path)
-        async with running(Kept(tmp_path / "s", Backend(), Backend())) as world:
+        async with running(RecordsPersisted(tmp_path / "s", Backend(), Backend())) as world:
             assert (await stats(world))["ejected"] == 0
 
     in_loop(scenario)
@@ -129,14 +129,14 @@
 def test_the_last_list_is_known_if_it_is_newer(tmp_path: Path) -> None:
     async def scenario() -> None:
         first, second = Backend(), Backend()
-        world = Kept(tmp_path / "s", first, second)
+        world = RecordsPersisted(tmp_path / "s", first, second)
         async with running(world):
             world.discovery.change(50, host("new", second.port), {**host("h0", 1), "health": "removed"})
             while (await stats(world))["discovered"] != 2:
                 await asyncio.sleep(0.01)
             asked = world.discovery.requests
             assert asked[-1].endswith("index=41")
-        again = Kept(tmp_path / "s", Backend(), second)
+        again = RecordsPersisted(tmp_path / "s", Backend(), second)
         async with running(again):
             assert again.discovery.requests[0].endswith("index=50")
             assert (await call(again, "POST", DOWN, b'{"id": "new"}'))[0] == 200
@@ -147,7 +147,7 @@
 
 def test_its_descriptors_are_in_the_budget(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with running(Kept(tmp_path / "s", Backend())) as world:
+        async with running(RecordsPersisted(tmp_path / "s", Backend())) as world:
             await committed(world)
             links = [os.path.realpath(link) for link in Path("/proc/self/fd").iterdir()]
             assert 0 < sum(link.startswith(str(tmp_path / "s")) for link in links) <= OF_STATE
@@ -160,7 +160,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def play(*first: str) -> None:
-        world = Kept(tmp_path / "s", Backend(), Backend())
+        world = RecordsPersisted(tmp_path / "s", Backend(), Backend())
         async with running(world):
             assert [asked.rpartition("=")[2] for asked in world.discovery.requests[:1]] == list(first)
             world.discovery.change(50, {**host("h0", 1), "health": "removed"})
@@ -199,7 +199,7 @@
 def test_a_folder_that_can_t_be_used_refuses_no_start(tmp_path: Path) -> None:
     async def scenario() -> None:
         (tmp_path / "s").write_text("what")
-        async with running(Kept(tmp_path / "s", Backend())) as world:
+        async with running(RecordsPersisted(tmp_path / "s", Backend())) as world:
             assert await spend(world) >= 2
             figures = await stats(world)
             assert figures["state.on"] == 0 and figures["state.failures"] >= 1
@@ -213,10 +213,10 @@
         folder = tmp_path / "s"
         folder.mkdir()
         (folder / FILE).write_bytes(b"what" * 5_000)
-        async with running(Kept(folder, Backend())) as world:
+        async with running(RecordsPersisted(folder, Backend())) as world:
             assert await spend(world) >= 2
         assert (folder / "aside-1.db").exists()
-        other = Kept(folder, Backend())
+        other = RecordsPersisted(folder, Backend())
         other.name = "n7"
         async with running(other) as world:
             assert await spend(world) >= 2
@@ -227,8 +227,8 @@
 
 def test_a_second_gateway_of_a_folder_serves_without_it(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with running(Kept(tmp_path / "s", Backend())) as first:
-            second = Kept(tmp_path / "s", Backend())
+        async with running(RecordsPersisted(tmp_path / "s", Backend())) as first:
+            second = RecordsPersisted(tmp_path / "s", Backend())
             second.name = "n7"
             async with running(second):
                 assert (await stats(second))["state.on"] == 0
@@ -245,7 +245,7 @@
     monkeypatch.setattr(recovery, "AGAIN_S", 0.2)
 
     async def scenario() -> None:
-        async with running(Kept(tmp_path / "s", Backend())) as world:
+        async with running(RecordsPersisted(tmp_path / "s", Backend())) as world:
             was = (await stats(world))["state.commits"]
             shutil.rmtree(tmp_path / "s")
             while not (figures := await stats(world))["state.failures"]:
@@ -258,7 +258,7 @@
             while (await stats(world))["state.commits"] <= was + 1:
                 await asyncio.sleep(0.01)
             assert await spend(world) == 1
-        async with running(Kept(tmp_path / "s", Backend())) as world:
+        async with running(RecordsPersisted(tmp_path / "s", Backend())) as world:
             assert await spend(world) == 0
 
     in_loop(scenario)
@@ -276,7 +276,7 @@
     monkeypatch.setattr(Files, "commit", commit)
 
     async def scenario() -> None:
-        async with running(Kept(tmp_path / "s", Backend(), Backend())) as world:
+        async with running(RecordsPersisted(tmp_path / "s", Backend(), Backend())) as world:
             for path in (DOWN, UP):
                 assert (await call(world, "POST", path, b'{"id": "h0"}'))[0] == 200
                 assert (await call(world, "POST", path, b'{"id": "h0"}'))[0] == 200
@@ -311,12 +311,12 @@
     monkeypatch.setattr(Files, "commit", commit)
 
     async def scenario() -> None:
-        async with running(Kept(tmp_path / "s", Backend(), Backend())) as world:
+        async with running(RecordsPersisted(tmp_path / "s", Backend(), Backend())) as world:
             assert (await call(world, "POST", DOWN, b'{"id": "h0"}'))[0] == 503
             assert (await stats(world))["ejected"] == 0
             go_on.set()
         lose_tmp(tmp_path)
-        async with running(Kept(tmp_path / "s", Backend(), Backend())) as world:
+        async with running(RecordsPersisted(tmp_path / "s", Backend(), Backend())) as world:
             assert (await stats(world))["ejected"] == 0  # what was promised to nobody is taken back
 
     in_loop(scenario)
@@ -324,7 +324,7 @@
 
 def test_killed_again_and_again_it_gives_a_burst_once(tmp_path: Path, folder: Path) -> None:
     async def scenario() -> None:
-        world = Kept(folder, Backend())
+        world = RecordsPersisted(folder, Backend())
         for server in (*world.backends, world.counter, world.discovery):
             await server.start()
         world.operator, port = claimed_port(), claimed_port()
--- a/tests/state/test_store.py
+++ b/tests/state/test_store.py
@@ -268,7 +268,7 @@
 # ---- the thread ----
 
 
-class Kept:
+class RecordsPersisted:
     """A store, and what it told."""
 
     def __init__(self, folder: Path) -> None:
@@ -287,9 +287,9 @@
         assert not self.store.thread.is_alive()
 
 
-def with_store(folder: Path, scenario: Callable[[Kept], Awaitable[None]]) -> None:
+def with_store(folder: Path, scenario: Callable[[RecordsPersisted], Awaitable[None]]) -> None:
     async def run() -> None:
-        kept = Kept(folder)
+        kept = RecordsPersisted(folder)
         try:
             await kept.begin()
             await scenario(kept)
@@ -300,7 +300,7 @@
 
 
 def test_rows_are_told_once_they_are_on_disk_and_the_last_of_a_name_counts(tmp_path: Path) -> None:
-    async def scenario(kept: Kept) -> None:
+    async def scenario(kept: RecordsPersisted) -> None:
         for number in range(1, 101):
             kept.store.put("customer", "c", [number], number)
         assert await kept.store.committed(kept.store.put("host", "h", {"x": 1}))
@@ -316,7 +316,7 @@
     life(tmp_path, MANY)
 
     async def scenario() -> None:
-        kept = Kept(tmp_path)
+        kept = RecordsPersisted(tmp_path)
         assert said(await kept.store.found) == MANY
         kept.store.put("customer", "c", [1], 1)
         await kept.end()
@@ -349,7 +349,7 @@
 ) -> None:
     connect_by(monkeypatch)
 
-    async def scenario(kept: Kept) -> None:
+    async def scenario(kept: RecordsPersisted) -> None:
         assert await kept.store.committed(kept.store.put("customer", "c", [1], 1))
         Failing.failing = error
         assert not await kept.store.committed(kept.store.put("customer", "c", [2], 2))
@@ -365,7 +365,7 @@
 
 
 def test_a_full_disk_turns_it_off(tmp_path: Path) -> None:
-    async def scenario(kept: Kept) -> None:
+    async def scenario(kept: RecordsPersisted) -> None:
         assert await kept.store.committed(kept.store.put("customer", "c", [1], 1))
         assert kept.store.files.database is not None
         kept.store.files.database.execute("PRAGMA max_page_count=10")
@@ -378,7 +378,7 @@
 
 
 def test_a_folder_that_goes_turns_it_off(tmp_path: Path) -> None:
-    async def scenario(kept: Kept) -> None:
+    async def scenario(kept: RecordsPersisted) -> None:
         assert await kept.store.committed(kept.store.put("customer", "c", [1], 1))
         shutil.rmtree(tmp_path / "state")
         assert not await kept.store.committed(kept.store.put("customer", "c", [2], 2))
@@ -397,7 +397,7 @@
         place.write_text("what")
 
     async def scenario() -> None:
-        kept = Kept(place / "more" if kind == "below a file" else place)
+        kept = RecordsPersisted(place / "more" if kind == "below a file" else place)
         with pytest.raises(asyncio.CancelledError):
             await kept.store.found
         assert len(kept.faults) == 1
@@ -421,7 +421,7 @@
 
     monkeypatch.setattr(Files, "commit", slow)
 
-    async def scenario(kept: Kept) -> None:
+    async def scenario(kept: RecordsPersisted) -> None:
         kept.store.put("customer", "c", [1], 1)
         await until(lambda: kept.faults)
         assert kept.faults == ["the disk lags"] and not kept.numbers
@@ -434,7 +434,7 @@
 
 
 def test_a_row_that_can_t_be_kept_is_left_out_and_the_rest_is_kept(tmp_path: Path) -> None:
-    async def scenario(kept: Kept) -> None:
+    async def scenario(kept: RecordsPersisted) -> None:
         kept.store.put("host", "long", {"x": "y" * module.LONGEST_ROW})
         kept.store.put("host", "h" * module.LONGEST_NAME + "h", 1)
         kept.store.put("host", "\ud800", 1)  # JSON may hold such a name
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,3 +1,5 @@
+"""Bounds on the tree itself: lengths, the deploy file's list of decisions, the example of the README."""
+
 from __future__ import annotations
 
 import re
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -1,3 +1,5 @@
+"""The adapter to the simulator's wire: events in, actions out, bad input refused."""
+
 from __future__ import annotations
 
 import io
--- a/tests/upgrade/test_upgrade.py
+++ b/tests/upgrade/test_upgrade.py
@@ -215,16 +215,16 @@
 
 def join(old: Decisions, new: Decisions) -> None:
     """Let the new gateway take over; `pass_on` carries what they tell each other."""
-    old.give(api.BesideCame())
+    old.give(api.PeerProcessJoined())
     pass_on(old, new)
 
 
 def pass_on(one: Decisions, other: Decisions) -> None:
     for source, target in ((one, other), (other, one)):
-        told = [a for _, a in source.log if isinstance(a, api.Tell)]
+        told = [a for _, a in source.log if isinstance(a, api.Replicate)]
         source.log.clear()
         for tell in told:
-            target.give(api.BesideSaid(json.loads(json.dumps(tell.said))))
+            target.give(api.PeerProcessMessage(json.loads(json.dumps(tell.said))))
 
 
 def test_two_processes_share_buckets_and_ceilings() -> None:
@@ -257,8 +257,8 @@
     assert not counts(asked) and (sends(asked) or refusals(asked))
     pass_on(old, new)
     assert new.gateway.customers["c"].unsaid == 5
-    new.give(api.BesideLeft())
-    old.give(api.BesideLeft())
+    new.give(api.PeerProcessLeft())
+    old.give(api.PeerProcessLeft())
     old.pass_time(1_000)
     assert counts(old.ask())
 
@@ -275,7 +275,7 @@
         ["what"],
     ):
         with pytest.raises((ValueError, TypeError)):
-            world.give(api.BesideSaid(said))
+            world.give(api.PeerProcessMessage(said))
     assert list(world.gateway.customers) == ["c"]
 
 
