--- a/switchline/backends/pool.py
+++ b/switchline/backends/pool.py
@@ -22,8 +22,23 @@
 from switchline.net.accept import close_socket
 from switchline.net.descriptors import Budget, Part
 from switchline.net.idle import AT_ONCE_MS, IdleTimes
-from switchline.net.resp import END, NOT_YET, NotWhole, Opened, ProtocolError, RespParser, TextLine, Value
-from switchline.net.streams import LONGEST, WHOLE, BufferBudget, StreamedRequestBody, StreamedResponse
+from switchline.net.resp import (
+    CRLF,
+    INCOMPLETE,
+    Incomplete,
+    ProtocolError,
+    RespParser,
+    SimpleValue,
+    StreamedStringStarted,
+    Value,
+)
+from switchline.net.streams import (
+    MAX_VALUE_BYTES,
+    STREAMING_THRESHOLD_BYTES,
+    BufferBudget,
+    StreamedRequestBody,
+    StreamedResponse,
+)
 from switchline.operators.metrics import Metrics
 from switchline.policy.interface import BackendState, Outcome
 
@@ -88,7 +103,7 @@
     def __init__(self, pool: Backends, host: Host) -> None:
         self.pool, self.host, self.address = pool, host, host.address
         self.attempt: Attempt | None = None
-        self.reader = RespParser(MOST_ITEMS, LARGEST_REPLY, WHOLE, LONGEST)
+        self.reader = RespParser(MOST_ITEMS, LARGEST_REPLY, STREAMING_THRESHOLD_BYTES, MAX_VALUE_BYTES)
         self.unsent = memoryview(b"")
         self.up = self.closed = self.writing = self.flushing = self.paused = False
         self.sent = self.ending = False  # all has left; the end of a long value is on its way
@@ -206,8 +221,8 @@
             self.moved_at = now_ms()
             if data := attempt.body.pull():
                 self.unsent = memoryview(data)
-            elif attempt.body.whole:
-                self.unsent, self.ending = memoryview(END), True
+            elif attempt.body.complete:
+                self.unsent, self.ending = memoryview(CRLF), True
             return bool(self.unsent)
         self.sent, self.sent_at = True, now_ms()
         self.pool.figures.forwarded()
@@ -235,11 +250,11 @@
         """Take what has been read, as far as whoever gets it keeps up."""
         try:
             reply = self._pass_on()
-            more = self.reader.has_data()
+            more = self.reader.has_partial_value()
         except ProtocolError as error:
             log.warning("backend broke the protocol: %s: %s", self.host.address, error)
             return self.end(self.broken())
-        if reply is NOT_YET or self.closed:
+        if reply is INCOMPLETE or self.closed:
             return
         self.value = None
         attempt, self.attempt = self.attempt, None
@@ -252,11 +267,11 @@
             attempt.cost = read_cost(reply)
             attempt.end(*read_reply(reply))
 
-    def _pass_on(self) -> Value | Literal[NotWhole.YET]:
+    def _pass_on(self) -> Value | Literal[Incomplete.INCOMPLETE]:
         """Give the bytes of a long answer on as they come; gives the answer once it is whole."""
         while not self.closed:
-            if self.value is not None and self.reader.left > 0:
-                piece = self.reader.piece(READ_BYTES)
+            if self.value is not None and self.reader.streamed_remaining > 0:
+                piece = self.reader.read_streamed(READ_BYTES)
                 if not piece:
                     break
                 self.moved_at = now_ms()
@@ -265,8 +280,8 @@
                     self._pause()
                     break
                 continue
-            reply = self.reader.gets()
-            if not isinstance(reply, Opened):
+            reply = self.reader.next_value()
+            if not isinstance(reply, StreamedStringStarted):
                 return reply
             if reply.items or self.value is not None or self.attempt is None or not self.sent:
                 raise ProtocolError("a long value out of its place")
@@ -275,8 +290,8 @@
             if self.value is None:
                 self.end(Outcome.CANCELLED)
             else:
-                self.value.spare = self._resume
-        return NOT_YET
+                self.value.on_capacity = self._resume
+        return INCOMPLETE
 
     def _pause(self) -> None:
         if not self.paused and not self.closed:
@@ -340,7 +355,7 @@
 def read_reply(reply: Value) -> tuple[Outcome, bytes]:
     if isinstance(reply, list) and reply and isinstance(reply[0], bytes):
         return Outcome.OK, reply[0]
-    if isinstance(reply, TextLine) and reply.kind == b"-" and reply.text.split(b" ", 1)[0] == b"BUSY":
+    if isinstance(reply, SimpleValue) and reply.kind == b"-" and reply.text.split(b" ", 1)[0] == b"BUSY":
         return Outcome.FULL, b""
     return Outcome.FAILED, b""
 
--- a/switchline/clients/server.py
+++ b/switchline/clients/server.py
@@ -15,9 +15,15 @@
 from switchline.guard import Guard, Invariant
 from switchline.net.accept import Acceptor
 from switchline.net.descriptors import Budget, Part
-from switchline.net.resp import NOT_YET, Opened, ProtocolError, RespParser, Value
+from switchline.net.resp import INCOMPLETE, ProtocolError, RespParser, StreamedStringStarted, Value
 from switchline.net.socket_state import has_unread_bytes, peer_has_closed
-from switchline.net.streams import LONGEST, WHOLE, BufferBudget, StreamedRequestBody, StreamedResponse
+from switchline.net.streams import (
+    MAX_VALUE_BYTES,
+    STREAMING_THRESHOLD_BYTES,
+    BufferBudget,
+    StreamedRequestBody,
+    StreamedResponse,
+)
 from switchline.operators.metrics import Evicted, Metrics
 from switchline.policy.fair_shares import FairShares
 
@@ -69,7 +75,7 @@
     def cut(self, reply: bytes) -> None:
         """Give up a long answer that can't be finished, so that its client can tell."""
         self.request = None
-        if self.value is not None and not self.value.begun:  # it waits behind another's
+        if self.value is not None and not self.value.started:  # it waits behind another's
             self.value, self.reply = None, reply
             self.connection.pump()
         elif self.connection.transport is not None:
@@ -103,7 +109,7 @@
 class ClientConnection(asyncio.BufferedProtocol):
     def __init__(self, server: ClientServer) -> None:
         self.server = server
-        self.reader = RespParser(MOST_ARGUMENTS, LARGEST, WHOLE, LONGEST)
+        self.reader = RespParser(MOST_ARGUMENTS, LARGEST, STREAMING_THRESHOLD_BYTES, MAX_VALUE_BYTES)
         self.body: StreamedRequestBody | None = (
             None  # a long value that is coming in, and the place of its command
         )
@@ -224,7 +230,9 @@
         self.pump()
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self.server.buffer if self.body is None else self.server.buffer[: self.body.room.window]
+        return (
+            self.server.buffer if self.body is None else self.server.buffer[: self.body.buffer_budget.window]
+        )
 
     def buffer_updated(self, nbytes: int) -> None:
         self.data_received(self.server.buffer[:nbytes])
@@ -259,7 +267,7 @@
 
     def _parts(self) -> bool:
         """Whether a drain ends this connection: not while a request is on its way in."""
-        return self.server.parting and not self.reader.has_data()
+        return self.server.parting and not self.reader.has_partial_value()
 
     def _stuck(self) -> bool:
         full = self.body is not None and self.body.full
@@ -277,39 +285,39 @@
                     if not self._take_piece(self.body):
                         return
                     continue
-                args = self.reader.gets()
-                if args is NOT_YET:
+                args = self.reader.next_value()
+                if args is INCOMPLETE:
                     self.unread = False
-                    if self.reader.has_data():
+                    if self.reader.has_partial_value():
                         self.heard_at = time.monotonic()
                         self.owes_since = self.owes_since or self.heard_at
                     return
                 self.used_at = time.monotonic()
-                if isinstance(args, Opened):
+                if isinstance(args, StreamedStringStarted):
                     self._open(args)
                 else:
                     self.command(args)
         except ProtocolError as error:
             self.refuse_protocol(error)
 
-    def _open(self, opened: Opened) -> None:
+    def _open(self, opened: StreamedStringStarted) -> None:
         """A command whose value is too long to be held: it is decided on its head."""
         items = [item for item in opened.items if isinstance(item, bytes)]
         if opened.missing != 1 or items != opened.items or not items or items[0].upper() not in REQUESTS:
             raise ProtocolError("value too long")
         self.heard_at = self.body_since = time.monotonic()
         body = self.body = StreamedRequestBody(self.server.room, opened.length)
-        body.spare = self.pump
+        body.on_capacity = self.pump
         slot = self.body_slot = self.command([*items, b""], body)
         if slot is None or slot.request is None:
             body.drop()  # it has its answer; what still comes of it is discarded
 
     def _take_piece(self, body: StreamedRequestBody) -> bool:
         """Whether something came of the long value."""
-        if piece := self.reader.piece(READ_BYTES):
+        if piece := self.reader.read_streamed(READ_BYTES):
             self.heard_at = time.monotonic()
             body.feed(piece)
-        elif self.reader.left > 0 or self.reader.gets() is NOT_YET:
+        elif self.reader.streamed_remaining > 0 or self.reader.next_value() is INCOMPLETE:
             self.unread = False
             return False
         else:
@@ -333,7 +341,7 @@
             if slot.value is not None:
                 if not self.slow:
                     due.append(slot.value.take())
-                if not slot.value.passed:
+                if not slot.value.written:
                     break
                 slot.request = None
                 if slot.passed is not None:
@@ -390,8 +398,8 @@
 
     def _in_value(self) -> bool:
         """Whether what is coming in is the value of something that begins as a request."""
-        items = self.reader.items or []
-        return len(items) == REQUEST_HEAD and items[0] in REQUESTS and self.reader.length >= 0
+        items = self.reader.array_items or []
+        return len(items) == REQUEST_HEAD and items[0] in REQUESTS and self.reader.bulk_length >= 0
 
     def check(self, now: float) -> None:
         """End what a peer has left hanging, so that it holds neither memory nor a descriptor for ever."""
@@ -476,7 +484,9 @@
         """Nothing is open on it, partly read or still to be written: it may be closed at any time."""
         if self.transport is None or self.transport.is_closing() or self.closing:
             return False
-        open_here = bool(self.slots) or self.body is not None or self.reader.has_data() or self.unread
+        open_here = (
+            bool(self.slots) or self.body is not None or self.reader.has_partial_value() or self.unread
+        )
         return not open_here and not self.transport.get_write_buffer_size()
 
     @property
--- a/switchline/net/resp.py
+++ b/switchline/net/resp.py
@@ -1,8 +1,9 @@
-"""Reading RESP2 from peers that may send anything.
+"""An incremental parser of RESP2 for peers that may send anything.
 
-A library's reader sets an array's room aside as its header is read, for as many items as the header promises
-(hiredis does, and takes no limit): a line of 13 bytes costs seconds of CPU or gigabytes. This one knows the
-little that the protocol needs, an array of strings or one of these alone, and holds only what has come.
+A general-purpose parser reserves memory for an array as soon as it has read the header, for as many items
+as the header announces: a line of 13 bytes can cost gigabytes. This parser knows only what the protocol
+needs, an array of strings or a single value, bounds what a header may announce, and holds only what has
+arrived.
 """
 
 from __future__ import annotations
@@ -10,144 +11,187 @@
 from enum import Enum
 from typing import Final, Literal, NamedTuple
 
-LONGEST_LINE = 1024  # bytes of a header, an error or a simple string; the longest known are under a hundred
-LINE_KINDS = b"+-:"
-END = b"\r\n"
-KINDS = b"*$" + LINE_KINDS
+MAX_LINE_BYTES = 1024  # of a header, an error or a simple string; the longest known are under a hundred
+CRLF = b"\r\n"
+SIMPLE_TYPES = b"+-:"  # simple string, error, integer
+TYPES = b"*$" + SIMPLE_TYPES
+NULL_LENGTH = b"-1"
+NONE = -1  # no string is being read
 
 
 class ProtocolError(Exception):
-    """What came in is not RESP2, or more of it than is taken."""
+    """The peer sent something that is not RESP2, or more of it than is accepted."""
 
 
-class TextLine(NamedTuple):
-    """A simple string, an error or an integer: its first byte and the rest."""
+class SimpleValue(NamedTuple):
+    """A simple string, an error or an integer."""
 
-    kind: bytes
+    kind: bytes  # the type byte: +, - or :
     text: bytes
 
 
-Item = bytes | TextLine | None
+Item = bytes | SimpleValue | None
 
 
-class Opened(NamedTuple):
-    """A long string has begun in an array. Its bytes come through `Reader.piece`."""
+class StreamedStringStarted(NamedTuple):
+    """A long string has begun inside an array. Its bytes are read with `RespParser.read_streamed`."""
 
-    items: list[Item]  # of the array, before it
-    missing: int  # items of the array, with it
-    length: int
+    items: list[Item]  # the items of the array before it
+    missing: int  # items of the array still to come, this one included
+    length: int  # bytes
 
 
-class NotWhole(Enum):
-    """What stands for a value whose last byte has not come."""
+class Incomplete(Enum):
+    """Stands for a value whose last byte has not arrived."""
 
-    YET = "not whole yet"
+    INCOMPLETE = "incomplete"
 
 
-NOT_YET: Final = NotWhole.YET
+INCOMPLETE: Final = Incomplete.INCOMPLETE
 Value = Item | list[Item]
+_Parsed = Item | int | StreamedStringStarted | Literal[Incomplete.INCOMPLETE]
 
 
 class RespParser:
-    """Takes bytes as they come and gives the values in them. After an error it is of no further use."""
-
-    def __init__(self, most_items: int, most_bytes: int, whole: int = 0, longest: int = 0) -> None:
-        # In an array, a string of more than `whole` and at most `longest` bytes is given in pieces.
-        self.most_items, self.most_bytes, self.whole, self.longest = most_items, most_bytes, whole, longest
-        self.left = -1  # bytes still to come of the string that is given in pieces; below 0: none is
-        self.buffer, self.at = bytearray(), 0
-        self.items: list[Item] | None = None  # of the array that is being read
-        self.missing = 0
-        self.length = -1  # of the bulk string that is being read
-        self.taken = 0  # bytes that the value being read has announced so far
+    """Takes bytes as they arrive and returns the values in them.
+
+    After a ProtocolError the parser is of no further use.
+
+    Args:
+        max_items: of one array.
+        max_bytes: of one value, strings that are streamed not counted.
+        streaming_threshold: bytes; a longer string inside an array is streamed instead of collected.
+        max_streamed: bytes of a streamed string; 0 turns streaming off.
+    """
+
+    def __init__(
+        self, max_items: int, max_bytes: int, streaming_threshold: int = 0, max_streamed: int = 0
+    ) -> None:
+        self.max_items = max_items
+        self.max_bytes = max_bytes
+        self.streaming_threshold = streaming_threshold
+        self.max_streamed = max_streamed
+        self.streamed_remaining = NONE  # bytes still to come of the string that is being streamed
+        self.array_items: list[Item] | None = None  # of the array that is being read
+        self.bulk_length = NONE  # bytes of the string that is being collected
+        self.buffer = bytearray()
+        self._offset = 0  # of the first byte of `buffer` that is not parsed
+        self._missing_items = 0
+        self._announced_bytes = 0  # by the headers of the value that is being read
 
     def feed(self, data: bytes | memoryview) -> None:
-        if self.at:
-            del self.buffer[: self.at]
-            self.at = 0
+        """Add bytes that have arrived."""
+        if self._offset:
+            del self.buffer[: self._offset]
+            self._offset = 0
         self.buffer += data
 
-    def has_data(self) -> bool:
-        """Whether bytes are left that belong to no value given so far."""
-        return self.at < len(self.buffer) or self.items is not None or self.length >= 0 or self.left >= 0
-
-    def piece(self, most: int) -> bytes:
-        """What has come of the string that is given in pieces, `most` bytes of it at a time."""
-        end = min(self.at + max(0, min(self.left, most)), len(self.buffer))
-        data = bytes(memoryview(self.buffer)[self.at : end])
-        self.at, self.left = end, self.left - len(data)
+    def has_partial_value(self) -> bool:
+        """Whether bytes have arrived that belong to no value returned so far."""
+        return (
+            self._offset < len(self.buffer)
+            or self.array_items is not None
+            or self.bulk_length >= 0
+            or self.streamed_remaining >= 0
+        )
+
+    def read_streamed(self, max_bytes: int) -> bytes:
+        """Return the next bytes of the streamed string that have arrived, `max_bytes` at most."""
+        wanted = max(0, min(self.streamed_remaining, max_bytes))
+        end = min(self._offset + wanted, len(self.buffer))
+        data = bytes(memoryview(self.buffer)[self._offset : end])
+        self._offset = end
+        self.streamed_remaining -= len(data)
         return data
 
-    def gets(self) -> Value | Opened | Literal[NotWhole.YET]:
-        """The next value; raises ProtocolError as soon as it can't become one that is taken.
+    def next_value(self) -> Value | StreamedStringStarted | Literal[Incomplete.INCOMPLETE]:
+        """Return the next value, or INCOMPLETE.
+
+        A string that was streamed stands in its array as an empty one.
 
-        A string that was given in pieces stands in its array as an empty one.
+        Raises:
+            ProtocolError: as soon as what has arrived can't become a value that is accepted.
         """
         while True:
-            if self.left >= 0:
-                item = self._end()
+            if self.streamed_remaining >= 0:
+                item = self._parse_end_of_streamed()
+            elif self.bulk_length >= 0:
+                item = self._parse_bulk()
             else:
-                item = self._bulk() if self.length >= 0 else self._line()
-            if item is NOT_YET or isinstance(item, Opened):
+                item = self._parse_line()
+            if item is INCOMPLETE or isinstance(item, StreamedStringStarted):
                 return item
-            if isinstance(item, int):  # an array's header
-                self.items, self.missing = [], item
-            elif self.items is None:
-                self.taken = 0
+            if isinstance(item, int):  # the header of an array
+                self.array_items = []
+                self._missing_items = item
+            elif self.array_items is None:
+                self._announced_bytes = 0
                 return item
             else:
-                self.items.append(item)
-                self.missing -= 1
-            if self.items is not None and not self.missing:
-                whole, self.items, self.taken = self.items, None, 0
-                return whole
-
-    def _end(self) -> Item | int | Opened | Literal[NotWhole.YET]:
-        """The end of the string that was given in pieces."""
-        if self.left or len(self.buffer) < self.at + len(END):
-            return NOT_YET
-        if self.buffer[self.at : self.at + len(END)] != END:
+                self.array_items.append(item)
+                self._missing_items -= 1
+            if self.array_items is not None and not self._missing_items:
+                array = self.array_items
+                self.array_items = None
+                self._announced_bytes = 0
+                return array
+
+    def _parse_end_of_streamed(self) -> _Parsed:
+        end = self._offset + len(CRLF)
+        if self.streamed_remaining or len(self.buffer) < end:
+            return INCOMPLETE
+        if self.buffer[self._offset : end] != CRLF:
             raise ProtocolError("a string longer than its length")
-        self.at, self.left = self.at + len(END), -1
+        self._offset = end
+        self.streamed_remaining = NONE
         return b""
 
-    def _line(self) -> Item | int | Opened | Literal[NotWhole.YET]:
-        """A value on one line, or the number of items of an array that begins."""
-        buffer, at = self.buffer, self.at
-        if at < len(buffer) and buffer[at] not in KINDS:
-            raise ProtocolError(f"no value begins with {chr(buffer[at])!a}")
-        end = buffer.find(b"\r\n", at, at + LONGEST_LINE)
+    def _parse_line(self) -> _Parsed:
+        """Parse a value on one line, or a header; an array's header returns its number of items."""
+        start = self._offset
+        if start < len(self.buffer) and self.buffer[start] not in TYPES:
+            raise ProtocolError(f"no value begins with {chr(self.buffer[start])!a}")
+        end = self.buffer.find(CRLF, start, start + MAX_LINE_BYTES)
         if end < 0:
-            if len(buffer) - at >= LONGEST_LINE:
+            if len(self.buffer) - start >= MAX_LINE_BYTES:
                 raise ProtocolError("line too long")
-            return NOT_YET
-        kind, text = bytes(buffer[at : at + 1]), bytes(buffer[at + 1 : end])
-        self.at = end + 2
-        if kind in LINE_KINDS:
-            return TextLine(kind, text)
-        if text == b"-1":
+            return INCOMPLETE
+        kind = bytes(self.buffer[start : start + 1])
+        text = bytes(self.buffer[start + 1 : end])
+        self._offset = end + len(CRLF)
+        if kind in SIMPLE_TYPES:
+            return SimpleValue(kind, text)
+        if text == NULL_LENGTH:
             return None
         if not text.isdigit():
             raise ProtocolError("malformed length")
         if kind == b"*":
-            if self.items is not None or int(text) > self.most_items:
-                raise ProtocolError("too many items")
-            return int(text)
-        self.length = int(text)
-        if self.whole < self.length <= self.longest and self.items is not None:
-            self.left, self.length = self.length, -1
-            return Opened(list(self.items), self.missing, self.left)
-        self.taken += self.length
-        if self.taken > self.most_bytes:
+            return self._array_size(int(text))
+        return self._begin_bulk(int(text))
+
+    def _array_size(self, size: int) -> int:
+        if self.array_items is not None or size > self.max_items:
+            raise ProtocolError("too many items")
+        return size
+
+    def _begin_bulk(self, length: int) -> _Parsed:
+        if self.streaming_threshold < length <= self.max_streamed and self.array_items is not None:
+            self.streamed_remaining = length
+            return StreamedStringStarted(list(self.array_items), self._missing_items, length)
+        self.bulk_length = length
+        self._announced_bytes += length
+        if self._announced_bytes > self.max_bytes:
             raise ProtocolError("value too long")
-        return self._bulk()
-
-    def _bulk(self) -> bytes | Literal[NotWhole.YET]:
-        end = self.at + self.length
-        if len(self.buffer) < end + 2:
-            return NOT_YET
-        if self.buffer[end : end + 2] != b"\r\n":
+        return self._parse_bulk()
+
+    def _parse_bulk(self) -> bytes | Literal[Incomplete.INCOMPLETE]:
+        end_of_string = self._offset + self.bulk_length
+        end = end_of_string + len(CRLF)
+        if len(self.buffer) < end:
+            return INCOMPLETE
+        if self.buffer[end_of_string:end] != CRLF:
             raise ProtocolError("a string longer than its length")
-        value = bytes(self.buffer[self.at : end])
-        self.at, self.length = end + 2, -1
+        value = bytes(self.buffer[self._offset : end_of_string])
+        self._offset = end
+        self.bulk_length = NONE
         return value
--- a/switchline/net/streams.py
+++ b/switchline/net/streams.py
@@ -1,138 +1,176 @@
-"""Long values on their way through: what is held of them, and its bounds.
+"""Long values that pass through in pieces, and the bounds of the memory they may hold.
 
-A value over `WHOLE` bytes never stands here as one. Its pieces are passed on as they come, and whoever gives
-them is read no further while the other side is behind.
+A value over `STREAMING_THRESHOLD_BYTES` is never held complete. Its pieces are forwarded as they arrive, and
+the sender is read no further while the receiver is behind (backpressure).
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-WHOLE = 64 * 1024  # bytes: values up to this are held whole, so that they can be sent again
-LONGEST = 4 * 1024 * 1024  # bytes of a value
-MEMORY_SHARE = 1 / 16  # of the memory limit: what one of the three places below may hold over all values
-LEAST, MOST = 8 * 1024, 64 * 1024  # bytes held of one value in one place
+STREAMING_THRESHOLD_BYTES = 64 * 1024  # values up to this are held complete, so that they can be retried
+MAX_VALUE_BYTES = 4 * 1024 * 1024
+BUFFER_SHARE_RATIO = 1 / 16  # of the memory limit: what one kind of buffer may hold over all values
+MIN_WINDOW_BYTES = 8 * 1024
+MAX_WINDOW_BYTES = 64 * 1024
+CRLF = b"\r\n"
 
 
 class BufferBudget:
-    """Divides the memory that may be held among the values under way.
+    """Divides the memory for buffers among the values that are under way.
 
-    Of a value, at most this much each is kept for a retry, waits to be passed on, and has just been read.
+    A value has three buffers, each of one window at most: what is kept for a retry, what waits to be
+    forwarded, and what has just been read.
+
+    Args:
+        memory: the process's limit, in bytes.
     """
 
     def __init__(self, memory: int) -> None:
-        self.budget = int(memory * MEMORY_SHARE)
-        self.values = 0
+        self.budget = int(memory * BUFFER_SHARE_RATIO)
+        self.values = 0  # under way
 
     @property
     def window(self) -> int:
-        return max(LEAST, min(MOST, self.budget // max(1, self.values)))
+        """Bytes that one buffer of one value may hold now."""
+        return max(MIN_WINDOW_BYTES, min(MAX_WINDOW_BYTES, self.budget // max(1, self.values)))
 
 
 class StreamedRequestBody:
-    """A long value on its way to a backend. Owns the bytes that a backend may still need.
+    """A long value on its way to a backend. Owns the bytes that an attempt may still need.
+
+    As long as no more than a window has been sent, the beginning is kept and a retry can send it again. From
+    then on what has been sent is dropped, and the request can't be sent a second time.
 
-    As long as no more than a window has been sent, the beginning is kept and another attempt can send it
-    again; from then on what has been sent is let go, and the request can't be sent a second time.
+    Args:
+        buffer_budget: bounds what is held.
+        length: of the value, in bytes.
     """
 
-    def __init__(self, room: BufferBudget, length: int) -> None:
-        self.room, self.length = room, length
-        self.buffer, self.start = bytearray(), 0  # start: where in the value the buffer begins
-        self.came = self.sent = 0  # bytes so far
-        self.whole = self.gone = False  # its end has come; nobody needs the rest
-        self.more: Callable[[], None] | None = None  # the attempt waits for bytes
-        self.spare: Callable[[], None] | None = None  # the client's connection may have waited for room
-        room.values += 1
+    def __init__(self, buffer_budget: BufferBudget, length: int) -> None:
+        self.buffer_budget = buffer_budget
+        self.length = length
+        self.buffer = bytearray()
+        self.received = 0  # bytes so far
+        self.sent = 0  # bytes so far, by the present attempt
+        self.complete = False  # its last byte has arrived
+        self.dropped = False  # nobody needs the rest
+        self.on_data: Callable[[], None] | None = None  # the attempt waits for bytes
+        self.on_capacity: Callable[[], None] | None = None  # the client's connection may have been paused
+        self._buffer_start = 0  # offset in the value of the first byte in the buffer
+        buffer_budget.values += 1
 
     @property
     def repeatable(self) -> bool:
-        return not self.start and not self.gone
+        """Whether a retry can still send the value from its first byte."""
+        return not self._buffer_start and not self.dropped
 
     @property
     def full(self) -> bool:
-        return not self.gone and self.came - self.sent >= self.room.window
+        """Whether the client's connection has to be paused."""
+        return not self.dropped and self.received - self.sent >= self.buffer_budget.window
 
     def feed(self, data: bytes) -> None:
-        self.came += len(data)
-        if not self.gone:
+        """Add bytes that the client has sent."""
+        self.received += len(data)
+        if not self.dropped:
             self.buffer += data
-            if self.more is not None:
-                self.more()
+            if self.on_data is not None:
+                self.on_data()
 
     def end(self) -> None:
-        """The value has come as it was announced."""
-        self.whole = True
-        if self.more is not None:
-            self.more()
+        """Note that the value has arrived with the length that was announced."""
+        self.complete = True
+        if self.on_data is not None:
+            self.on_data()
 
-    def begin(self, more: Callable[[], None]) -> None:
-        """An attempt begins to send the value, from its first byte on."""
-        self.more, self.sent = more, 0
+    def begin(self, on_data: Callable[[], None]) -> None:
+        """Let an attempt send the value, from its first byte on; it is called when bytes arrive."""
+        self.on_data = on_data
+        self.sent = 0
 
     def pull(self) -> bytes:
-        """The next bytes to send; none if no more have come."""
-        at = self.sent - self.start
-        data = bytes(memoryview(self.buffer)[at : at + self.room.window])
+        """Return the next bytes to send, empty if no more have arrived."""
+        start = self.sent - self._buffer_start
+        data = bytes(memoryview(self.buffer)[start : start + self.buffer_budget.window])
         self.sent += len(data)
-        if self.start or self.sent > self.room.window:  # too much to keep for another attempt
-            del self.buffer[: self.sent - self.start]
-            self.start = self.sent
-        if data and self.spare is not None:
-            self.spare()
+        too_much_for_retry = self.sent > self.buffer_budget.window
+        if self._buffer_start or too_much_for_retry:
+            del self.buffer[: self.sent - self._buffer_start]
+            self._buffer_start = self.sent
+        if data and self.on_capacity is not None:
+            self.on_capacity()
         return data
 
     def drop(self) -> None:
-        """Nobody needs the rest: what comes of it is let go at once."""
-        if not self.gone:
-            self.gone, self.more = True, None
-            self.buffer.clear()
-            self.room.values -= 1
-            if self.spare is not None:
-                self.spare()
+        """Note that nobody needs the rest: what arrives of it is discarded."""
+        if self.dropped:
+            return
+        self.dropped = True
+        self.on_data = None
+        self.buffer.clear()
+        self.buffer_budget.values -= 1
+        if self.on_capacity is not None:
+            self.on_capacity()
 
 
 class StreamedResponse:
-    """A long value on its way to a client. Owns what has come of it and waits to be written."""
+    """A long value on its way to a client. Owns the bytes that have arrived and wait to be written.
+
+    Args:
+        buffer_budget: bounds what is held.
+        length: of the value, in bytes.
+        on_data: called when the client's connection may write.
+    """
 
-    def __init__(self, room: BufferBudget, length: int, wake: Callable[[], None]) -> None:
-        self.room, self.wake = room, wake  # wake: the client's connection may write
-        self.pieces = [b"$%d\r\n" % length]
-        self.held = 0
-        self.begun = self.whole = self.gone = False  # begun: some of it has been written
-        self.spare: Callable[[], None] | None = None  # the attempt may have waited for room
-        room.values += 1
+    def __init__(self, buffer_budget: BufferBudget, length: int, on_data: Callable[[], None]) -> None:
+        self.buffer_budget = buffer_budget
+        self.on_data = on_data
+        self.started = False  # some of it has been written
+        self.dropped = False
+        self.on_capacity: Callable[[], None] | None = None  # the backend's connection may have been paused
+        self._complete = False  # the backend has sent all of it
+        self._pieces = [b"$%d" % length + CRLF]
+        self._buffered = 0  # bytes of the value that wait to be written
+        buffer_budget.values += 1
 
     @property
     def full(self) -> bool:
-        return self.held >= self.room.window
+        """Whether the backend's connection has to be paused."""
+        return self._buffered >= self.buffer_budget.window
 
     @property
-    def passed(self) -> bool:
-        return self.whole and not self.pieces
+    def written(self) -> bool:
+        """Whether all of it has been given out to be written."""
+        return self._complete and not self._pieces
 
     def feed(self, data: bytes) -> None:
-        self.pieces.append(data)
-        self.held += len(data)
-        self.wake()
+        """Add bytes that the backend has sent."""
+        self._pieces.append(data)
+        self._buffered += len(data)
+        self.on_data()
 
     def take(self) -> bytes:
-        """What may be written now."""
-        data, self.pieces, self.held = b"".join(self.pieces), [], 0
-        self.begun = self.begun or bool(data)
-        if data and self.spare is not None:
-            self.spare()
+        """Return what may be written now."""
+        data = b"".join(self._pieces)
+        self._pieces = []
+        self._buffered = 0
+        self.started = self.started or bool(data)
+        if data and self.on_capacity is not None:
+            self.on_capacity()
         return data
 
     def end(self) -> None:
-        """The backend has given all of it."""
-        self.whole, self.spare = True, None
-        self.pieces.append(b"\r\n")
-        self.wake()
+        """Note that the backend has sent all of it."""
+        self._complete = True
+        self.on_capacity = None
+        self._pieces.append(CRLF)
+        self.on_data()
 
     def drop(self) -> None:
-        """It is passed, or nobody reads on."""
-        if not self.gone:
-            self.gone, self.spare = True, None
-            self.pieces.clear()
-            self.room.values -= 1
+        """Let go of it: it is written, or nobody reads on."""
+        if not self.dropped:
+            self.dropped = True
+            self.on_capacity = None
+            self._pieces.clear()
+            self.buffer_budget.values -= 1
--- a/switchline/service/driver.py
+++ b/switchline/service/driver.py
@@ -501,9 +501,9 @@
     def leave_body(self, owner: Request) -> None:
         """Nobody needs the rest of a request's long value: nor can an attempt be finished without it."""
         body = owner.command.stream
-        if body is not None and not body.gone:
+        if body is not None and not body.dropped:
             body.drop()
-            if not body.whole or body.sent < body.length:
+            if not body.complete or body.sent < body.length:
                 self.give_up(owner, api.Outcome.CANCELLED)
 
     def settle(self, owner: Request) -> None:
--- a/tests/clients/test_connections.py
+++ b/tests/clients/test_connections.py
@@ -345,13 +345,13 @@
             known.append(place.connect(f"127.0.0.{number % 3}"))
         elif chosen is None:
             continue
-        elif what == "ask" and not chosen.reader.has_data():
+        elif what == "ask" and not chosen.reader.has_partial_value():
             place.ask(chosen)
         elif what == "answer":
             place.answer(chosen)
-        elif what == "part" and not chosen.reader.has_data():
+        elif what == "part" and not chosen.reader.has_partial_value():
             chosen.data_received(part)
-        elif what == "ping" and not chosen.reader.has_data():
+        elif what == "ping" and not chosen.reader.has_partial_value():
             chosen.data_received(encode(b"PING"))
         elif what == "leave":
             chosen.connection_lost(None)
--- a/tests/net/test_resp.py
+++ b/tests/net/test_resp.py
@@ -8,26 +8,26 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from switchline.net.resp import LONGEST_LINE, NOT_YET, ProtocolError, RespParser, TextLine, Value
+from switchline.net.resp import INCOMPLETE, MAX_LINE_BYTES, ProtocolError, RespParser, SimpleValue, Value
 
 
 def read(data: bytes, cuts: list[int] | None = None) -> list[Value]:
     """All values in data that comes in pieces."""
-    reader = RespParser(most_items=5, most_bytes=1000)
+    reader = RespParser(max_items=5, max_bytes=1000)
     places = sorted({0, len(data), *(cut % (len(data) + 1) for cut in cuts or [])})
     values: list[Value] = []
     for start, end in zip(places, places[1:], strict=False):
         reader.feed(data[start:end])
-        while (value := reader.gets()) is not NOT_YET:
+        while (value := reader.next_value()) is not INCOMPLETE:
             values.append(value)
-    assert not reader.has_data()
+    assert not reader.has_partial_value()
     return values
 
 
 def encode(value: Value) -> bytes:
     if value is None:
         return b"$-1\r\n"
-    if isinstance(value, TextLine):
+    if isinstance(value, SimpleValue):
         return value.kind + value.text + b"\r\n"
     if isinstance(value, bytes):
         return b"$%d\r\n%b\r\n" % (len(value), value)
@@ -35,7 +35,10 @@
 
 
 ITEMS = (
-    st.none() | st.binary(max_size=100) | st.just(TextLine(b"-", b"BUSY 7")) | st.just(TextLine(b"+", b"OK"))
+    st.none()
+    | st.binary(max_size=100)
+    | st.just(SimpleValue(b"-", b"BUSY 7"))
+    | st.just(SimpleValue(b"+", b"OK"))
 )
 VALUES = ITEMS | st.lists(ITEMS, max_size=5)
 
@@ -49,9 +52,9 @@
     reader = RespParser(5, 1000)
     for byte in encode([b"PING", b""])[:-1]:
         reader.feed(bytes([byte]))
-        assert reader.gets() is NOT_YET and reader.has_data()
+        assert reader.next_value() is INCOMPLETE and reader.has_partial_value()
     reader.feed(b"\n")
-    assert reader.gets() == [b"PING", b""] and not reader.has_data()
+    assert reader.next_value() == [b"PING", b""] and not reader.has_partial_value()
 
 
 @pytest.mark.parametrize(
@@ -72,22 +75,22 @@
         b"*\r\n",
         b"$1\r\nab\r\n",
         b"GET / HTTP/1.1",
-        b"+" + b"a" * LONGEST_LINE,
+        b"+" + b"a" * MAX_LINE_BYTES,
     ],
 )
 def test_what_is_not_taken_is_told_at_once(data: bytes) -> None:
-    reader = RespParser(most_items=5, most_bytes=1000)
+    reader = RespParser(max_items=5, max_bytes=1000)
     reader.feed(data)
     with pytest.raises(ProtocolError):
-        reader.gets()
+        reader.next_value()
 
 
 def test_nothing_is_set_aside_for_what_has_not_come() -> None:
-    reader = RespParser(most_items=1_000_000, most_bytes=1_000_000_000)
+    reader = RespParser(max_items=1_000_000, max_bytes=1_000_000_000)
     reader.feed(b"*1000000\r\n$900000000\r\n")
     tracemalloc.start()
     try:
-        assert reader.gets() is NOT_YET
+        assert reader.next_value() is INCOMPLETE
         assert tracemalloc.get_traced_memory()[1] < 10_000
     finally:
         tracemalloc.stop()
--- a/tests/net/test_streams.py
+++ b/tests/net/test_streams.py
@@ -9,12 +9,18 @@
 from test_operators import stats
 
 from switchline.clients import server as clients
-from switchline.net.streams import LEAST, LONGEST, BufferBudget, StreamedRequestBody, StreamedResponse
+from switchline.net.streams import (
+    MAX_VALUE_BYTES,
+    MIN_WINDOW_BYTES,
+    BufferBudget,
+    StreamedRequestBody,
+    StreamedResponse,
+)
 from testbed.network.sockets import Peer, Reply, encode, until
 from testbed.stand_ins.backends import Backend
 from testbed.stand_ins.single_gateway import World, in_loop, request, running
 
-LONG = random.Random(7).randbytes(LONGEST)
+LONG = random.Random(7).randbytes(MAX_VALUE_BYTES)
 
 
 def array(value: bytes) -> bytes:
@@ -259,7 +265,7 @@
     async def scenario() -> None:
         async with running(World(Backend())) as world:
             peer = await world.client()
-            peer.writer.write(put()[:150].replace(b"$%d" % LONGEST, b"$60000000"))
+            peer.writer.write(put()[:150].replace(b"$%d" % MAX_VALUE_BYTES, b"$60000000"))
             assert [str(await peer.receive()), await peer.receive()] == ["ERR protocol error", None]
 
     in_loop(scenario)
@@ -288,18 +294,20 @@
                 for number, peer in enumerate(peers):
                     peer.writer.write(put(b"p%d" % number))
                 # What the machine's own buffers hold differs; either all fits there, or the gateway waits.
-                await until(lambda: len(bodies) == 8 and all(b.full or b.came == b.length for b in bodies))
-                assert 0 < peak <= 3 * next(iter(bodies)).room.window
+                await until(
+                    lambda: len(bodies) == 8 and all(b.full or b.received == b.length for b in bodies)
+                )
+                assert 0 < peak <= 3 * next(iter(bodies)).buffer_budget.window
 
     in_loop(scenario)
 
 
 def test_room_is_divided_among_the_values_under_way() -> None:
     room = BufferBudget(32 * 1024 * 1024)
-    bodies = [StreamedRequestBody(room, LONGEST) for _ in range(100)]
+    bodies = [StreamedRequestBody(room, MAX_VALUE_BYTES) for _ in range(100)]
     assert room.window * 100 <= room.budget
-    values = [StreamedResponse(room, LONGEST, lambda: None) for _ in range(1_000)]
-    assert room.window == LEAST
+    values = [StreamedResponse(room, MAX_VALUE_BYTES, lambda: None) for _ in range(1_000)]
+    assert room.window == MIN_WINDOW_BYTES
     for value in [*bodies, *values]:
         value.drop()
         value.drop()
@@ -308,7 +316,7 @@
 
 def test_a_body_lets_go_of_what_was_sent_and_says_so() -> None:
     room = BufferBudget(64 * 1024 * 1024)
-    body = StreamedRequestBody(room, LONGEST)
+    body = StreamedRequestBody(room, MAX_VALUE_BYTES)
     body.begin(lambda: None)
     body.feed(LONG[: room.window])
     assert body.full and body.pull() == LONG[: room.window] and body.repeatable
