--- a/switchline/backends/pool.py
+++ b/switchline/backends/pool.py
@@ -19,9 +19,9 @@
 
 from switchline.clock import Timer, Timers, now_ms
 from switchline.config import Address
-from switchline.net.accept import close_socket
 from switchline.net.descriptors import Budget, Part
-from switchline.net.idle import AT_ONCE_MS, IdleTimes
+from switchline.net.idle import IMMEDIATE_RESET_MS, IdleTimes
+from switchline.net.listen import close_socket
 from switchline.net.resp import (
     CRLF,
     INCOMPLETE,
@@ -319,14 +319,14 @@
         """Close, and end the attempt that is on it. The close comes first: never two attempts at once."""
         attempt, self.attempt = self.attempt, None
         if attempt is not None and outcome is Outcome.RESET and self.value is None:
-            self._note(reset=now_ms() - self.sent_at < AT_ONCE_MS)
+            self._note(reset=now_ms() - self.sent_at < IMMEDIATE_RESET_MS)
         self.close()
         if attempt is not None:
             attempt.end(outcome)
 
     def _note(self, reset: bool) -> None:
         if self.idle_for:
-            self.pool.idle_times.note(self.idle_for, reset)
+            self.pool.idle_times.record_use(self.idle_for, reset)
 
     def close(self) -> None:
         if self.closed:
@@ -412,7 +412,7 @@
         self.budget, self.figures, self.room = budget, figures, room
         self.wanting: dict[Host, None] = {}  # where attempts wait and the pool is full, the longest first
         self.serving: asyncio.Handle | None = None  # these are looked after at the end of this turn
-        budget.relief.append(self.close_oldest)
+        budget.relief_callbacks.append(self.close_oldest)
         self.idle_times = IdleTimes(keepalive * IDLE_SHARE)
         self.hosts: dict[int, Host] = {}
         self.held: set[int] = set()  # taken out by operators, whether listed or not
@@ -491,7 +491,7 @@
             wanted = len(host.waiting) - len(host.settling)  # those serve an attempt each in a moment
             if len(host.opening) >= min(wanted, self.budget.shares.connects):
                 return
-            if not self.budget.may(Part.BACKENDS) and not self.close_oldest(1):
+            if not self.budget.has_free(Part.BACKENDS) and not self.close_oldest(1):
                 self.wanting[host] = None
                 return
             else:
@@ -510,7 +510,7 @@
             return
         attempt.connecting = True
         self.figures.begun += 1
-        self.budget.take(Part.BACKENDS)
+        self.budget.acquire(Part.BACKENDS)
         self.connections.add(made)
         host.opening.add(made)
 
@@ -560,7 +560,7 @@
                 return
         if connection.address != host.address or not host.takes_new:
             return connection.close()
-        if self.wanting and not self.budget.may(Part.BACKENDS):
+        if self.wanting and not self.budget.has_free(Part.BACKENDS):
             return connection.close()
         if not connection.closed:
             connection.idle_since = now_ms()
@@ -583,7 +583,7 @@
     def forget(self, connection: Connection) -> None:
         if connection in self.connections:
             self.connections.discard(connection)
-            self.budget.free(Part.BACKENDS)
+            self.budget.release(Part.BACKENDS)
         if connection in connection.host.idle:
             connection.host.idle.remove(connection)
         if connection.host.waiting:
@@ -615,7 +615,9 @@
 
     def sweep(self) -> None:
         now = now_ms()
-        self.close_oldest(max(0, len(self.connections) - self.budget.most(Part.BACKENDS)))  # it may shrink
+        self.close_oldest(
+            max(0, len(self.connections) - self.budget.limit_of(Part.BACKENDS))
+        )  # it may shrink
         for backend, host in list(self.hosts.items()):
             for connection in list(host.idle):
                 if self.idle_times.allows(now, now - connection.idle_since):
--- a/switchline/clients/server.py
+++ b/switchline/clients/server.py
@@ -531,11 +531,11 @@
         self.sweeping: asyncio.TimerHandle | None = None
         self.empty = asyncio.Event()
         self.empty.set()
-        budget.relief.append(self.make_room)
+        budget.relief_callbacks.append(self.make_room)
 
     @property
     def most(self) -> int:
-        return self.budget.most(Part.CLIENTS)
+        return self.budget.limit_of(Part.CLIENTS)
 
     @property
     def most_young(self) -> int:
@@ -558,7 +558,7 @@
 
     @property
     def takes_clients(self) -> bool:
-        return self.acceptor is not None and self.acceptor.accepts and not self.leaving
+        return self.acceptor is not None and self.acceptor.accepting and not self.leaving
 
     @property
     def says_yes(self) -> bool:
@@ -591,7 +591,7 @@
             self.guard.call("a client's connection", connection.check, now)
         # The budget may have shrunk: by SIGHUP, or by what the other process of an upgrade holds.
         self.make_room(self.live - self.most)
-        self.budget.keep_spare()
+        self.budget.keep_reserve()
 
     def close(self) -> None:
         for handle in (self.sweeping, self.noticing):
@@ -603,7 +603,7 @@
 
     def opened(self, connection: ClientConnection) -> None:
         """A newcomer is young. Once places are few, these are held to a bound of their own."""
-        self.budget.take(Part.CLIENTS)
+        self.budget.acquire(Part.CLIENTS)
         self.connections.add(connection)
         self.young[connection] = None
         self.empty.clear()
@@ -690,7 +690,7 @@
 
     def closed(self, connection: ClientConnection) -> None:
         self.forget(connection)
-        self.budget.free(Part.CLIENTS)
+        self.budget.release(Part.CLIENTS)
         self.connections.discard(connection)
         self.lingering.discard(connection)
         if not self.connections:
@@ -731,7 +731,7 @@
         """Take what has come so far, and nothing after that."""
         if self.acceptor is not None:
             if not self.handed:
-                self.acceptor.accept_rest()
+                self.acceptor.accept_backlog()
             self.acceptor.close()
 
     async def wait_until_empty(self) -> None:
--- a/switchline/counter/client.py
+++ b/switchline/counter/client.py
@@ -14,7 +14,7 @@
 from switchline.clock import Timer, Timers, now_ms
 from switchline.config import Address
 from switchline.net.descriptors import Budget, Part
-from switchline.net.idle import AT_ONCE_MS, IdleTimes
+from switchline.net.idle import IMMEDIATE_RESET_MS, IdleTimes
 from switchline.policy.interface import Outcome
 
 log = logging.getLogger(__name__)
@@ -60,7 +60,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
-        self.budget.take(Part.COUNTER)
+        self.budget.acquire(Part.COUNTER)
 
     def write(self, calls: list[Call]) -> None:
         assert self.transport is not None
@@ -76,7 +76,7 @@
 
     def _note(self, reset: bool) -> None:
         if self.idle_for:
-            self.idle_times.note(self.idle_for, reset)
+            self.idle_times.record_use(self.idle_for, reset)
             self.idle_for = 0.0
 
     def data_received(self, data: bytes) -> None:
@@ -103,9 +103,9 @@
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.budget.free(Part.COUNTER)
+        self.budget.release(Part.COUNTER)
         if self.owed and not self.closed:
-            self._note(reset=now_ms() - self.used_at < AT_ONCE_MS)
+            self._note(reset=now_ms() - self.used_at < IMMEDIATE_RESET_MS)
         self.closed = True
         owed, self.owed = self.owed, deque()
         for call in owed:
@@ -154,7 +154,7 @@
             if lost or not (connection.owed or self.counter.idle_times.allows(now, connection.idle(now))):
                 connection.drop("silent" if lost else "")
         if connection is None or connection.closed:
-            if not self.counter.budget.may(Part.COUNTER):
+            if not self.counter.budget.has_free(Part.COUNTER):
                 self.fail(Outcome.CONNECT)
             elif self.connecting is None:
                 self.connecting = self.counter.loop.create_task(self.connect())
--- a/switchline/discovery/client.py
+++ b/switchline/discovery/client.py
@@ -16,7 +16,7 @@
 
 from switchline.clock import now_ms
 from switchline.config import Address, parse_address
-from switchline.net.descriptors import FIXED, Budget, Part
+from switchline.net.descriptors import FIXED_PARTS, Budget, Part
 from switchline.net.json_stream import JsonStream, StreamError
 from switchline.policy.interface import BackendEntry, BackendState, ListScope
 
@@ -28,7 +28,7 @@
 SILENT_S = 2.6  # an empty line comes every 2 s
 ANSWER_S = 1.0  # from the opening of a call to the head of its answer
 BACKOFF_S = (0.1, 0.5)  # the first wait before a new call, and the longest
-MOST_CALLS = FIXED[Part.DISCOVERY]  # open at once
+MOST_CALLS = FIXED_PARTS[Part.DISCOVERY]  # open at once
 SPREAD = 0.5  # of a wait, either way
 # A list that has to be asked for comes from one service of a fixed pace for all gateways. Danger: a fleet
 # that asks at once, or again in step, fills its line with asks given up, and nobody is told anything.
@@ -267,7 +267,7 @@
     async def _objects(self, call: Call) -> AsyncGenerator[Any, None]:
         """The objects of a call's answer as they come."""
         reader, writer = await asyncio.open_connection(*self.address)
-        self.budget.take(Part.DISCOVERY)
+        self.budget.acquire(Part.DISCOVERY)
         try:
             http = h11.Connection(h11.CLIENT)
             writer.write(self._encoded_request(http))
@@ -296,7 +296,7 @@
                     return
         finally:
             writer.close()
-            self.budget.free(Part.DISCOVERY)
+            self.budget.release(Part.DISCOVERY)
 
     def _encoded_request(self, http: h11.Connection) -> bytes:
         host, port = self.address
--- a/switchline/net/idle.py
+++ b/switchline/net/idle.py
@@ -1,55 +1,76 @@
-"""How long an idle connection may stand before it is not worth a request any more."""
+"""How long an idle connection may stand before a request on it is likely to be reset."""
 
 from __future__ import annotations
 
 import bisect
 import math
 
-AT_ONCE_MS = 5.0  # a reset that comes sooner than any answer: the connection had been closed before
-FIRST_EDGE_MS, EDGE_STEP = 10.0, 1.5  # of the idle times that are told apart
-FADE_MS = 1_000.0  # between two rounds of fading
-MEMORY_MS = 20_000.0  # an evidence of resets fades to a third, so that longer idle times are tried again
-LEAST_RESETS, LEAST_SHARE, CLEARLY_MORE = 3.0, 0.2, 3.0  # of resets, to shun an idle time; over shorter ones
+IMMEDIATE_RESET_MS = 5.0  # a reset that comes sooner than any answer: the connection had been closed before
+FIRST_BUCKET_MS = 10.0
+BUCKET_GROWTH_RATIO = 1.5
+DECAY_INTERVAL_MS = 1_000.0
+MEMORY_MS = 20_000.0  # evidence fades to a third in this time, so that longer idle times are tried again
+MIN_RESETS = 3.0
+MIN_RESET_RATIO = 0.2
+MIN_EXCESS_RATIO = 3.0  # over the share of resets at shorter idle times
 
 
 class IdleTimes:
-    """Learns how long a connection may stand idle before a request on it is reset at once.
+    """Learns after which idle time connections are reset at once, and advises against using older ones.
 
-    The settings name only the longest time; machines, and boxes on the way, may drop it earlier unsaid.
-    A reset request may have run, so a costly one can't be sent again: an old connection is worth less than a
-    handshake. Uses and resets are kept by idle time; the shortest time with far more resets than those under
-    it is the limit, for as long as the evidence lasts.
+    The settings name only the longest time; machines, and middleboxes on the way, may drop a connection
+    earlier without notice. A request that is reset may have run, so one with effects can't be retried: an old
+    connection is worth less than a handshake. Uses and resets are counted in buckets of idle time; the
+    shortest bucket with far more resets than those below it is the limit, for as long as the evidence lasts.
+
+    Args:
+        max_idle_ms: the limit without evidence.
     """
 
-    def __init__(self, most: float) -> None:
-        self.most = self.limit = most
-        steps = max(0, math.ceil(math.log(most / FIRST_EDGE_MS, EDGE_STEP))) if most > 0 else 0
-        self.edges = [0.0, *(FIRST_EDGE_MS * EDGE_STEP**n for n in range(steps))]
-        self.uses, self.resets, self.faded_at = [0.0] * len(self.edges), [0.0] * len(self.edges), 0.0
+    def __init__(self, max_idle_ms: float) -> None:
+        self.max_idle_ms = max_idle_ms
+        self.limit_ms = max_idle_ms
+        self._bucket_starts_ms = bucket_starts_ms(max_idle_ms)
+        self._uses = [0.0] * len(self._bucket_starts_ms)
+        self._resets = [0.0] * len(self._bucket_starts_ms)
+        self._decayed_at_ms = 0.0
 
-    def note(self, idle: float, reset: bool) -> None:
-        place = bisect.bisect_right(self.edges, idle) - 1
-        self.uses[place] += 1
+    def record_use(self, idle_ms: float, reset: bool) -> None:
+        """Count a request on a connection that had been idle; `reset`: it was reset at once."""
+        bucket = bisect.bisect_right(self._bucket_starts_ms, idle_ms) - 1
+        self._uses[bucket] += 1
         if reset:
-            self.resets[place] += 1
-            self.limit = self._shunned()
-
-    def allows(self, now: float, idle: float) -> bool:
-        if now - self.faded_at > FADE_MS:
-            self._fade(now)
-        return idle < self.limit
-
-    def _fade(self, now: float) -> None:
-        kept, self.faded_at = math.exp((self.faded_at - now) / MEMORY_MS), now
-        self.uses = [use * kept for use in self.uses]
-        self.resets = [reset * kept for reset in self.resets]
-        self.limit = self._shunned()
-
-    def _shunned(self) -> float:
-        uses = resets = 0.0  # of all shorter idle times
-        for edge, use, reset in zip(self.edges, self.uses, self.resets, strict=True):
-            usual = resets / max(uses, 1.0)
-            if reset >= LEAST_RESETS and reset > use * max(LEAST_SHARE, CLEARLY_MORE * usual):
-                return edge
-            uses, resets = uses + use, resets + reset
-        return self.most
+            self._resets[bucket] += 1
+            self.limit_ms = self._evaluate_limit_ms()
+
+    def allows(self, now_ms: float, idle_ms: float) -> bool:
+        """Whether a connection that has been idle for so long is still worth a request."""
+        if now_ms - self._decayed_at_ms > DECAY_INTERVAL_MS:
+            self._decay(now_ms)
+        return idle_ms < self.limit_ms
+
+    def _decay(self, now_ms: float) -> None:
+        factor = math.exp((self._decayed_at_ms - now_ms) / MEMORY_MS)
+        self._decayed_at_ms = now_ms
+        self._uses = [uses * factor for uses in self._uses]
+        self._resets = [resets * factor for resets in self._resets]
+        self.limit_ms = self._evaluate_limit_ms()
+
+    def _evaluate_limit_ms(self) -> float:
+        shorter_uses = 0.0
+        shorter_resets = 0.0
+        for start_ms, uses, resets in zip(self._bucket_starts_ms, self._uses, self._resets, strict=True):
+            usual_ratio = shorter_resets / max(shorter_uses, 1.0)
+            if resets >= MIN_RESETS and resets > uses * max(MIN_RESET_RATIO, MIN_EXCESS_RATIO * usual_ratio):
+                return start_ms
+            shorter_uses += uses
+            shorter_resets += resets
+        return self.max_idle_ms
+
+
+def bucket_starts_ms(max_idle_ms: float) -> list[float]:
+    """The shortest idle time of each bucket, growing by a constant ratio up to the longest."""
+    if max_idle_ms <= 0:
+        return [0.0]
+    growing = max(0, math.ceil(math.log(max_idle_ms / FIRST_BUCKET_MS, BUCKET_GROWTH_RATIO)))
+    return [0.0, *(FIRST_BUCKET_MS * BUCKET_GROWTH_RATIO**n for n in range(growing))]
--- a/switchline/net/json_stream.py
+++ b/switchline/net/json_stream.py
@@ -1,4 +1,4 @@
-"""Splitting a byte stream into JSON objects, which may span lines and be cut anywhere."""
+"""Splitting a byte stream into JSON objects, which may span lines and arrive in any pieces."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import re
 from typing import Any
 
-# A JSON string never holds a raw line break, so within one line each string is whole.
+# A JSON string never holds a raw line break, so within one line each string is complete.
 _STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
@@ -15,43 +15,53 @@
 
 
 class JsonStream:
-    """Collects bytes and gives each JSON object as soon as its last byte has come.
+    """Collects bytes and returns each JSON object as soon as its last byte has arrived.
 
-    Objects follow one another with or without line breaks in between; blank lines count for nothing. What is
-    held back of an unfinished object is at most `longest` bytes.
+    Objects follow one another with or without line breaks in between; blank lines are ignored.
+
+    Args:
+        max_bytes: held of an unfinished object.
     """
 
-    def __init__(self, longest: int) -> None:
-        self.longest = longest
-        self._lines: list[bytes] = []  # whole lines of the object that is coming in
-        self._held = 0  # bytes in these
-        self._depth = 0  # braces and brackets still open at the end of them
-        self._rest = b""  # the line whose end has not come
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes
+        self._lines: list[bytes] = []  # complete lines of the unfinished object
+        self._lines_bytes = 0
+        self._depth = 0  # braces and brackets still open at the end of these lines
+        self._last_line = b""  # the line whose end has not arrived
 
     @property
     def unfinished(self) -> bool:
-        """Whether part of an object has come, and not all of it."""
-        return bool(self._lines or self._rest.strip())
+        """Whether part of an object has arrived, and not all of it."""
+        return bool(self._lines or self._last_line.strip())
 
     def feed(self, data: bytes) -> list[Any]:
-        """The objects that end within `data`. Raises StreamError for what can't become one."""
-        *lines, self._rest = (self._rest + data).split(b"\n")
+        """Return the objects that end within `data`.
+
+        Raises:
+            StreamError: for what can't become an object.
+        """
+        *lines, self._last_line = (self._last_line + data).split(b"\n")
         objects: list[Any] = []
         for line in lines:
             if self._lines or line.strip():
                 objects += self._take_line(line)
         if self._looks_finished():
             objects += self._take_unterminated()
-        if self._held + len(self._rest) > self.longest:
-            raise StreamError(f"an object of more than {self.longest} bytes")
+        if self._lines_bytes + len(self._last_line) > self.max_bytes:
+            raise StreamError(f"an object of more than {self.max_bytes} bytes")
         return objects
 
     def finish(self) -> list[Any]:
-        """The objects in what is left at the end of the stream; raises StreamError if it is cut short."""
-        text = b"\n".join([*self._lines, self._rest])
+        """Return the objects in what is left at the end of the stream.
+
+        Raises:
+            StreamError: if the last one is cut short.
+        """
+        text = b"\n".join([*self._lines, self._last_line])
         self._clear()
-        self._rest = b""
-        return _parse(text) if text.strip() else []
+        self._last_line = b""
+        return _parse_objects(text) if text.strip() else []
 
     def _take_line(self, line: bytes) -> list[Any]:
         if not self._lines and line.rstrip().endswith(b"}"):  # the usual form: one object a line
@@ -60,50 +70,53 @@
             except (ValueError, RecursionError):
                 pass  # it may be the first line of several
         self._lines.append(line)
-        self._held += len(line)
-        self._depth += _balance(line)
+        self._lines_bytes += len(line)
+        self._depth += _depth_change(line)
         if self._depth > 0:
             return []
         text = b"\n".join(self._lines)
         self._clear()
-        return _parse(text)
+        return _parse_objects(text)
 
     def _looks_finished(self) -> bool:
         """Whether the line without an end may be the last one of an object."""
-        return self._rest.rstrip().endswith(b"}") and self._depth + _balance(self._rest) == 0
+        ends_with_brace = self._last_line.rstrip().endswith(b"}")
+        return ends_with_brace and self._depth + _depth_change(self._last_line) == 0
 
     def _take_unterminated(self) -> list[Any]:
-        text = b"\n".join([*self._lines, self._rest])
+        text = b"\n".join([*self._lines, self._last_line])
         try:
-            objects = _parse(text)
+            objects = _parse_objects(text)
         except StreamError:
             return []  # a cut inside a string can look like an end
         self._clear()
-        self._rest = b""
+        self._last_line = b""
         return objects
 
     def _clear(self) -> None:
         self._lines.clear()
-        self._held = 0
+        self._lines_bytes = 0
         self._depth = 0
 
 
-def _balance(line: bytes) -> int:
-    """How many more braces and brackets are opened in a line than closed."""
+def _depth_change(line: bytes) -> int:
+    """How many more braces and brackets a line opens than it closes."""
     bare = _STRING.sub(b"", line)
-    return bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
+    opened = bare.count(b"{") + bare.count(b"[")
+    closed = bare.count(b"}") + bare.count(b"]")
+    return opened - closed
 
 
-def _parse(text: bytes) -> list[Any]:
-    """All objects in a text that holds nothing else."""
+def _parse_objects(text: bytes) -> list[Any]:
+    """Return all objects of a text that holds nothing else."""
     decoder = json.JSONDecoder()
     objects: list[Any] = []
     try:
-        left = text.decode().strip()
-        while left:
-            found, end = decoder.raw_decode(left)
-            objects.append(found)
-            left = left[end:].lstrip()
+        remaining = text.decode().strip()
+        while remaining:
+            parsed, end = decoder.raw_decode(remaining)
+            objects.append(parsed)
+            remaining = remaining[end:].lstrip()
     except (ValueError, RecursionError) as error:
         raise StreamError(str(error)) from error
     return objects
--- a/switchline/net/socket_state.py
+++ b/switchline/net/socket_state.py
@@ -5,8 +5,8 @@
 import select
 
 
-def _pending(fd: int, events: int) -> int:
-    """The events that are pending; raises OSError where the system can't say."""
+def _pending_events(fd: int, events: int) -> int:
+    """Return the events that are pending; raises OSError where the system can't say."""
     poller = select.poll()
     poller.register(fd, events)
     ready = poller.poll(0)
@@ -14,23 +14,23 @@
 
 
 def peer_has_closed(fd: int) -> bool:
-    """Whether the peer has closed its side or reset the connection, be it behind unread bytes.
+    """Whether the peer has closed its side or reset the connection, even if unread bytes precede that.
 
-    Where the system can't say, it is not known to have.
+    False where the system can't say.
     """
-    ended = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+    closed = select.POLLRDHUP | select.POLLHUP | select.POLLERR
     try:
-        return bool(_pending(fd, select.POLLRDHUP) & ended)
+        return bool(_pending_events(fd, select.POLLRDHUP) & closed)
     except OSError:
         return False
 
 
 def has_unread_bytes(fd: int) -> bool:
-    """Whether a read would give something: bytes, or the end of the stream.
+    """Whether a read would return something: bytes, or the end of the stream.
 
-    Where the system can't say, it might: a close over unread bytes would lose them.
+    True where the system can't say, as a close over unread bytes would lose them.
     """
     try:
-        return bool(_pending(fd, select.POLLIN))
+        return bool(_pending_events(fd, select.POLLIN))
     except OSError:
         return True
--- a/switchline/operators/server.py
+++ b/switchline/operators/server.py
@@ -13,8 +13,9 @@
 import h11
 
 from switchline.config import Address
-from switchline.net.accept import Acceptor, ListenError, listening, listening_in_time
+from switchline.net.accept import Acceptor
 from switchline.net.descriptors import Budget, Part
+from switchline.net.listen import ListenError, listen, listen_with_retries
 
 log = logging.getLogger(__name__)
 
@@ -176,25 +177,25 @@
     def listen_soon(self, address: Address) -> None:
         """Start to accept, at once where the machine lets it, else while the gateway serves already."""
         try:
-            self.listen(listening(address, BACKLOG))
+            self.listen(listen(address, BACKLOG))
         except OSError as error:
             log.warning("operators can't call yet: %s", error)
             self.later = asyncio.get_running_loop().create_task(self._listen_later(address))
 
     async def _listen_later(self, address: Address) -> None:
         try:
-            self.listen(await listening_in_time(address, BACKLOG, math.inf))
+            self.listen(await listen_with_retries(address, BACKLOG, math.inf))
         except ListenError as error:
             log.error("operators can't call: %s", error)
 
     def listen(self, made: socket.socket) -> int:
         """Start to accept on a listening socket; gives the port."""
-        self.budget.keep_spare()
-        self.acceptor = Acceptor(made, lambda: OperatorConnection(self), self.budget, first=True)
+        self.budget.keep_reserve()
+        self.acceptor = Acceptor(made, lambda: OperatorConnection(self), self.budget, may_use_reserve=True)
         return self.acceptor.port
 
     def opened(self, connection: OperatorConnection) -> None:
-        self.budget.take(Part.OPERATORS)
+        self.budget.acquire(Part.OPERATORS)
         self.connections[connection] = None
         if len(self.connections) > MOST_CONNECTIONS:
             oldest = next(iter(self.connections))
@@ -203,7 +204,7 @@
                 oldest.transport.abort()
 
     def closed(self, connection: OperatorConnection) -> None:
-        self.budget.free(Part.OPERATORS)
+        self.budget.release(Part.OPERATORS)
         self.connections.pop(connection, None)
 
     def close(self) -> None:
--- a/switchline/service/driver.py
+++ b/switchline/service/driver.py
@@ -232,7 +232,9 @@
         if command.id in self.requests:
             raise ValueError("id in use")
         event = self.read(command)
-        self.shares.most = min(self.max_open, OPEN_PER_CONNECTION * self.backends.budget.most(Part.BACKENDS))
+        self.shares.most = min(
+            self.max_open, OPEN_PER_CONNECTION * self.backends.budget.limit_of(Part.BACKENDS)
+        )
         self.shares.pressed_at = int(self.shares.most * PRESSED)
         if self.ending or not self.shares.admits(event.customer):
             return self.crowd(event.request_class, slot)
--- a/switchline/service/program.py
+++ b/switchline/service/program.py
@@ -16,7 +16,7 @@
 
 from switchline.config import Config, ConfigError, load_config
 from switchline.discovery.client import DiscoveryError
-from switchline.net.accept import ListenError
+from switchline.net.listen import ListenError
 from switchline.service.service import Service
 
 log = logging.getLogger("switchline")
--- a/switchline/service/service.py
+++ b/switchline/service/service.py
@@ -21,8 +21,8 @@
 from switchline.counter.client import Counter
 from switchline.discovery.client import Discovery, Member, asks_apart, read_list
 from switchline.guard import Guard
-from switchline.net.accept import inherited, listening_in_time
-from switchline.net.descriptors import OF_LINE, OF_STATE, OWN, Budget
+from switchline.net.descriptors import FLEET_DESCRIPTORS, PROCESS_DESCRIPTORS, STATE_DESCRIPTORS, Budget
+from switchline.net.listen import inherited_listener, listen_with_retries
 from switchline.net.streams import BufferBudget
 from switchline.operators.metrics import Metrics, OutcomeKind
 from switchline.operators.overrides import OperatorOverrides, private_file
@@ -368,7 +368,9 @@
             self.operators.listen_soon(self.config.operator)
         if self.fleet_recovery is not None and not took_over:
             await self.fleet_recovery.catch_up()
-        listener = inherited() or await listening_in_time(self.config.listen, BACKLOG, LISTEN_WITHIN_S)
+        listener = inherited_listener() or await listen_with_retries(
+            self.config.listen, BACKLOG, LISTEN_WITHIN_S
+        )
         port = self.clients.listen(listener)
         gc.collect()
         gc.freeze()  # what was loaded stays: no pause to look at it again
@@ -383,7 +385,11 @@
     @staticmethod
     def own(config: Config) -> int:
         """Descriptors of the process itself, with those of the parts that are on."""
-        return OWN + (OF_STATE if config.state else 0) + (OF_LINE if config.line else 0)
+        return (
+            PROCESS_DESCRIPTORS
+            + (STATE_DESCRIPTORS if config.state else 0)
+            + (FLEET_DESCRIPTORS if config.line else 0)
+        )
 
     # ---- the line to other gateways ----
 
@@ -556,7 +562,7 @@
         """The new process takes clients: what is open here ends, and then this process does."""
         log.info("another process takes the clients")
         self.clients.hand_over()
-        self.budget.hand_over()
+        self.budget.freeze()
         self.part(leave=False)  # the new process has this name now
         if self.recovery is not None:
             self.recovery.hand_over()
@@ -576,7 +582,7 @@
         if self.emptying is not None:
             self.emptying.cancel()
             self.emptying = None
-            self.budget.take_back()
+            self.budget.unfreeze()
             self.clients.take_back()
             if self.recovery is not None:
                 self.recovery.take_files()
@@ -584,7 +590,7 @@
 
     def share(self, held: int) -> None:
         """Both processes hold their descriptors together."""
-        self.budget.beside = max(0, held)
+        self.budget.peer_process_descriptors = max(0, held)
 
     async def follow(self, changes: asyncio.Queue[Config]) -> None:
         """Take over what may change while a gateway runs: addresses of discovery and counter, connections."""
@@ -597,13 +603,13 @@
 
     async def change(self, config: Config) -> None:
         """Act on a new configuration."""
-        self.budget.configured, self.budget.shares = config.sockets, config.shares
+        self.budget.configured_limit, self.budget.shares = config.sockets, config.shares
         if config.settings.regions != self.config.settings.regions:
             self.driver.give(api.RegionsChanged(config.settings.regions))
         moved = config.line != self.config.line
         self.config = config
         self.note_config("SIGHUP")
-        self.budget.own = self.own(config)
+        self.budget.process_descriptors = self.own(config)
         if moved:
             self.part(leave=True)
             await self.join()
--- a/switchline/upgrade/handover.py
+++ b/switchline/upgrade/handover.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any, cast
 
-from switchline.net.accept import close_socket
+from switchline.net.listen import close_socket
 
 log = logging.getLogger(__name__)
 
--- a/tests/backends/test_backends.py
+++ b/tests/backends/test_backends.py
@@ -224,9 +224,9 @@
         async with pool(server) as made:
             assert (await Try(made).result())[0] is Outcome.OK
             connection = await idle_connection(made)
-            connection.idle_since -= made.idle_times.limit - 20
+            connection.idle_since -= made.idle_times.limit_ms - 20
             await until(lambda: server.ended)
-            assert not made.connections and made.idle_times.limit < 15_000 * 0.8
+            assert not made.connections and made.idle_times.limit_ms < 15_000 * 0.8
 
     in_loop(scenario)
 
@@ -355,10 +355,10 @@
 def test_an_idle_time_after_which_requests_are_reset_is_shunned_until_the_evidence_fades() -> None:
     times = IdleTimes(9_000.0)
     for number in range(40):  # resets as such, at whatever idle time, shun nothing
-        times.note(5.0 + number * 10, reset=number % 10 == 0)
+        times.record_use(5.0 + number * 10, reset=number % 10 == 0)
     assert times.allows(1_000.0, 8_000.0)
     for number in range(40):
-        times.note(300.0, reset=number % 2 == 0)
+        times.record_use(300.0, reset=number % 2 == 0)
     assert not times.allows(2_000.0, 400.0) and not times.allows(2_000.0, 8_000.0)
     assert times.allows(2_000.0, 100.0)
     assert times.allows(2_000.0 + 3 * MEMORY_MS, 400.0)
@@ -367,7 +367,7 @@
 def test_a_backend_that_drops_idle_connections_unsaid_is_no_longer_sent_work_on_them(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(module, "AT_ONCE_MS", 10_000.0)  # a test machine may be slow
+    monkeypatch.setattr(module, "IMMEDIATE_RESET_MS", 10_000.0)  # a test machine may be slow
 
     async def scenario() -> None:
         class Dropping(Backend):
--- a/tests/clients/test_connections.py
+++ b/tests/clients/test_connections.py
@@ -28,8 +28,9 @@
 from switchline.clients.server import ClientConnection, ClientServer, Slot
 from switchline.config import ConfigError, load_config, parse_config
 from switchline.net import accept
-from switchline.net.accept import Acceptor, Pace
-from switchline.net.descriptors import FIXED, LEAST, OWN, Budget, Part, Shares
+from switchline.net.accept import Acceptor, AcceptRate
+from switchline.net.descriptors import FIXED_PARTS, MIN_CONNECTIONS, PROCESS_DESCRIPTORS, Budget, Part, Shares
+from switchline.net.listen import listen
 from switchline.net.streams import BufferBudget
 from switchline.operators.metrics import Evicted, Metrics
 from switchline.policy.fair_shares import FairShares
@@ -45,35 +46,40 @@
 @given(st.integers(150, 4096), st.integers(0, 4096), st.floats(0.05, 0.6), st.floats(0.05, 0.3))
 def test_the_parts_fit_into_the_limit(limit: int, beside: int, clients: float, backends: float) -> None:
     budget = Budget(limit, Shares(clients=clients, backends=backends))
-    budget.beside = beside
-    parts = OWN + sum(budget.most(part) for part in Part)
-    least = OWN + sum(FIXED.values()) + 2 * LEAST
-    assert parts <= max(limit - beside, least) and all(budget.most(part) >= LEAST for part in budget.held)
+    budget.peer_process_descriptors = beside
+    parts = PROCESS_DESCRIPTORS + sum(budget.limit_of(part) for part in Part)
+    least = PROCESS_DESCRIPTORS + sum(FIXED_PARTS.values()) + 2 * MIN_CONNECTIONS
+    assert parts <= max(limit - beside, least) and all(
+        budget.limit_of(part) >= MIN_CONNECTIONS for part in budget.in_use
+    )
 
 
 def test_the_budget_follows_the_limits_and_the_other_process(monkeypatch: pytest.MonkeyPatch) -> None:
     budget = Budget(256)
-    assert (budget.most(Part.CLIENTS), budget.most(Part.BACKENDS)) == (128, 64)
-    budget.beside = 100
-    assert (budget.most(Part.CLIENTS), budget.most(Part.BACKENDS)) == (70, 35)
-    budget.beside = 250
-    assert (budget.most(Part.CLIENTS), budget.most(Part.BACKENDS)) == (LEAST, LEAST)
-    budget.beside, budget.configured = 0, 1024
-    assert budget.most(Part.CLIENTS) == 512
+    assert (budget.limit_of(Part.CLIENTS), budget.limit_of(Part.BACKENDS)) == (128, 64)
+    budget.peer_process_descriptors = 100
+    assert (budget.limit_of(Part.CLIENTS), budget.limit_of(Part.BACKENDS)) == (70, 35)
+    budget.peer_process_descriptors = 250
+    assert (budget.limit_of(Part.CLIENTS), budget.limit_of(Part.BACKENDS)) == (
+        MIN_CONNECTIONS,
+        MIN_CONNECTIONS,
+    )
+    budget.peer_process_descriptors, budget.configured_limit = 0, 1024
+    assert budget.limit_of(Part.CLIENTS) == 512
     monkeypatch.setattr("resource.getrlimit", lambda _: (300, 400))  # less than configured
-    assert budget.most(Part.CLIENTS) == 150 and budget.gauges()["descriptors.limit"] == 300
+    assert budget.limit_of(Part.CLIENTS) == 150 and budget.gauges()["descriptors.limit"] == 300
 
 
 def test_the_old_process_of_an_upgrade_does_not_grow() -> None:
     budget = Budget(256)
     for _ in range(20):
-        budget.take(Part.BACKENDS)
-    budget.hand_over()
-    assert not budget.may(Part.BACKENDS)
-    budget.free(Part.BACKENDS)
-    assert budget.may(Part.BACKENDS)
-    budget.take_back()
-    assert budget.most(Part.BACKENDS) == 64
+        budget.acquire(Part.BACKENDS)
+    budget.freeze()
+    assert not budget.has_free(Part.BACKENDS)
+    budget.release(Part.BACKENDS)
+    assert budget.has_free(Part.BACKENDS)
+    budget.unfreeze()
+    assert budget.limit_of(Part.BACKENDS) == 64
 
 
 def test_a_shortage_closes_what_can_be_spared_and_no_more() -> None:
@@ -87,7 +93,7 @@
 
         return spare
 
-    budget.relief = [gives(3), gives(2)]
+    budget.relief_callbacks = [gives(3), gives(2)]
     assert not budget.relieve(OSError(errno.ECONNREFUSED, "refused"))
     assert budget.relieve(OSError(errno.EMFILE, "none left")) and asked == [8, 5]
     assert budget.shortages == 1
@@ -270,7 +276,7 @@
     assert not any(map(ended, proven)) and [bool(ended(c)) for c in silent] == [True] * 68 + [False] * 32
     assert place.figures.evicted[Evicted.YOUNG] == 68
     place.settle()
-    assert place.budget.held[Part.CLIENTS] == 128
+    assert place.budget.in_use[Part.CLIENTS] == 128
     assert place.server.gauges() == {"clients.young": 32, "clients.in_use": 0, "clients.idle": 96}
 
 
@@ -374,7 +380,7 @@
         place.settle()
         assert place.server.live == len(place.server.connections) <= place.server.most + 1
         assert len(place.server.young) <= 2 or place.server.live <= 7
-        assert place.budget.held[Part.CLIENTS] == len(place.server.connections)
+        assert place.budget.in_use[Part.CLIENTS] == len(place.server.connections)
         assert place.server.shares.held == {p: len(h) for p, h in place.server.proven.items()}
 
 
@@ -385,10 +391,10 @@
         for connection in busy:
             place.ask(connection)
         idle = [place.idle() for _ in range(60)]
-        place.budget.configured = 100  # by SIGHUP: 32 places
+        place.budget.configured_limit = 100  # by SIGHUP: 32 places
         place.server.sweep()
         assert not any(map(ended, busy)) and sum(map(bool, map(ended, idle))) == 80 - place.server.most
-        place.budget.beside = 90  # by the other process of an upgrade
+        place.budget.peer_process_descriptors = 90  # by the other process of an upgrade
         place.server.sweep()
         assert not any(map(ended, busy)) and all(map(ended, idle))
         place.server.close()
@@ -404,7 +410,7 @@
             opened = len(made.connections)
             assert opened > 8
             await until(lambda: len(made.hosts[0].idle) == opened)
-            made.budget.beside = 2_000
+            made.budget.peer_process_descriptors = 2_000
             made.sweep()
             assert len(made.connections) == 8
 
@@ -440,7 +446,7 @@
         connection.check(start + limit + 0.1)
         assert ended(connection) and place.figures.evicted[reason] == 1, reason
     place.settle()
-    assert place.budget.held[Part.CLIENTS] == 0 and not place.server.shares.held and not place.server.proven
+    assert place.budget.in_use[Part.CLIENTS] == 0 and not place.server.shares.held and not place.server.proven
 
 
 def test_one_that_reads_by_dribbles_is_let_go_in_the_end() -> None:
@@ -488,15 +494,15 @@
 
 
 def test_the_pace_of_accepting_follows_the_length_of_a_turn() -> None:
-    pace, now = Pace(), 100.0
-    assert pace.turn(now, rushed=False) == accept.AT_ONCE
+    pace, now = AcceptRate(), 100.0
+    assert pace.next_batch(now, backlogged=False) == accept.MAX_BATCH
     for most in (4, 2, 1, 1):  # turns that come late
         now += 0.05
-        assert pace.turn(now, rushed=True) == most
+        assert pace.next_batch(now, backlogged=True) == most
     for most in (2, 3, 4):
         now += 0.001
-        assert pace.turn(now, rushed=True) == most
-    assert pace.turn(now + 5, rushed=False) == accept.AT_ONCE  # there was nothing to do meanwhile
+        assert pace.next_batch(now, backlogged=True) == most
+    assert pace.next_batch(now + 5, backlogged=False) == accept.MAX_BATCH  # there was nothing to do meanwhile
 
 
 def test_a_rush_beyond_the_backlog_is_answered_in_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -545,14 +551,14 @@
 
     async def scenario() -> None:
         for first, asked in ((False, 1), (True, 2)):
-            budget, made = Budget(256), accept.listening((LOCAL, 0), 5)
-            budget.keep_spare()
+            budget, made = Budget(256), listen((LOCAL, 0), 5)
+            budget.keep_reserve()
             acceptor = Acceptor(made, asyncio.Protocol, budget, first)
             short = Short(1)
             acceptor.socket = SimpleNamespace(accept=short, fileno=made.fileno)  # type: ignore[assignment]
             acceptor._accept()
-            assert short.asked == asked and (acceptor.resting is None) is first
-            assert (budget.spare is None) is first and budget.shortages == 1
+            assert short.asked == asked and (acceptor.paused_by_shortage is None) is first
+            assert (budget.reserve is None) is first and budget.shortages == 1
             acceptor.socket = made
             acceptor.close()
             budget.close()
@@ -716,7 +722,7 @@
             tries = [Try(made, backend=n % 40, wait=8_000) for n in range(400)]
             outcomes = Counts([(await t.result())[0] for t in tries])
             assert outcomes == {Outcome.OK: 400}
-            assert len(made.connections) <= 64 and made.budget.held[Part.BACKENDS] == len(made.connections)
+            assert len(made.connections) <= 64 and made.budget.in_use[Part.BACKENDS] == len(made.connections)
 
     in_loop(scenario)
 
@@ -848,21 +854,21 @@
     for budget in (old, new):
         for part, number in usual.items():
             for _ in range(number):
-                budget.take(part)
+                budget.acquire(part)
     for part in (Part.CLIENTS, Part.BACKENDS):
-        while old.may(part):
-            old.take(part)
-    old.hand_over()
-    while old.held[Part.CLIENTS]:  # its clients leave one by one; the new one grows into their places
-        new.beside = old.total
+        while old.has_free(part):
+            old.acquire(part)
+    old.freeze()
+    while old.in_use[Part.CLIENTS]:  # its clients leave one by one; the new one grows into their places
+        new.peer_process_descriptors = old.total
         for part in (Part.CLIENTS, Part.BACKENDS):
-            while new.may(part):
-                new.take(part)
-            while new.held[part] > new.most(part):
-                new.free(part)
+            while new.has_free(part):
+                new.acquire(part)
+            while new.in_use[part] > new.limit_of(part):
+                new.release(part)
         assert old.total + new.total <= 256
-        old.free(Part.CLIENTS)
-        assert not old.may(Part.BACKENDS)
+        old.release(Part.CLIENTS)
+        assert not old.has_free(Part.BACKENDS)
 
 
 def test_sighup_in_a_rush_harms_nobody_and_a_drain_in_one_ends(tmp_path: Path) -> None:
--- a/tests/counter/test_counter.py
+++ b/tests/counter/test_counter.py
@@ -209,7 +209,7 @@
 
 def test_a_connection_that_stood_idle_too_long_is_not_used_again(monkeypatch: pytest.MonkeyPatch) -> None:
     """Dropped unsaid while idle, it would be reset under the next call, which may then have been added."""
-    monkeypatch.setattr(module, "AT_ONCE_MS", 10_000.0)  # a test machine may be slow
+    monkeypatch.setattr(module, "IMMEDIATE_RESET_MS", 10_000.0)  # a test machine may be slow
 
     class Dropping(Service):
         """Resets a call of 2 on a connection that has had another call before."""
--- a/tests/service/test_process.py
+++ b/tests/service/test_process.py
@@ -20,8 +20,9 @@
 from switchline import clock
 from switchline.clients.server import ClientServer
 from switchline.config import ConfigError, parse_config
-from switchline.net.accept import Acceptor, listening
+from switchline.net.accept import Acceptor
 from switchline.net.descriptors import Budget
+from switchline.net.listen import listen
 from switchline.net.streams import BufferBudget
 from switchline.operators.metrics import Metrics
 from switchline.service.service import CLOSING_S, Service
@@ -255,7 +256,7 @@
     """Closing the listening socket resets what waits in its backlog, with the requests on it."""
 
     async def scenario() -> None:
-        made = listening((LOCAL, 0), 16)
+        made = listen((LOCAL, 0), 16)
         opened: list[str] = []
 
         class Opened(asyncio.Protocol):
@@ -265,7 +266,7 @@
 
         acceptor = Acceptor(made, Opened, Budget(256))
         waiting = [socket.create_connection((LOCAL, acceptor.port)) for _ in range(12)]  # in this very turn
-        acceptor.accept_rest()
+        acceptor.accept_backlog()
         acceptor.close()
         assert len(acceptor.opening) == 12
         await asyncio.wait(list(acceptor.opening))
@@ -279,7 +280,7 @@
 def test_the_end_waits_for_a_connection_that_is_being_opened() -> None:
     async def scenario() -> None:
         server = ClientServer(None, Budget(256), BufferBudget(2**26), Metrics([]))  # type: ignore[arg-type]
-        port = server.listen(listening((LOCAL, 0), 16))
+        port = server.listen(listen((LOCAL, 0), 16))
         sock = socket.create_connection((LOCAL, port))
         server.stop_accepting()
         assert server.empty.is_set() and server.holds_clients
--- a/tests/state/test_recovery.py
+++ b/tests/state/test_recovery.py
@@ -22,7 +22,7 @@
 from test_upgrade import Site, site
 
 from switchline.config import ConfigError, parse_config
-from switchline.net.descriptors import OF_STATE, OWN, Budget
+from switchline.net.descriptors import PROCESS_DESCRIPTORS, STATE_DESCRIPTORS, Budget
 from switchline.state import recovery, store
 from switchline.state.store import FILE, Files
 from testbed.network.addresses import claimed_port
@@ -150,10 +150,13 @@
         async with running(RecordsPersisted(tmp_path / "s", Backend())) as world:
             await committed(world)
             links = [os.path.realpath(link) for link in Path("/proc/self/fd").iterdir()]
-            assert 0 < sum(link.startswith(str(tmp_path / "s")) for link in links) <= OF_STATE
+            assert 0 < sum(link.startswith(str(tmp_path / "s")) for link in links) <= STATE_DESCRIPTORS
 
     in_loop(scenario)
-    assert Budget(256, own=OWN + OF_STATE).total == Budget(256).total + OF_STATE
+    assert (
+        Budget(256, process_descriptors=PROCESS_DESCRIPTORS + STATE_DESCRIPTORS).total
+        == Budget(256).total + STATE_DESCRIPTORS
+    )
 
 
 def test_a_list_that_is_not_whole_on_disk_is_left_out(
