--- a/switchline/counter/client.py
+++ b/switchline/counter/client.py
@@ -1,129 +1,27 @@
-"""The client of the counter service."""
+"""The client of the counter service: calls by name over a few connections."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
-import math
 import zlib
-from collections import deque
-from collections.abc import Callable
 from functools import partial
-from typing import cast
 
-from switchline.clock import Timer, Timers, now_ms
+from switchline.clock import Timers, now_ms
 from switchline.config import Address
+from switchline.counter.connection import SILENCE_LIMIT_MS, Call, Callback, CounterConnection
+from switchline.counter.protocol import encode_call
 from switchline.net.descriptors import Budget, Part
-from switchline.net.idle import IMMEDIATE_RESET_MS, IdleTimes
+from switchline.net.idle import IdleTimes
 from switchline.policy.interface import Outcome
 
 log = logging.getLogger(__name__)
 
-PATIENCE = 4.0  # times the settings' wait: a busy counter's later answers are as true and cost no call more
-CONNECTIONS = 4  # a slow part of the counter holds up only the answers behind it on one of them
-SILENT_MS = 1_000.0  # a connection that owes an answer and says nothing for this long is taken for lost
-RETIRE_MS = 3_000.0  # unused for this long: closed before the counter does it under a call
-MOST_OWED = 1_000  # calls written and unanswered on one connection
-LONGEST_LINE = 1024
-
-Done = Callable[[str, Outcome, float], None]
-
-
-class Call:
-    """One call; `done` is called exactly once."""
-
-    __slots__ = ("done", "line", "name", "over", "timer")
-
-    def __init__(self, name: str, line: bytes, done: Done) -> None:
-        self.name, self.line, self.done, self.over = name, line, done, False
-        self.timer: Timer | None = None
-
-    def end(self, outcome: Outcome, reading: float = 0.0) -> None:
-        if not self.over:
-            self.over = True
-            if self.timer is not None:
-                self.timer.cancel()
-            self.done(self.name, outcome, reading)
-
-
-class CounterConnection(asyncio.Protocol):
-    """Calls written one behind another; the oldest unanswered one gets the next answer, however late."""
-
-    def __init__(self, idle_times: IdleTimes, budget: Budget) -> None:
-        self.budget = budget
-        self.transport: asyncio.Transport | None = None
-        self.owed: deque[Call] = deque()
-        self.rest = b""
-        self.closed = False
-        self.heard_at = self.used_at = now_ms()
-        self.idle_times, self.idle_for = idle_times, 0.0  # idle_for: before the calls that are owed
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
-        self.budget.acquire(Part.COUNTER)
-
-    def write(self, calls: list[Call]) -> None:
-        assert self.transport is not None
-        now = now_ms()
-        if not self.owed:
-            self.idle_for, self.heard_at = self.idle(now), now
-        self.used_at = now
-        self.owed.extend(calls)
-        self.transport.write(b"".join(call.line for call in calls))
-
-    def idle(self, now: float) -> float:
-        return now - max(self.used_at, self.heard_at)
-
-    def _note(self, reset: bool) -> None:
-        if self.idle_for:
-            self.idle_times.record_use(self.idle_for, reset)
-            self.idle_for = 0.0
-
-    def data_received(self, data: bytes) -> None:
-        self.heard_at = now_ms()
-        self._note(reset=False)
-        *lines, self.rest = (self.rest + data).split(b"\n")
-        for line in lines:
-            if not self.owed:
-                return self.drop("an answer to nothing")
-            # A late answer belongs to its own call, which has ended, and is not the next one's.
-            outcome, total = read_answer(line)
-            self.owed.popleft().end(outcome, total)
-            if outcome is Outcome.TIMED_OUT:
-                # Where it ends is not known, so what follows could be taken for another call's answer.
-                return self.drop(f"it said {line[:80]!r}")
-        if len(self.rest) > LONGEST_LINE:
-            self.drop("an endless line")
-
-    def drop(self, reason: str = "") -> None:
-        if reason:
-            log.warning("counter connection dropped: %s", reason)
-        self.closed = True
-        if self.transport is not None:
-            self.transport.abort()
-
-    def connection_lost(self, error: Exception | None) -> None:
-        self.budget.release(Part.COUNTER)
-        if self.owed and not self.closed:
-            self._note(reset=now_ms() - self.used_at < IMMEDIATE_RESET_MS)
-        self.closed = True
-        owed, self.owed = self.owed, deque()
-        for call in owed:
-            call.end(Outcome.TIMED_OUT)  # it may have been added
-
-
-def read_answer(line: bytes) -> tuple[Outcome, float]:
-    words = line.split()
-    if len(words) == 2 and words[0] == b"ok":
-        try:
-            total = float(words[1])
-        except ValueError:
-            total = math.nan
-        if math.isfinite(total):
-            return Outcome.OK, total
-    elif words in ([b"busy"], [b"error"]):
-        return Outcome.FULL, 0.0
-    return Outcome.TIMED_OUT, 0.0  # whether it was added is not known
+# Of the settings' wait. A busy counter's late answers are as true as others, and waiting adds no calls.
+TIMEOUT_FACTOR = 4.0
+CONNECTIONS = 4  # a slow part of the counter delays only the answers behind it on one of them
+MAX_IDLE_MS = 3_000.0  # an unused connection is replaced before the counter closes it under a call
+MAX_UNANSWERED = 1_000  # calls on one connection
 
 
 class Lane:
@@ -133,103 +31,142 @@
         self.counter = counter
         self.connection: CounterConnection | None = None
         self.waiting: list[Call] = []  # for a connection, or for the end of this turn of the event loop
-        self.flushing = False
         self.connecting: asyncio.Task[None] | None = None
+        self._flush_scheduled = False
 
     def add(self, call: Call) -> None:
+        """Write a call at the end of this turn of the event loop, with others that arrive in it."""
         self.waiting.append(call)
-        if not self.flushing:
-            self.flushing = True
-            self.counter.loop.call_soon(self.flush)
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
+            self.counter.loop.call_soon(self._flush)
+
+    def replace_connection(self) -> None:
+        """Open a new connection for the next call; the old one stays a while for the answers it owes."""
+        if self.connection is not None:
+            self.counter.loop.call_later(SILENCE_LIMIT_MS / 1000, self.connection.drop)
+            self.connection = None
+
+    def close(self) -> None:
+        """Close the connection, or stop opening one."""
+        if self.connecting is not None:
+            self.connecting.cancel()
+        if self.connection is not None:
+            self.connection.drop()
 
-    def flush(self) -> None:
-        self.flushing = False
-        self.waiting = [call for call in self.waiting if not call.over]
+    def _flush(self) -> None:
+        self._flush_scheduled = False
+        self.waiting = [call for call in self.waiting if not call.ended]
         if not self.waiting:
             return
-        connection, now = self.connection, now_ms()
-        if connection is not None and not connection.closed:
-            # The counter's machine may have vanished: such a connection stays open and silent for ever.
-            lost = bool(connection.owed) and now - connection.heard_at > SILENT_MS
-            if lost or not (connection.owed or self.counter.idle_times.allows(now, connection.idle(now))):
-                connection.drop("silent" if lost else "")
-        if connection is None or connection.closed:
-            if not self.counter.budget.has_free(Part.COUNTER):
-                self.fail(Outcome.CONNECT)
-            elif self.connecting is None:
-                self.connecting = self.counter.loop.create_task(self.connect())
-        elif len(connection.owed) >= MOST_OWED:
-            self.fail(Outcome.FULL)
+        self._drop_unusable_connection()
+        if self.connection is None or self.connection.closed:
+            self._connect_in_background()
+        elif len(self.connection.unanswered) >= MAX_UNANSWERED:
+            self._fail_waiting(Outcome.FULL)
         else:
-            calls, self.waiting = self.waiting, []
-            connection.write(calls)
+            calls = self.waiting
+            self.waiting = []
+            self.connection.write(calls)
+
+    def _drop_unusable_connection(self) -> None:
+        connection = self.connection
+        if connection is None or connection.closed:
+            return
+        now = now_ms()
+        if connection.is_silent(now):
+            connection.drop("silent")
+            return
+        in_use = bool(connection.unanswered)
+        if not in_use and not self.counter.idle_times.allows(now, connection.idle_ms(now)):
+            connection.drop()
+
+    def _connect_in_background(self) -> None:
+        if not self.counter.budget.has_free(Part.COUNTER):
+            self._fail_waiting(Outcome.CONNECT)
+        elif self.connecting is None:
+            self.connecting = self.counter.loop.create_task(self._connect())
 
-    async def connect(self) -> None:
+    async def _connect(self) -> None:
         address = self.counter.address
+        make_protocol = partial(CounterConnection, self.counter.idle_times, self.counter.budget)
         try:
-            async with asyncio.timeout(self.counter.wait / 1000):
-                make = partial(CounterConnection, self.counter.idle_times, self.counter.budget)
-                _, made = await self.counter.loop.create_connection(make, *address)
+            async with asyncio.timeout(self.counter.timeout_ms / 1000):
+                _, connection = await self.counter.loop.create_connection(make_protocol, *address)
             if address == self.counter.address:
-                self.connection = made
+                self.connection = connection
             else:
-                made.drop()  # the counter moved meanwhile
-        except OSError as error:  # time-outs are among these
+                connection.drop()  # the counter moved meanwhile
+        except OSError as error:  # TimeoutError is one
             self.counter.budget.relieve(error)
-            self.fail(Outcome.CONNECT)
+            self._fail_waiting(Outcome.CONNECT)
         finally:
             self.connecting = None
-        self.flush()
+        self._flush()
 
-    def leave(self) -> None:
-        """Open a new connection for the next call; the old one stays a while for the answers it owes."""
-        if self.connection is not None:
-            self.counter.loop.call_later(SILENT_MS / 1000, self.connection.drop)
-            self.connection = None
-
-    def fail(self, outcome: Outcome) -> None:
+    def _fail_waiting(self, outcome: Outcome) -> None:
         """End the calls that were never written: nothing was added."""
-        calls, self.waiting = self.waiting, []
+        calls = self.waiting
+        self.waiting = []
         for call in calls:
             call.end(outcome)
 
 
 class Counter:
+    """Adds to named numbers on the counter service.
+
+    Args:
+        loop: the event loop.
+        timers: of the gateway.
+        address: of the service.
+        wait_ms: the settings' wait for an answer.
+        budget: of descriptors.
+    """
+
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         timers: Timers,
         address: Address,
-        wait: float,
+        wait_ms: float,
         budget: Budget,
     ) -> None:
-        self.loop, self.timers, self.address, self.wait = loop, timers, address, wait * PATIENCE
+        self.loop = loop
+        self.timers = timers
+        self.address = address
+        self.timeout_ms = wait_ms * TIMEOUT_FACTOR
         self.budget = budget
-        self.idle_times = IdleTimes(RETIRE_MS)
+        self.idle_times = IdleTimes(MAX_IDLE_MS)
         self.lanes = [Lane(self) for _ in range(CONNECTIONS)]
 
-    def add(self, name: str, amount: float, expire_in: float, done: Done) -> None:
-        encoded = name.encode()
-        line = b"tally %b %b %d\r\n" % (encoded, b"%.6f" % amount, max(1, int(expire_in)))
-        call = Call(name, line, done)
-        lane = self.lanes[zlib.crc32(encoded) % len(self.lanes)]
+    def add(self, name: str, amount: float, expire_ms: float, callback: Callback) -> None:
+        """Add an amount to a named number; 0 only reads it.
+
+        Args:
+            name: of the number.
+            amount: to add.
+            expire_ms: how long the counter keeps the number.
+            callback: called once with the name, the outcome and the total.
+        """
+        encoded_name = name.encode()
+        call = Call(name, encode_call(encoded_name, amount, expire_ms), callback)
+        lane = self.lanes[zlib.crc32(encoded_name) % len(self.lanes)]
         lane.add(call)
-        call.timer = self.timers.at(now_ms() + self.wait, partial(self.expire, lane, call))
+        call.timer = self.timers.at(now_ms() + self.timeout_ms, partial(self._expire, lane, call))
 
     def move(self, address: Address) -> None:
+        """Follow the service to another address."""
         if address != self.address:
             log.info("counter moves to %s:%d", *address)
             self.address = address
             for lane in self.lanes:
-                lane.leave()
-
-    def expire(self, lane: Lane, call: Call) -> None:
-        written = call not in lane.waiting
-        call.end(Outcome.TIMED_OUT if written else Outcome.CONNECT)
+                lane.replace_connection()
 
     def close(self) -> None:
+        """Close all connections."""
         for lane in self.lanes:
-            if lane.connecting is not None:
-                lane.connecting.cancel()
-            if lane.connection is not None:
-                lane.connection.drop()
+            lane.close()
+
+    def _expire(self, lane: Lane, call: Call) -> None:
+        written = call not in lane.waiting
+        call.end(Outcome.TIMED_OUT if written else Outcome.CONNECT)
--- a/tests/counter/test_counter.py
+++ b/tests/counter/test_counter.py
@@ -9,8 +9,9 @@
 import pytest
 
 from switchline.clock import Timer, Timers, now_ms
-from switchline.counter import client as module
-from switchline.counter.client import Counter, read_answer
+from switchline.counter import connection as module
+from switchline.counter.client import Counter
+from switchline.counter.protocol import Answer, decode_answer
 from switchline.net.descriptors import Budget
 from switchline.policy.interface import Outcome
 from testbed.network.sockets import LOCAL, Reply, until
@@ -122,7 +123,7 @@
 
 def test_a_connection_that_owes_and_stays_silent_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
     """After the counter's machine vanished, its connections stay open and say nothing for ever."""
-    monkeypatch.setattr(module, "SILENT_MS", 50.0)
+    monkeypatch.setattr(module, "SILENCE_LIMIT_MS", 50.0)
 
     async def scenario() -> None:
         silent = True
@@ -156,7 +157,7 @@
     ],
 )
 def test_answers(line: bytes, ending: tuple[Outcome, float]) -> None:
-    assert read_answer(line) == ending
+    assert decode_answer(line) == Answer(*ending)
 
 
 def test_a_quota_is_held_with_the_counter_s_help() -> None:
@@ -228,8 +229,8 @@
                 calls.add(amount=1.0)
                 await calls.ended(2 * number + 1)
                 connection = next(lane.connection for lane in calls.counter.lanes if lane.connection)
-                connection.used_at -= 500  # as if it had stood for so long
-                connection.heard_at -= 500
+                connection.last_written_ms -= 500  # as if it had stood for so long
+                connection.last_received_ms -= 500
                 calls.add(amount=2.0)
                 await calls.ended(2 * number + 2)
             lost = [ending for ending in calls.endings if ending[1] is not Outcome.OK]
