--- /dev/null
+++ b/switchline/backends/connection.py
@@ -0,0 +1,407 @@
+"""One connection to a backend, with one attempt on it at a time.
+
+The socket is driven directly rather than through a transport of the event loop. What may be said of an
+attempt depends on whether its last byte has left the process, the checks before sending hold at the first
+byte, and an attempt that is given up must be closed before the next one is sent; `start` and `end` do and
+report that at once.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+import logging
+import socket
+from enum import Enum, auto
+from typing import TYPE_CHECKING, Literal
+
+from switchline.backends.reply import decode_reply
+from switchline.clock import now_ms
+from switchline.net.idle import IMMEDIATE_RESET_MS
+from switchline.net.listen import close_socket
+from switchline.net.resp import (
+    CRLF,
+    INCOMPLETE,
+    Incomplete,
+    ProtocolError,
+    RespParser,
+    StreamedStringStarted,
+    Value,
+)
+from switchline.net.streams import MAX_VALUE_BYTES, STREAMING_THRESHOLD_BYTES, StreamedResponse
+from switchline.policy.interface import Outcome
+
+if TYPE_CHECKING:
+    from switchline.backends.attempt import Attempt
+    from switchline.backends.endpoint import Endpoint
+    from switchline.backends.pool import BackendPool
+
+log = logging.getLogger(__name__)
+
+READ_BYTES = 64 * 1024
+STALL_MS = 10_000.0  # a long value that does not move for longer, while this side is ready, is broken off
+MAX_REPLY_ITEMS = 16  # a reply has three
+MAX_REPLY_BYTES = 128 * 1024  # a streamed value not counted
+
+
+class ConnectionState(Enum):
+    """CONNECTING -> OPEN -> CLOSED; a handshake that fails goes from CONNECTING to CLOSED."""
+
+    CONNECTING = auto()
+    OPEN = auto()
+    CLOSED = auto()
+
+
+class RequestState(Enum):
+    """How far the request of the present attempt has left: SENDING -> (SENDING_LAST ->) SENT.
+
+    SENDING_LAST: the last bytes after a streamed body are on their way.
+    """
+
+    SENDING = auto()
+    SENDING_LAST = auto()
+    SENT = auto()
+
+
+class Connection:
+    """Owns a socket and the attempt on it.
+
+    Answers come in order and giving up means closing, so a second attempt at the same time would share the
+    fate of the first.
+
+    Args:
+        pool: is told when the connection is free or closed.
+        endpoint: that it leads to.
+
+    Raises:
+        OSError: the handshake could not begin.
+    """
+
+    def __init__(self, pool: BackendPool, endpoint: Endpoint) -> None:
+        self.pool = pool
+        self.endpoint = endpoint
+        self.address = endpoint.address
+        self.state = ConnectionState.CONNECTING
+        self.attempt: Attempt | None = None
+        self.idle_since_ms = 0.0
+        self.sent_at_ms = 0.0  # when the request had left, or began to
+        self._request_state = RequestState.SENDING
+        self._parser = RespParser(
+            MAX_REPLY_ITEMS, MAX_REPLY_BYTES, STREAMING_THRESHOLD_BYTES, MAX_VALUE_BYTES
+        )
+        self._unsent = memoryview(b"")
+        self.writing_blocked = False
+        self._sending = False  # guards `_send` against itself
+        self._reading_paused = False
+        self._answer: StreamedResponse | None = None  # a long answer that is being forwarded
+        self._last_progress_ms = 0.0  # when bytes of a long value last moved
+        self._idle_before_ms = 0.0  # before the present attempt
+        self._handshake_timer: asyncio.TimerHandle | None = None
+        self.socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        self.fd = self.socket.fileno()
+        try:
+            self._begin_handshake()
+        except OSError:
+            close_socket(self.socket)
+            raise
+        timeout_s = pool.connect_timeout_ms / 1000
+        self._handshake_timer = pool.loop.call_later(timeout_s, self._on_handshake_failed, False)
+
+    @property
+    def closed(self) -> bool:
+        """Whether it is closed on this side."""
+        return self.state is ConnectionState.CLOSED
+
+    # ---- the handshake ----
+
+    def _begin_handshake(self) -> None:
+        self.socket.setblocking(False)
+        self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        error = self.socket.connect_ex(self.endpoint.address)
+        if error not in (0, errno.EINPROGRESS):
+            raise OSError(error, "connect")
+        self.pool.loop.add_writer(self.fd, self._on_handshake_ended)
+
+    def _on_handshake_ended(self) -> None:
+        self.pool.loop.remove_writer(self.fd)
+        if self._handshake_timer is not None:
+            self._handshake_timer.cancel()
+        try:
+            if self.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
+                self._on_handshake_failed(True)
+                return
+            self.pool.loop.add_reader(self.fd, self._on_readable)
+        except OSError:  # this machine's fault: it says nothing of the backend
+            self._on_handshake_failed(False)
+            return
+        self.state = ConnectionState.OPEN
+        self.endpoint.connecting.discard(self)
+        self.pool.release(self)
+        self.pool.connect_for_waiting(self.endpoint)
+
+    def _on_handshake_failed(self, refused: bool) -> None:
+        """End the attempt that waits longest if the backend refused; the others wait on."""
+        self.pool.metrics.handshakes_failed += 1
+        self.close()
+        longest_waiting = next(iter(self.endpoint.waiting), None)
+        if refused and longest_waiting is not None:
+            longest_waiting.end(Outcome.CONNECT)
+
+    # ---- sending ----
+
+    def start(self, attempt: Attempt, idle_ms: float) -> bool:
+        """Send an attempt.
+
+        Args:
+            attempt: to send.
+            idle_ms: for how long this connection was idle before.
+
+        Returns:
+            False if the attempt must not begin any more: it has ended and left this connection free.
+        """
+        attempt.stop_waiting()
+        now = now_ms()
+        outcome = self._reason_not_to_send(attempt, now)
+        if outcome is not None:
+            attempt.end(outcome)
+            return False
+        self.attempt = attempt
+        attempt.connection = self
+        self._idle_before_ms = idle_ms
+        self.sent_at_ms = now
+        self._last_progress_ms = now
+        self._request_state = RequestState.SENDING
+        self._unsent = memoryview(attempt.encode(max(1, int(attempt.expires_at_ms - now))))
+        if attempt.body is not None:
+            attempt.body.begin(self._on_sendable)
+        self._send()
+        return True
+
+    def _reason_not_to_send(self, attempt: Attempt, now: float) -> Outcome | None:
+        """What has changed between the decision to send and the first byte.
+
+        The wait for a connection may have outlasted the request, its client or the window for repeats, and
+        the backend may have begun to drain.
+        """
+        if now >= attempt.expires_at_ms:
+            return Outcome.IGNORED
+        if not self.endpoint.takes_new:
+            return Outcome.CONNECT
+        return attempt.reason_not_to_send(now)
+
+    def _on_sendable(self) -> None:
+        """Go on with a request of which some has left: it has run at the earliest with its last byte."""
+        if self._must_stop_sending():
+            self.end(Outcome.CONNECT)  # so that the last byte never leaves
+            return
+        self._send()
+
+    def _must_stop_sending(self) -> bool:
+        attempt = self.attempt
+        if attempt is None or self._sending or self._request_state is RequestState.SENT:
+            return False
+        return attempt.reason_not_to_send(now_ms()) is not None
+
+    def _send(self) -> None:
+        if self._sending or self.closed:
+            return  # the bytes of a long value may lead here again
+        self._sending = True
+        try:
+            while self._unsent or self._load_next():
+                sent = self.socket.send(self._unsent)
+                self._unsent = self._unsent[sent:]
+                if self._unsent:
+                    break
+        except (BlockingIOError, InterruptedError):
+            pass
+        except OSError:
+            self.end(Outcome.CONNECT)  # the last byte did not leave
+            return
+        finally:
+            self._sending = False
+        if not self.closed:
+            self._watch_for_writing()
+
+    def _load_next(self) -> bool:
+        """Load the next bytes to send; return whether there are any now."""
+        attempt = self.attempt
+        if attempt is None or self._request_state is RequestState.SENT:
+            return False
+        if attempt.body is not None and self._request_state is RequestState.SENDING:
+            self._last_progress_ms = now_ms()
+            if data := attempt.body.pull():
+                self._unsent = memoryview(data)
+            elif attempt.body.complete:
+                self._unsent = memoryview(CRLF)
+                self._request_state = RequestState.SENDING_LAST
+            return bool(self._unsent)
+        self._request_state = RequestState.SENT
+        self.sent_at_ms = now_ms()
+        self.pool.metrics.count_forward()
+        attempt.on_written(attempt)
+        return False
+
+    def _watch_for_writing(self) -> None:
+        """Have the event loop call as soon as the rest can leave, if there is a rest."""
+        if bool(self._unsent) == self.writing_blocked:
+            return
+        self.writing_blocked = not self.writing_blocked
+        if not self.writing_blocked:
+            self.pool.loop.remove_writer(self.fd)
+            return
+        try:
+            self.pool.loop.add_writer(self.fd, self._on_sendable)
+        except OSError:
+            self.end(Outcome.CONNECT)  # the rest could never leave
+
+    # ---- receiving ----
+
+    def _on_readable(self) -> None:
+        streaming = self._answer is not None
+        try:
+            data = self.socket.recv(self.pool.buffer_budget.window if streaming else READ_BYTES)
+        except (BlockingIOError, InterruptedError):
+            return
+        except OSError:
+            data = b""
+        if not data:
+            self.end(self.outcome_if_broken())
+            return
+        self._parser.feed(data)
+        self._process_received()
+
+    def _process_received(self) -> None:
+        """Process what has been received, as far as the receiver of a long answer keeps up."""
+        try:
+            value = self._next_reply()
+            more = self._parser.has_partial_value()
+        except ProtocolError as error:
+            log.warning("backend broke the protocol: %s: %s", self.endpoint.address, error)
+            self.end(self.outcome_if_broken())
+            return
+        if value is INCOMPLETE or self.closed:
+            return
+        self._answer = None
+        attempt = self.attempt
+        self.attempt = None
+        self._record_use(reset=False)
+        if attempt is None or self._request_state is not RequestState.SENT or more:
+            self.close()  # an answer to nothing: what follows would be taken for another request's
+        else:
+            self.pool.settle(self)
+        if attempt is not None:
+            reply = decode_reply(value)
+            attempt.true_units = reply.true_units
+            attempt.end(reply.outcome, reply.value)
+
+    def _next_reply(self) -> Value | Literal[Incomplete.INCOMPLETE]:
+        """Forward the bytes of a long answer as they arrive; return the reply once it is complete."""
+        while not self.closed:
+            if self._answer is not None and self._parser.streamed_remaining > 0:
+                if not self._forward(self._answer):
+                    break
+                continue
+            value = self._parser.next_value()
+            if not isinstance(value, StreamedStringStarted):
+                return value
+            self._begin_streaming(value)
+        return INCOMPLETE
+
+    def _forward(self, answer: StreamedResponse) -> bool:
+        """Forward a piece of a long answer; return whether to go on."""
+        piece = self._parser.read_streamed(READ_BYTES)
+        if not piece:
+            return False
+        self._last_progress_ms = now_ms()
+        answer.feed(piece)
+        if answer.full:
+            self._pause_reading()
+            return False
+        return True
+
+    def _begin_streaming(self, started: StreamedStringStarted) -> None:
+        attempt = self.attempt
+        in_place = not started.items and self._answer is None
+        if attempt is None or not in_place or self._request_state is not RequestState.SENT:
+            raise ProtocolError("a long value out of its place")
+        self._last_progress_ms = now_ms()
+        self._answer = attempt.on_streamed_answer(attempt, started.length)
+        if self._answer is None:
+            self.end(Outcome.CANCELLED)
+        else:
+            self._answer.on_capacity = self._resume_reading
+
+    def _pause_reading(self) -> None:
+        if not self._reading_paused and not self.closed:
+            self._reading_paused = True
+            self.pool.loop.remove_reader(self.fd)
+
+    def _resume_reading(self) -> None:
+        if not self._reading_paused or self.closed:
+            return
+        self._reading_paused = False
+        self._last_progress_ms = now_ms()
+        try:
+            self.pool.loop.add_reader(self.fd, self._on_readable)
+        except OSError:
+            self.end(self.outcome_if_broken())  # the rest could never be read
+            return
+        self.pool.loop.call_soon(self._process_buffered)
+
+    def _process_buffered(self) -> None:
+        if not self.closed and not self._reading_paused and self._answer is not None:
+            self._process_received()
+
+    # ---- ending ----
+
+    def is_stalled(self, now: float) -> bool:
+        """Whether the backend neither takes nor gives the bytes of a long value."""
+        receiving = self._answer is not None and not self._reading_paused
+        waits = bool(self._unsent) or receiving
+        return self._last_progress_ms > 0 and waits and now - self._last_progress_ms > STALL_MS
+
+    def outcome_if_broken(self) -> Outcome:
+        """What a break means now: a request whose last byte has not left can't have run, others may have."""
+        may_have_run = (
+            self.state is not ConnectionState.CONNECTING and self._request_state is RequestState.SENT
+        )
+        return Outcome.RESET if may_have_run else Outcome.CONNECT
+
+    def end(self, outcome: Outcome) -> None:
+        """Close, and end the attempt on it. It closes first, so that there are never two attempts at once."""
+        attempt = self.attempt
+        self.attempt = None
+        if attempt is not None and outcome is Outcome.RESET and self._answer is None:
+            self._record_use(reset=now_ms() - self.sent_at_ms < IMMEDIATE_RESET_MS)
+        self.close()
+        if attempt is not None:
+            attempt.end(outcome)
+
+    def close(self) -> None:
+        """Close the socket and leave the endpoint and the pool. An attempt on it has to be ended apart."""
+        if self.closed:
+            return
+        self.state = ConnectionState.CLOSED
+        self._answer = None
+        if self._handshake_timer is not None:
+            self._handshake_timer.cancel()
+        self.pool.loop.remove_reader(self.fd)
+        self.pool.loop.remove_writer(self.fd)
+        close_socket(self.socket)
+        self.endpoint.connecting.discard(self)
+        self.endpoint.settling.discard(self)
+        self.pool.forget(self)
+
+    def is_alive(self) -> bool:
+        """Whether an idle connection still stands, as far as this machine knows."""
+        try:
+            self.socket.recv(1, socket.MSG_PEEK)
+        except (BlockingIOError, InterruptedError):
+            return True
+        except OSError:
+            return False
+        return False  # it has ended, or sends something unasked
+
+    def _record_use(self, reset: bool) -> None:
+        if self._idle_before_ms:
+            self.pool.idle_times.record_use(self._idle_before_ms, reset)
--- a/switchline/operators/metrics.py
+++ b/switchline/operators/metrics.py
@@ -36,21 +36,23 @@
         self.requests = {(ended, name): 0 for ended in OutcomeKind for name in classes}
         self.forwards = 0
         self.evicted = dict.fromkeys(Evicted, 0)
-        self.begun = self.failed = self.waited = 0  # handshakes with backends; attempts that waited for one
+        self.handshakes_begun = 0
+        self.handshakes_failed = 0
+        self.handshake_waits = 0  # attempts that had to wait for a connection to a backend
         self.crowded = 0  # requests refused as all places for requests, or connections, were taken
 
     def ended(self, name: str, ended: OutcomeKind) -> None:
         self.requests[ended, name] += 1
 
-    def forwarded(self) -> None:
+    def count_forward(self) -> None:
         """An attempt's last byte has left for its backend."""
         self.forwards += 1
 
     def connections(self) -> dict[str, int]:
         """What became of connections, since the start."""
         counts = {f"evicted.{reason.value}": n for reason, n in self.evicted.items()}
-        counts |= {"handshakes.begun": self.begun, "handshakes.failed": self.failed}
-        return counts | {"handshakes.waited": self.waited, "crowded": self.crowded}
+        counts |= {"handshakes.begun": self.handshakes_begun, "handshakes.failed": self.handshakes_failed}
+        return counts | {"handshakes.waited": self.handshake_waits, "crowded": self.crowded}
 
     def text(
         self, gauges: dict[str, int], zones: dict[str, dict[str, int]], counts: dict[str, int] | None = None
--- a/switchline/service/driver.py
+++ b/switchline/service/driver.py
@@ -11,7 +11,8 @@
 from functools import partial
 from typing import Any
 
-from switchline.backends.pool import Attempt, Backends
+from switchline.backends.attempt import Attempt
+from switchline.backends.pool import BackendPool
 from switchline.clients.commands import Command, bulk
 from switchline.clients.server import Slot
 from switchline.clock import Timer, Timers, now_ms
@@ -94,7 +95,7 @@
         settings: api.Settings,
         seed: int,
         timers: Timers,
-        backends: Backends,
+        backends: BackendPool,
         counter: Counter | None,
         max_open: int,
         figures: Metrics,
@@ -198,7 +199,7 @@
             self.backends.update(entry.backend, member.address, entry.state, entry.zone)
         if scope is not api.ListScope.CHANGES:
             listed = {m.entry.backend for m in members}
-            for backend in set(self.backends.hosts) - listed:
+            for backend in set(self.backends.endpoints) - listed:
                 self.backends.retire(backend)
         for member in members:
             self.remember(self.told, member.entry.backend)
@@ -220,12 +221,12 @@
     def hold(self, host: str, out: bool, since: float) -> None:
         """Operators took a host out, or put it back."""
         log.info("%s is %s by hand", host, "taken out" if out else "put back")
-        self.backends.hold(host_number(host), out)
+        self.backends.override(host_number(host), out)
         self.give(api.BackendOverridden(host_number(host), out, since))
 
     def hold_zone(self, zone: str, out: bool, since: float) -> None:
         """Operators took a zone out, or put it back."""
-        self.backends.hold_zone(zone, out)
+        self.backends.override_zone(zone, out)
         self.give(api.ZoneOverridden(zone, out, since))
 
     def on_command(self, command: Command, slot: Slot) -> None:
@@ -305,7 +306,7 @@
             owner.timer.cancel()
         owner.timer = self.timers.at(owner.expires, partial(self.on_expired, owner))
         for attempt in owner.live.values():
-            attempt.expires = owner.expires
+            attempt.expires_at_ms = owner.expires
         self.give(api.RequestBodyReceived(request, owner.expires))
 
     def on_expired(self, owner: Request) -> None:
@@ -359,7 +360,7 @@
         body = owner.command.stream
         spent = body is not None and not body.repeatable
         lag = now_ms() - sent_at
-        cost = attempt.cost if outcome is api.Outcome.OK else 0.0
+        cost = attempt.true_units if outcome is api.Outcome.OK else 0.0
         self.give(api.AttemptEnded(request, number, attempt.backend, outcome, lag, finished, cost, spent))
 
     def tell_of_attempt(
@@ -474,7 +475,7 @@
         self.attempts[request, number] = owner.live[number] = attempt
         if 0 < timeout < owner.expires - now:
             give_up = partial(self.backends.give_up, attempt, api.Outcome.TIMED_OUT)
-            attempt.timer = self.timers.at(now + timeout, give_up)
+            attempt.timeout_timer = self.timers.at(now + timeout, give_up)
         self.backends.send(attempt)
 
     def give_up(self, owner: Request, outcome: api.Outcome) -> None:
--- a/switchline/service/service.py
+++ b/switchline/service/service.py
@@ -14,7 +14,7 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
-from switchline.backends.pool import Backends
+from switchline.backends.pool import BackendPool
 from switchline.clients.server import BACKLOG, ClientServer
 from switchline.clock import Timers, now_ms
 from switchline.config import Config
@@ -79,7 +79,7 @@
         self.figures = Metrics([kind.name for kind in config.settings.classes])
         self.room = BufferBudget(config.memory)
         self.budget = Budget(config.sockets, config.shares, self.own(config))
-        self.backends = Backends(
+        self.backends = BackendPool(
             self.loop,
             self.timers,
             config.connect_timeout,
--- a/testbed/launch.py
+++ b/testbed/launch.py
@@ -84,19 +84,19 @@
 
 def deaf() -> None:
     """It does not hear of drains and removals, nor keep to operators' bans."""
-    from switchline.backends import pool as backends
+    from switchline.backends import endpoint, pool
     from switchline.policy import entities, interface
     from switchline.policy import gateway as rules
 
     replace(rules.Gateway, "usable", lambda self, b: b.ready)
-    replace(backends.Host, "takes_new", property(lambda self: True))
+    replace(endpoint.Endpoint, "takes_new", property(lambda self: True))
 
     def update(self: Any, entry: Any) -> None:
         before(self, entry)
         self.ready = entry.state is not interface.BackendState.GONE
 
     before = replace(entities.Backend, "update", update)
-    replace(backends.Backends, "retire", lambda self, backend: None)
+    replace(pool.BackendPool, "retire", lambda self, backend: None)
 
 
 def eager() -> None:
--- a/tests/backends/test_backends.py
+++ b/tests/backends/test_backends.py
@@ -9,8 +9,11 @@
 
 import pytest
 
-from switchline.backends import pool as module
-from switchline.backends.pool import Attempt, Backends, Connection
+from switchline.backends import connection as module
+from switchline.backends import pool as pool_module
+from switchline.backends.attempt import Attempt
+from switchline.backends.connection import Connection
+from switchline.backends.pool import BackendPool
 from switchline.clock import Timers, now_ms
 from switchline.net.descriptors import Budget
 from switchline.net.idle import MEMORY_MS, IdleTimes
@@ -25,16 +28,16 @@
 
 
 @asynccontextmanager
-async def pool(*servers: Server, **given: Any) -> AsyncIterator[Backends]:
+async def pool(*servers: Server, **given: Any) -> AsyncIterator[BackendPool]:
     loop = asyncio.get_running_loop()
     values: dict[str, Any] = dict(
         connect_timeout=250,
         keepalive=15_000,
         budget=Budget(1024),
-        figures=Metrics([]),
-        room=BufferBudget(2**26),
+        metrics=Metrics([]),
+        buffer_budget=BufferBudget(2**26),
     )
-    made = Backends(loop, Timers(loop), **{**values, **given})
+    made = BackendPool(loop, Timers(loop), **{**values, **given})
     for number, server in enumerate(servers):
         await server.start()
         made.update(number, (LOCAL, server.port), BackendState.READY)
@@ -51,7 +54,7 @@
 
     def __init__(
         self,
-        pool: Backends,
+        pool: BackendPool,
         backend: int = 0,
         wait: float = 3000,
         body: bytes = b"",
@@ -83,10 +86,10 @@
         return ending
 
 
-async def idle_connection(pool: Backends) -> Connection:
+async def idle_connection(pool: BackendPool) -> Connection:
     """The one idle connection, once its last answer has settled."""
-    await until(lambda: pool.hosts[0].idle)
-    (connection,) = pool.hosts[0].idle
+    await until(lambda: pool.endpoints[0].idle)
+    (connection,) = pool.endpoints[0].idle
     return connection
 
 
@@ -136,7 +139,7 @@
         async with pool(Backend(script)) as made:
             tried = Try(made)
             assert (await tried.result())[0] is Outcome.OK
-            assert tried.attempt.cost == cost
+            assert tried.attempt.true_units == cost
 
     in_loop(scenario)
 
@@ -169,7 +172,7 @@
             await until(lambda: server.accepted and tried.attempt.connection is not None)
             connection = tried.attempt.connection
             assert connection is not None
-            await until(lambda: connection.writing)
+            await until(lambda: connection.writing_blocked)
             server.go_on.set()
             assert (await tried.result())[0] is Outcome.CONNECT
 
@@ -209,7 +212,7 @@
             connection = await idle_connection(made)
             made.loop.remove_reader(connection.fd)  # as if the event loop had not yet come to it
             server.hang_up()
-            await until(lambda: not connection.alive())
+            await until(lambda: not connection.is_alive())
             assert (await Try(made).result())[0] is Outcome.OK
             assert server.accepted == 2 and len(server.got) == 2
 
@@ -217,14 +220,14 @@
 
 
 def test_an_idle_connection_is_retired_before_the_backend_closes_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "SWEEP_MS", 5.0)
+    monkeypatch.setattr(pool_module, "SWEEP_INTERVAL_MS", 5.0)
 
     async def scenario() -> None:
         server = Backend()
         async with pool(server) as made:
             assert (await Try(made).result())[0] is Outcome.OK
             connection = await idle_connection(made)
-            connection.idle_since -= made.idle_times.limit_ms - 20
+            connection.idle_since_ms -= made.idle_times.limit_ms - 20
             await until(lambda: server.ended)
             assert not made.connections and made.idle_times.limit_ms < 15_000 * 0.8
 
@@ -245,7 +248,7 @@
             connection = tried.attempt.connection
             assert connection is not None
             closed: list[bool] = []
-            tried.attempt.ended = lambda *_: closed.append(connection.socket.fileno() == -1)
+            tried.attempt.on_ended = lambda *_: closed.append(connection.socket.fileno() == -1)
             made.give_up(tried.attempt, Outcome.CANCELLED)
             assert closed == [True]
             await until(lambda: server.ended)
@@ -386,7 +389,7 @@
             for number in range(30):
                 assert (await Try(made).result())[0] is Outcome.OK
                 connection = await idle_connection(made)
-                connection.idle_since -= 500  # as if it had stood for so long
+                connection.idle_since_ms -= 500  # as if it had stood for so long
                 tried = Try(made, id=b"idle%d" % number)
                 resets += (await tried.result())[0] is Outcome.RESET
             assert 3 <= resets < 10
@@ -422,7 +425,9 @@
         server = Slow()
         async with pool(server) as made:
             tried = Try(made, body=bytes(32_000_000))
-            await until(lambda: tried.attempt.connection is not None and tried.attempt.connection.writing)
+            await until(
+                lambda: tried.attempt.connection is not None and tried.attempt.connection.writing_blocked
+            )
             tried.hindered = Outcome.IGNORED
             read.set()
             assert (await tried.result())[0] is Outcome.CONNECT  # it can't have run
@@ -463,8 +468,8 @@
 def test_a_second_answer_that_comes_late_is_not_taken_for_the_next_request_s(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(module, "SETTLE_SHARE", 1e9)
-    monkeypatch.setattr(module, "SETTLE_MS", 60_000.0)
+    monkeypatch.setattr(pool_module, "SETTLE_RATIO", 1e9)
+    monkeypatch.setattr(pool_module, "MAX_SETTLE_MS", 60_000.0)
 
     async def scenario() -> None:
         go_on = asyncio.Event()
--- a/tests/clients/test_clients.py
+++ b/tests/clients/test_clients.py
@@ -6,6 +6,7 @@
 import contextlib
 import os
 import socket
+from typing import Any
 
 import hiredis
 import pytest
@@ -333,7 +334,8 @@
             await go_on.wait()
             return array(b"value")
 
-        server = clients.ClientServer(None, Budget(256), BufferBudget(2**26), Metrics([]))  # type: ignore[arg-type]
+        handler: Any = None
+        server = clients.ClientServer(handler, Budget(256), BufferBudget(2**26), Metrics([]))
         connection = clients.ClientConnection(server)
         connection.data_received(b"?what\r\n")
         for _ in range(100):
@@ -390,7 +392,8 @@
 
 def test_a_client_that_never_reads_and_one_that_is_done_are_let_go() -> None:
     async def scenario() -> None:
-        server = clients.ClientServer(None, Budget(256), BufferBudget(2**26), Metrics([]))  # type: ignore[arg-type]
+        handler: Any = None
+        server = clients.ClientServer(handler, Budget(256), BufferBudget(2**26), Metrics([]))
         connection, wire = clients.ClientConnection(server), Wire()
         connection.connection_made(wire)
         connection.data_received(encode(b"PING"))
@@ -418,7 +421,8 @@
 
 def test_bad_commands_again_and_again_buy_no_more_time() -> None:
     async def scenario() -> None:
-        server = clients.ClientServer(None, Budget(256), BufferBudget(2**26), Metrics([]))  # type: ignore[arg-type]
+        handler: Any = None
+        server = clients.ClientServer(handler, Budget(256), BufferBudget(2**26), Metrics([]))
         connection, wire = clients.ClientConnection(server), Wire()
         connection.connection_made(wire)
         owed = connection.owes_since
@@ -560,7 +564,8 @@
             taken.append(command)
             slots.append(slot)
 
-    server = clients.ClientServer(Handler(), Budget(256), BufferBudget(2**26), Metrics([]))  # type: ignore[arg-type]
+    handler: Any = Handler()
+    server = clients.ClientServer(handler, Budget(256), BufferBudget(2**26), Metrics([]))
     connection = clients.ClientConnection(server)
     connection.connection_made(Wire())
     commands = [encode(*request(b"r%d" % n)) for n in range(clients.MOST_WAITING + 1)]
--- a/tests/clients/test_connections.py
+++ b/tests/clients/test_connections.py
@@ -409,7 +409,7 @@
             await asyncio.gather(*(Try(made).result() for _ in range(20)))
             opened = len(made.connections)
             assert opened > 8
-            await until(lambda: len(made.hosts[0].idle) == opened)
+            await until(lambda: len(made.endpoints[0].idle) == opened)
             made.budget.peer_process_descriptors = 2_000
             made.sweep()
             assert len(made.connections) == 8
@@ -613,7 +613,11 @@
             tries = [Try(made) for _ in range(10)]
             assert made.gauges()["backends.opening"] == 4 and made.gauges()["backends.waiting"] == 10
             await until(lambda: len(server.got) == 10)
-            assert made.figures.begun == 10 and made.figures.waited == 10 and not made.figures.failed
+            assert (
+                made.metrics.handshakes_begun == 10
+                and made.metrics.handshake_waits == 10
+                and not made.metrics.handshakes_failed
+            )
             assert not any(t.endings for t in tries)
 
     in_loop(scenario)
@@ -637,10 +641,10 @@
                 for sock in filler:
                     sock.setblocking(False)
                     sock.connect_ex(deaf.getsockname())
-                made.hosts[0].address = deaf.getsockname()
+                made.endpoints[0].address = deaf.getsockname()
                 waits = Try(made)
                 await asyncio.sleep(0.01)
-                made.hosts[0].address = (LOCAL, server.port)
+                made.endpoints[0].address = (LOCAL, server.port)
                 go_on.set()
                 assert (await first.result())[0] is Outcome.OK
                 assert (await waits.result())[0] is Outcome.OK
@@ -693,7 +697,7 @@
             tries = [Try(made) for _ in range(8)]
             made.update(0, (LOCAL, server.port), BackendState.DRAINING)
             assert [(await t.result())[0] for t in tries] == [Outcome.CONNECT] * 8
-            assert not server.got and not made.hosts[0].waiting
+            assert not server.got and not made.endpoints[0].waiting
 
     in_loop(scenario)
 
--- a/tests/policy/test_zones.py
+++ b/tests/policy/test_zones.py
@@ -418,9 +418,9 @@
     fleet.run(500, gap=50)
     for zone in ZONES:
         fleet.give(0, api.ZoneOverridden(zone, True, fleet.now))
-    since, before = fleet.now, fleet.ended["Refuse"]
+    since, before = fleet.now, fleet.ended["Reject"]
     fleet.run(500, gap=50)
-    assert not [at for at, *_ in fleet.sent if at > since] and fleet.ended["Refuse"] > before
+    assert not [at for at, *_ in fleet.sent if at > since] and fleet.ended["Reject"] > before
 
 
 # Work that is sent once: a safe request is called off after five times the usual answer's time, here some
--- a/tests/service/test_driver.py
+++ b/tests/service/test_driver.py
@@ -9,7 +9,7 @@
 import pytest
 from helpers import settings
 
-from switchline.backends.pool import Backends
+from switchline.backends.pool import BackendPool
 from switchline.clients.commands import parse_command
 from switchline.clients.server import ClientConnection, ClientServer, Slot
 from switchline.clock import Timers
@@ -47,7 +47,7 @@
         given = settings(max_attempts=2, plans=(api.Plan("free"),))
         self.figures = Metrics([kind.name for kind in given.classes])
         room, budget = BufferBudget(2**26), Budget(256)
-        self.backends = Backends(loop, timers, 250, 15_000, budget, self.figures, room)
+        self.backends = BackendPool(loop, timers, 250, 15_000, budget, self.figures, room)
         self.driver = Driver(given, 1, timers, self.backends, None, max_open, self.figures, room, print)
         self.module = Module()
         self.driver.gateway = self.module  # type: ignore[assignment]
--- a/tests/service/test_process.py
+++ b/tests/service/test_process.py
@@ -279,7 +279,8 @@
 
 def test_the_end_waits_for_a_connection_that_is_being_opened() -> None:
     async def scenario() -> None:
-        server = ClientServer(None, Budget(256), BufferBudget(2**26), Metrics([]))  # type: ignore[arg-type]
+        handler: Any = None
+        server = ClientServer(handler, Budget(256), BufferBudget(2**26), Metrics([]))
         port = server.listen(listen((LOCAL, 0), 16))
         sock = socket.create_connection((LOCAL, port))
         server.stop_accepting()
