--- a/switchline/backends/pool.py
+++ b/switchline/backends/pool.py
@@ -19,11 +19,26 @@
 
 from switchline.clock import Timer, Timers, now_ms
 from switchline.config import Address
-from switchline.net.accept import close_socket
 from switchline.net.descriptors import Budget, Part
-from switchline.net.idle import AT_ONCE_MS, IdleTimes
-from switchline.net.resp import END, NOT_YET, NotWhole, Opened, ProtocolError, RespParser, TextLine, Value
-from switchline.net.streams import LONGEST, WHOLE, BufferBudget, StreamedRequestBody, StreamedResponse
+from switchline.net.idle import IMMEDIATE_RESET_MS, IdleTimes
+from switchline.net.listen import close_socket
+from switchline.net.resp import (
+    CRLF,
+    INCOMPLETE,
+    Incomplete,
+    ProtocolError,
+    RespParser,
+    SimpleValue,
+    StreamedStringStarted,
+    Value,
+)
+from switchline.net.streams import (
+    MAX_VALUE_BYTES,
+    STREAMING_THRESHOLD_BYTES,
+    BufferBudget,
+    StreamedRequestBody,
+    StreamedResponse,
+)
 from switchline.operators.metrics import Metrics
 from switchline.policy.interface import BackendState, Outcome
 
@@ -88,7 +103,7 @@
     def __init__(self, pool: Backends, host: Host) -> None:
         self.pool, self.host, self.address = pool, host, host.address
         self.attempt: Attempt | None = None
-        self.reader = RespParser(MOST_ITEMS, LARGEST_REPLY, WHOLE, LONGEST)
+        self.reader = RespParser(MOST_ITEMS, LARGEST_REPLY, STREAMING_THRESHOLD_BYTES, MAX_VALUE_BYTES)
         self.unsent = memoryview(b"")
         self.up = self.closed = self.writing = self.flushing = self.paused = False
         self.sent = self.ending = False  # all has left; the end of a long value is on its way
@@ -206,8 +221,8 @@
             self.moved_at = now_ms()
             if data := attempt.body.pull():
                 self.unsent = memoryview(data)
-            elif attempt.body.whole:
-                self.unsent, self.ending = memoryview(END), True
+            elif attempt.body.complete:
+                self.unsent, self.ending = memoryview(CRLF), True
             return bool(self.unsent)
         self.sent, self.sent_at = True, now_ms()
         self.pool.figures.forwarded()
@@ -235,11 +250,11 @@
         """Take what has been read, as far as whoever gets it keeps up."""
         try:
             reply = self._pass_on()
-            more = self.reader.has_data()
+            more = self.reader.has_partial_value()
         except ProtocolError as error:
             log.warning("backend broke the protocol: %s: %s", self.host.address, error)
             return self.end(self.broken())
-        if reply is NOT_YET or self.closed:
+        if reply is INCOMPLETE or self.closed:
             return
         self.value = None
         attempt, self.attempt = self.attempt, None
@@ -252,11 +267,11 @@
             attempt.cost = read_cost(reply)
             attempt.end(*read_reply(reply))
 
-    def _pass_on(self) -> Value | Literal[NotWhole.YET]:
+    def _pass_on(self) -> Value | Literal[Incomplete.INCOMPLETE]:
         """Give the bytes of a long answer on as they come; gives the answer once it is whole."""
         while not self.closed:
-            if self.value is not None and self.reader.left > 0:
-                piece = self.reader.piece(READ_BYTES)
+            if self.value is not None and self.reader.streamed_remaining > 0:
+                piece = self.reader.read_streamed(READ_BYTES)
                 if not piece:
                     break
                 self.moved_at = now_ms()
@@ -265,8 +280,8 @@
                     self._pause()
                     break
                 continue
-            reply = self.reader.gets()
-            if not isinstance(reply, Opened):
+            reply = self.reader.next_value()
+            if not isinstance(reply, StreamedStringStarted):
                 return reply
             if reply.items or self.value is not None or self.attempt is None or not self.sent:
                 raise ProtocolError("a long value out of its place")
@@ -275,8 +290,8 @@
             if self.value is None:
                 self.end(Outcome.CANCELLED)
             else:
-                self.value.spare = self._resume
-        return NOT_YET
+                self.value.on_capacity = self._resume
+        return INCOMPLETE
 
     def _pause(self) -> None:
         if not self.paused and not self.closed:
@@ -304,14 +319,14 @@
         """Close, and end the attempt that is on it. The close comes first: never two attempts at once."""
         attempt, self.attempt = self.attempt, None
         if attempt is not None and outcome is Outcome.RESET and self.value is None:
-            self._note(reset=now_ms() - self.sent_at < AT_ONCE_MS)
+            self._note(reset=now_ms() - self.sent_at < IMMEDIATE_RESET_MS)
         self.close()
         if attempt is not None:
             attempt.end(outcome)
 
     def _note(self, reset: bool) -> None:
         if self.idle_for:
-            self.pool.idle_times.note(self.idle_for, reset)
+            self.pool.idle_times.record_use(self.idle_for, reset)
 
     def close(self) -> None:
         if self.closed:
@@ -340,7 +355,7 @@
 def read_reply(reply: Value) -> tuple[Outcome, bytes]:
     if isinstance(reply, list) and reply and isinstance(reply[0], bytes):
         return Outcome.OK, reply[0]
-    if isinstance(reply, TextLine) and reply.kind == b"-" and reply.text.split(b" ", 1)[0] == b"BUSY":
+    if isinstance(reply, SimpleValue) and reply.kind == b"-" and reply.text.split(b" ", 1)[0] == b"BUSY":
         return Outcome.FULL, b""
     return Outcome.FAILED, b""
 
@@ -397,7 +412,7 @@
         self.budget, self.figures, self.room = budget, figures, room
         self.wanting: dict[Host, None] = {}  # where attempts wait and the pool is full, the longest first
         self.serving: asyncio.Handle | None = None  # these are looked after at the end of this turn
-        budget.relief.append(self.close_oldest)
+        budget.relief_callbacks.append(self.close_oldest)
         self.idle_times = IdleTimes(keepalive * IDLE_SHARE)
         self.hosts: dict[int, Host] = {}
         self.held: set[int] = set()  # taken out by operators, whether listed or not
@@ -476,7 +491,7 @@
             wanted = len(host.waiting) - len(host.settling)  # those serve an attempt each in a moment
             if len(host.opening) >= min(wanted, self.budget.shares.connects):
                 return
-            if not self.budget.may(Part.BACKENDS) and not self.close_oldest(1):
+            if not self.budget.has_free(Part.BACKENDS) and not self.close_oldest(1):
                 self.wanting[host] = None
                 return
             else:
@@ -495,7 +510,7 @@
             return
         attempt.connecting = True
         self.figures.begun += 1
-        self.budget.take(Part.BACKENDS)
+        self.budget.acquire(Part.BACKENDS)
         self.connections.add(made)
         host.opening.add(made)
 
@@ -545,7 +560,7 @@
                 return
         if connection.address != host.address or not host.takes_new:
             return connection.close()
-        if self.wanting and not self.budget.may(Part.BACKENDS):
+        if self.wanting and not self.budget.has_free(Part.BACKENDS):
             return connection.close()
         if not connection.closed:
             connection.idle_since = now_ms()
@@ -568,7 +583,7 @@
     def forget(self, connection: Connection) -> None:
         if connection in self.connections:
             self.connections.discard(connection)
-            self.budget.free(Part.BACKENDS)
+            self.budget.release(Part.BACKENDS)
         if connection in connection.host.idle:
             connection.host.idle.remove(connection)
         if connection.host.waiting:
@@ -600,7 +615,9 @@
 
     def sweep(self) -> None:
         now = now_ms()
-        self.close_oldest(max(0, len(self.connections) - self.budget.most(Part.BACKENDS)))  # it may shrink
+        self.close_oldest(
+            max(0, len(self.connections) - self.budget.limit_of(Part.BACKENDS))
+        )  # it may shrink
         for backend, host in list(self.hosts.items()):
             for connection in list(host.idle):
                 if self.idle_times.allows(now, now - connection.idle_since):
