--- a/tests/policy/test_zones.py
+++ b/tests/policy/test_zones.py
@@ -9,6 +9,7 @@
 from collections import Counter as Counts
 from pathlib import Path
 
+import neutral_form
 import pytest
 from gateway_fleet import Fleet
 from helpers import settings
@@ -27,7 +28,7 @@
 from testbed.stand_ins.backends import Backend
 from testbed.stand_ins.single_gateway import World, in_loop, running
 
-RECORDED = Path(__file__).parents[1] / "recorded/one_zone.txt"
+RECORDED = Path(__file__).parents[1] / "recorded/one_zone.jsonl"
 ZONES = {"a": 6, "b": 6, "c": 6}
 
 
@@ -53,11 +54,18 @@
     fleet.mode.clear()
     fleet.tell([1003], started=fleet.now)
     fleet.run(2000, gap=60, kinds=mixed)
-    lines = [f"{now!r}\t{event!r}\t{actions!r}" for now, event, actions in fleet.events]
+    lines = [
+        {
+            "at_ms": now,
+            "event": neutral_form.encode_event(event),
+            "actions": [neutral_form.encode_action(action) for action in actions],
+        }
+        for now, event, actions in fleet.events
+    ]
     recorded = RECORDED.read_text().splitlines()
     assert len(lines) == len(recorded) > 250
     for line, before in zip(lines, recorded, strict=True):
-        assert rounded(line) == rounded(before)
+        assert rounded(neutral_form.line(line)) == rounded(before)
 
 
 # ---- evidence and leaving ----
