--- a/measure/zones.py
+++ b/measure/zones.py
@@ -47,7 +47,7 @@
 
 def made(name: str, seed: int, gateways: int = GATEWAYS, price: float = 0.1) -> Fleet:
     kind = Lined if name == "fleet" else Fleet
-    fleet = kind(ZONES, gateways, own=own, seed=seed, cross_zone=price)
+    fleet = kind(ZONES, gateways, own=own, seed=seed, cross_zone_price=price)
     if name == "without":
         for gateway in fleet.gateways:
             gateway.zones.__class__ = Without
@@ -153,7 +153,7 @@
     fleet.mode.clear()
     back = fleet.now
     fleet.tell(fleet.of("b"), started=back)
-    warm_ms = fleet.gateways[0].settings.rules.warm_within
+    warm_ms = fleet.gateways[0].settings.rules.warm_up_ms
     fleet.run(warm_ms + 6_000, gap=GAP_MS)
     each = GATEWAYS * 1000 / GAP_MS / 16  # a warm one's, a second
     begun = next((at for at, _, b, _ in fleet.sent if at > back + 400 and fleet.zone_of[b] == "b"), back)
--- a/switchline/discovery/client.py
+++ b/switchline/discovery/client.py
@@ -77,7 +77,7 @@
         backend=host_number(raw["host"]),
         zone=str(raw.get("site") or ""),
         cell=int(raw.get("block") or 0),
-        started=started,
+        started_ms=started,
         state=STATES[raw["health"]],
     )
     return Member(entry, parse_address(raw["dial"]))
--- a/switchline/fleet_runtime/recovery.py
+++ b/switchline/fleet_runtime/recovery.py
@@ -114,7 +114,7 @@
         if not self.ready:
             return None
         told = gateway_status.spending(self.driver.gateway, now_ms(), MOST_SPENT)
-        return [Spent(one.key, one.plan, one.even, one.left) for one in told]
+        return [Spent(one.customer, one.plan, one.even_share, one.remaining_units) for one in told]
 
     def settle(self) -> None:
         """This process takes over from another one, which knows better: it only answers the others."""
--- a/switchline/policy/attempts.py
+++ b/switchline/policy/attempts.py
@@ -24,7 +24,7 @@
         b.out, b.owed_at = b.out + 1, math.inf
         self.zones.sent(now, b.zone)
         request.customer.out += 1
-        if request.customer.plan.open_limit:
+        if request.customer.plan.max_open_requests:
             self.tell(request.customer, out, open=1)
         attempt = self.attempts[request.id, request.attempts] = Attempt(
             request, b, math.inf if request.streamed else now
@@ -38,8 +38,8 @@
 
     def on_whole(self, now: float, event: api.RequestBodyReceived, out: api.Actions) -> None:
         if request := self.requests.get(event.request):
-            request.whole, request.expires = True, event.expires
-            request.aim_at = min(event.expires, now + request.kind.aim)
+            request.whole, request.expires = True, event.expires_ms
+            request.aim_at = min(event.expires_ms, now + request.kind.latency_objective_ms)
             self.watch(now, request, request.check_at, out)
 
     def on_written(self, now: float, event: api.RequestBodySent, out: api.Actions) -> None:
@@ -62,7 +62,7 @@
         """How long an answer may take before the attempt counts as lost."""
         failing = self.failing(now, attempt.backend, attempt.request)
         times = max(SHORTEST, LONGEST / (1 + ERROR_COST * failing))
-        return times * self.typical if self.typical else PATIENCE * attempt.request.kind.aim
+        return times * self.typical if self.typical else PATIENCE * attempt.request.kind.latency_objective_ms
 
     def watch(self, now: float, request: Request, at: float, out: api.Actions) -> None:
         request.check_at = min(at, request.expires - END_MS)
@@ -87,7 +87,7 @@
                 self.zones.note(now, silent.backend.id, silent.backend.zone, lost=True, ended=False)
         # An attempt out far longer than usual is doubled, or called off and its outcome brings the next.
         if len(request.live) == 1 and not request.streamed and request.kind.effect is not api.Effect.UNSAFE:
-            if self.settings.may_duplicate:
+            if self.settings.can_hedge:
                 self.another(now, request, out, price=1.0)
             elif self.retries >= 1 and now + self.typical < request.aim_at:
                 self.cancel_all(request, out)
@@ -99,7 +99,7 @@
         request, never_ran = attempt.request, event.outcome in NEVER_RAN
         attempt.backend.out -= 1
         request.customer.out -= 1
-        if request.customer.plan.open_limit:
+        if request.customer.plan.max_open_requests:
             self.tell(request.customer, out, open=-1)
         request.live.remove(event.attempt)
         no_room = (
@@ -111,9 +111,9 @@
             request.ran.remove(attempt)
             if attempt.backend.returned and attempt.backend.warmth(now) < 1:
                 attempt.backend.owed_at = now + OWED_MS  # it has had nothing yet
-        if event.settled > 0 and not request.settled:
+        if event.actual_units > 0 and not request.settled:
             request.settled = True
-            self.settle(request.customer, event.settled - request.units, out)
+            self.settle(request.customer, event.actual_units - request.units, out)
         if event.request not in self.requests:
             return
         if event.finished or event.outcome is api.Outcome.OK:
@@ -123,7 +123,7 @@
             price = 0.0 if never_ran else 1.0
             if no_room:  # nor would another backend find any
                 self.finish(request, out, reason="room")
-            elif event.spent or not self.another(now, request, out, price):
+            elif event.body_discarded or not self.another(now, request, out, price):
                 self.finish(request, out)
 
     def judge(self, now: float, attempt: Attempt, outcome: api.Outcome) -> None:
@@ -163,10 +163,14 @@
     def finish(self, request: Request, out: api.Actions, wait: float = 0.0, reason: str = "attempts") -> None:
         """The one final answer: a refusal only where a new try is known to do no harm, else a failure."""
         del self.requests[request.id]
-        keyed_by_all = request.kind.effect is api.Effect.KEYED and request.kind.group is api.RepeatScope.ALL
+        keyed_by_all = (
+            request.kind.effect is api.Effect.KEYED and request.kind.repeat_scope is api.RepeatScope.ALL
+        )
         harmless = not request.ran or request.kind.effect is api.Effect.SAFE or keyed_by_all
-        wait = wait or request.kind.aim * PATIENCE  # a client is told when to come back, whatever the reason
-        refusal = api.Reject(request.id, min(wait, self.settings.max_retry_after), reason)
+        wait = (
+            wait or request.kind.latency_objective_ms * PATIENCE
+        )  # a client is told when to come back, whatever the reason
+        refusal = api.Reject(request.id, min(wait, self.settings.max_retry_after_ms), reason)
         out.append(refusal if harmless else api.Fail(request.id))
         self.cancel_all(request, out)
 
--- a/switchline/policy/backend_selection.py
+++ b/switchline/policy/backend_selection.py
@@ -111,7 +111,7 @@
             back = self.recovery_ramp if now < self.recovery_ramp.until else None
             b = self.cheapest(now, request, may, factors) if back else self.random.choice(may)
             lift = len(may) / max(1e-9, sum(o.warmth(now) for o in may))  # more where many are cold
-            part = b.warmth(now) * min(lift, max(1.0, self.settings.rules.fall_multiple / 2))
+            part = b.warmth(now) * min(lift, max(1.0, self.settings.rules.overload_multiple / 2))
             part *= back.lift if back else 1.0
             if b.warmth(now) < 1 and self.random.random() < part and self.failing(now, b, request) < 0.5:
                 return b
@@ -149,9 +149,11 @@
             return None
         there = [b for b in self.backends.values() if b.zone == zone.name and self.usable(b)]
         may = [b for b in there if self.may_go(now, request, b) and self.failing(now, b, request) < 0.5]
-        turn = zone.word.first + zone.word.part * (zone.attempts * GOLDEN % 1)  # its own range, all in turn
+        turn = zone.word.range_start + zone.word.range_width * (
+            zone.attempts * GOLDEN % 1
+        )  # its own range, all in turn
         b = sorted(may, key=lambda b: b.id)[min(len(may) - 1, int(turn * len(may)))] if may else None
-        if b is None or self.random.random() * zone.word.share > b.warmth(now):
+        if b is None or self.random.random() * zone.word.capacity_ratio > b.warmth(now):
             return None
         zone.granted -= 1
         return b
@@ -176,7 +178,9 @@
         # Danger: an effect happening twice. Unsafe work is never sent again once it may have run, keyed work
         # only inside the group that drops the repeat, and a little before that group forgets.
         first, sent_at = request.ran[0].backend, request.ran[0].sent_at
-        if kind.effect is api.Effect.UNSAFE or now - sent_at >= kind.repeat_window - END_MS:
+        if kind.effect is api.Effect.UNSAFE or now - sent_at >= kind.repeat_window_ms - END_MS:
             return False
-        same_zone = first.zone == b.zone and (kind.group is not api.RepeatScope.CELL or first.cell == b.cell)
-        return kind.group is api.RepeatScope.ALL or same_zone
+        same_zone = first.zone == b.zone and (
+            kind.repeat_scope is not api.RepeatScope.CELL or first.cell == b.cell
+        )
+        return kind.repeat_scope is api.RepeatScope.ALL or same_zone
--- a/switchline/policy/customer.py
+++ b/switchline/policy/customer.py
@@ -36,16 +36,16 @@
 
     def __init__(self, key: str, plan: api.Plan, even: float, now: float, since: float, unit: float) -> None:
         self.key, self.plan, self.even = key, plan, even  # even: a gateway's even share
-        self.tokens, self.filled_at, self.out = max(unit, plan.burst * self.even), now, 0
+        self.tokens, self.filled_at, self.out = max(unit, plan.burst_units * self.even), now, 0
         # Danger: a restarted gateway does not know what it sent. From empty, its part is never spent twice.
-        self.ceiling = (now - since) / 1000 * plan.ceiling_rate * self.even
+        self.ceiling = (now - since) / 1000 * plan.ceiling_rate_per_s * self.even
         self.top = self.even  # the part of the ceiling
         self.elsewhere = 0  # attempts out at the other process of this gateway
-        self.keep_ms = max(LEASE_MS, plan.ceiling_burst / max(plan.ceiling_rate, 1e-9) * 1000)
-        self.sparse = plan.burst * self.even < SPARSE * unit
-        self.scattered = 0 < plan.burst * self.even < SCATTERED * unit  # over so many gateways
+        self.keep_ms = max(LEASE_MS, plan.ceiling_burst_units / max(plan.ceiling_rate_per_s, 1e-9) * 1000)
+        self.sparse = plan.burst_units * self.even < SPARSE * unit
+        self.scattered = 0 < plan.burst_units * self.even < SCATTERED * unit  # over so many gateways
         self.part, self.chance = self.even, 1.0  # the lease: of quota and burst; of the requests, if sparse
-        self.store = plan.burst  # what all gateways have left, by the last reading and own sends since
+        self.store = plan.burst_units  # what all gateways have left, by the last reading and own sends since
         self.spent = 0.0  # sent on here since that reading
         self.lease_end, self.fresh_until, self.heard = now + LEASE_MS, now, False  # heard: the last refresh
         self.unsaid, self.mine, self.all = 0.0, 0.0, 0.0  # units not yet added; lately added, here and by all
--- a/switchline/policy/durable_state.py
+++ b/switchline/policy/durable_state.py
@@ -69,14 +69,16 @@
 
     def part(self, c: Customer) -> float:
         """Units of a customer that are reserved at a time."""
-        plan, least = c.plan, self.settings.most_units
-        if plan.rate:
-            return max(least, plan.burst * c.part / PARTS, plan.rate * c.part * AHEAD_MS / 1000)
-        return max(least, plan.ceiling_burst * c.top / PARTS, plan.ceiling_rate * c.top * AHEAD_MS / 1000)
+        plan, least = c.plan, self.settings.max_request_units
+        if plan.rate_per_s:
+            return max(least, plan.burst_units * c.part / PARTS, plan.rate_per_s * c.part * AHEAD_MS / 1000)
+        return max(
+            least, plan.ceiling_burst_units * c.top / PARTS, plan.ceiling_rate_per_s * c.top * AHEAD_MS / 1000
+        )
 
     def pace(self, c: Customer) -> tuple[float, float]:
         """The safe share: of a quota and of a ceiling, without a burst."""
-        return c.plan.rate * min(c.part, c.even), c.plan.ceiling_rate * min(c.top, c.even)
+        return c.plan.rate_per_s * min(c.part, c.even), c.plan.ceiling_rate_per_s * min(c.top, c.even)
 
     def lacks(self, now: float, c: Customer, units: float) -> tuple[float, bool]:
         """Units that the quota is short of as the disk lags, and whether the ceiling has none either."""
@@ -86,8 +88,8 @@
         if now < r.dry_at:
             r.dry_at, r.dry_spent = now, 0.0
         passed, wanted = (now - r.dry_at) / 1000, r.dry_spent + units
-        short = wanted - passed * r.pace[0] if c.plan.rate else 0.0
-        return max(0.0, short), bool(c.plan.ceiling_rate) and wanted > passed * r.pace[1]
+        short = wanted - passed * r.pace[0] if c.plan.rate_per_s else 0.0
+        return max(0.0, short), bool(c.plan.ceiling_rate_per_s) and wanted > passed * r.pace[1]
 
     def spent(self, now: float, c: Customer, units: float, out: api.Actions) -> None:
         if (r := self.reserve(c)) is None:
@@ -112,7 +114,7 @@
             self.changed[c.key] = c
 
     def limited(self, c: Customer) -> bool:
-        return bool(c.plan.rate or c.plan.ceiling_rate)
+        return bool(c.plan.rate_per_s or c.plan.ceiling_rate_per_s)
 
     def reserve(self, c: Customer) -> Reserve | None:
         if not self.on or not self.limited(c):
@@ -183,14 +185,14 @@
         out: api.Actions,
     ) -> None:
         """Begin to keep with a file that holds nothing, or leave off."""
-        if event.last:
+        if event.final:
             for c in [customers[key] for key, r in self.reserves.items() if r.row and key in customers]:
                 self.keep(c.state(), out)
-        self.on, self.due = event.on, math.inf
+        self.on, self.due = event.enabled, math.inf
         self.rows = 0
         for held in (self.reserves, self.waiting, self.changed, self.told):
             held.clear()
-        if not event.on:
+        if not event.enabled:
             return
         for c in sorted(customers.values(), key=lambda c: -c.filled_at):
             if self.limited(c):
@@ -202,8 +204,8 @@
 
     def begin(self, now: float, event: api.StateFileFound, out: api.Actions) -> None:
         """What the file tells of the lives before this one: when it was last written, and the restarts."""
-        self.alive, self.restarts = event.alive, event.restarts
-        self.believed = event.whole and 0.0 <= now - self.alive <= DOWN_MS
+        self.alive, self.restarts = event.last_commit_ms, event.restarts_ms
+        self.believed = event.complete and 0.0 <= now - self.alive <= DOWN_MS
         if not self.believed:
             out.append(api.LogMessage(f"a downtime of {(now - self.alive) / 1000:.0f} s is not believed"))
 
@@ -225,9 +227,9 @@
 
     def first(self, now: float, c: Customer) -> None:
         """A customer without a row: it may have had a part of its units in each life that has just ended."""
-        window = max(c.keep_ms, c.plan.burst / c.plan.rate * 1000 if c.plan.rate else 0.0)
+        window = max(c.keep_ms, c.plan.burst_units / c.plan.rate_per_s * 1000 if c.plan.rate_per_s else 0.0)
         lives = sum(now - at < window or not self.believed for at in self.restarts)
         if lives and self.limited(c):
             taken = math.inf if lives >= MOST_RESTARTS else lives * self.part(c)
-            c.tokens = max(self.settings.most_units, c.tokens - taken)
-            c.ceiling = max(0.0, min(c.plan.ceiling_burst * c.top, c.ceiling) - taken)
+            c.tokens = max(self.settings.max_request_units, c.tokens - taken)
+            c.ceiling = max(0.0, min(c.plan.ceiling_burst_units * c.top, c.ceiling) - taken)
--- a/switchline/policy/entities.py
+++ b/switchline/policy/entities.py
@@ -23,10 +23,10 @@
         self.update(entry)
 
     def update(self, entry: api.BackendEntry) -> None:
-        if entry.started != self.started:  # a new process: what was seen of the old one says nothing
+        if entry.started_ms != self.started:  # a new process: what was seen of the old one says nothing
             self.marks: dict[str, tuple[float, float]] = {}  # level and when it was set
             self.returned = 0.0 if self.guessed else self.returned
-        self.zone, self.cell, self.started = entry.zone, entry.cell, entry.started
+        self.zone, self.cell, self.started = entry.zone, entry.cell, entry.started_ms
         self.ready = entry.state is api.BackendState.READY
 
     def begins(self, now: float, held_until: float) -> None:
@@ -44,7 +44,7 @@
     def warmth(self, now: float) -> float:
         """The least part of its capacity that it surely has."""
         begun = max(self.begun, self.returned)  # operators restart what they take out
-        age = (now - begun) / max(1.0, self.rules.warm_within) if begun > 0 else 1.0
+        age = (now - begun) / max(1.0, self.rules.warm_up_ms) if begun > 0 else 1.0
         return min(1.0, self.rules.start_capacity + (1 - self.rules.start_capacity) * age)
 
 
@@ -53,8 +53,10 @@
 
     def __init__(self, event: api.RequestArrived, kind: api.RequestClass, c: Customer, now: float) -> None:
         self.id, self.kind, self.customer, self.units = event.request, kind, c, event.units
-        self.expires = event.expires
-        self.aim_at = event.expires if event.streamed else min(event.expires, now + kind.aim)
+        self.expires = event.expires_ms
+        self.aim_at = (
+            event.expires_ms if event.streamed else min(event.expires_ms, now + kind.latency_objective_ms)
+        )
         self.attempts, self.check_at, self.settled = 0, math.inf, False
         self.marks = "all", "class " + kind.name, "plan " + c.plan.name  # of a backend that this one bears on
         self.streamed, self.whole = event.streamed, not event.streamed  # a long value; it has come in
--- a/switchline/policy/gateway_state.py
+++ b/switchline/policy/gateway_state.py
@@ -23,7 +23,7 @@
         self.settings, self.random = settings, random.Random(seed)
         self.classes = {c.name: c for c in settings.classes}
         self.plans = {p.name: p for p in settings.plans}
-        self.top_importance = max((c.importance for c in settings.classes), default=1.0)
+        self.top_importance = max((c.priority_weight for c in settings.classes), default=1.0)
         self.customers: dict[str, Customer] = {}
         self.beside, self.counts, self.lags = False, True, False
         self.calls: dict[str, deque[tuple[str, int, float, str]]] = {}  # customer, period, added, request
--- a/switchline/policy/gateway_status.py
+++ b/switchline/policy/gateway_status.py
@@ -61,12 +61,12 @@
     """What all gateways have left of customers' quotas, as this one knows: where most is spent first."""
     found = []
     for c in gateway.customers.values():
-        if c.plan.rate:
+        if c.plan.rate_per_s:
             passed = max(0.0, now - c.filled_at) / 1000
-            left = min(c.plan.burst, max(0.0, c.store + passed * c.plan.rate))
-            if left < c.plan.burst:
+            left = min(c.plan.burst_units, max(0.0, c.store + passed * c.plan.rate_per_s))
+            if left < c.plan.burst_units:
                 found.append(api.PeerQuotaReport(c.key, c.plan.name, c.even, left))
-    found.sort(key=lambda told: told.left - gateway.plans[told.plan].burst)
+    found.sort(key=lambda told: told.remaining_units - gateway.plans[told.plan].burst_units)
     return found[:most]
 
 
--- a/switchline/policy/leases.py
+++ b/switchline/policy/leases.py
@@ -35,10 +35,12 @@
         # Danger: a part of a ceiling by wants of long ago is spent by others meanwhile. It fades as wants do.
         least = c.even * (EVENLY if c.heard else 1.0)
         c.top = least + (c.top - least) * math.exp(-passed * 1000 / WANTS_MS)
-        most = max(self.settings.most_units, c.plan.burst * c.part)
-        c.tokens = min(most, c.tokens + passed * c.plan.rate * c.part)
-        c.store = min(c.plan.burst, c.store + passed * c.plan.rate)
-        c.ceiling = min(c.plan.ceiling_burst * c.top, c.ceiling + passed * c.plan.ceiling_rate * c.top)
+        most = max(self.settings.max_request_units, c.plan.burst_units * c.part)
+        c.tokens = min(most, c.tokens + passed * c.plan.rate_per_s * c.part)
+        c.store = min(c.plan.burst_units, c.store + passed * c.plan.rate_per_s)
+        c.ceiling = min(
+            c.plan.ceiling_burst_units * c.top, c.ceiling + passed * c.plan.ceiling_rate_per_s * c.top
+        )
 
     def refresh(self, now: float, request: Request, out: api.Actions) -> bool:
         """Add the units asked since the last call, refused ones too, and so learn of all that were asked.
@@ -51,7 +53,7 @@
             self.tell(c, out, asked=request.units)
             return False
         c.unsaid += 0.0 if self.lags else request.units
-        if now < c.fresh_until or self.lags or not self.settings.may_count or not c.plan.rate:
+        if now < c.fresh_until or self.lags or not self.settings.uses_counter or not c.plan.rate_per_s:
             return False
         if self.random.random() > self.counter_room:
             # Crowded: of a sparse lease, the requests that find room stand for those that find none.
@@ -63,7 +65,7 @@
         c.fresh_until = now + (FRESH_MS if c.sparse else REFRESH_MS)
         self.count(c, int(now // PERIOD_MS), said, out, request.id if c.sparse else "")
         if c.sparse:
-            self.watch(now, request, now + COUNT_PATIENCE * self.settings.count_wait, out)
+            self.watch(now, request, now + COUNT_PATIENCE * self.settings.counter_call_ms, out)
         return c.sparse
 
     def settle(self, c: Customer, more: float, out: api.Actions) -> None:
@@ -92,7 +94,7 @@
         cut = ROOM_BUSY if event.outcome is api.Outcome.FULL else ROOM_CUT
         self.counter_room = min(1.0, room + ROOM_STEP) if ok else max(ROOM_LEAST, room * cut)
         c, request = self.customers.get(key), self.requests.get(held)
-        if c and ok and self.renew(now, c, period, amount, event.reading, held, out):
+        if c and ok and self.renew(now, c, period, amount, event.total, held, out):
             return
         if c and not ok:
             c.heard = False  # what others took is not known: the lease's own bucket pays
@@ -110,7 +112,7 @@
         """
         self.fill(now, c)
         self.durable_state.renewed(c)
-        c.lease_end, rate, burst = now + LEASE_MS, c.plan.rate, c.plan.burst
+        c.lease_end, rate, burst = now + LEASE_MS, c.plan.rate_per_s, c.plan.burst_units
         if not amount:  # how the last period ended
             others, mine, brought, read = c.begun
             if read >= 0:  # this gateway read it before, and then its store was known
@@ -142,7 +144,7 @@
             brought = max(rate * since - spent, c.store if last else 0.0)
             return self.share_out(now, c, others, amount, brought, 0.0)
         brought = max(c.store, rate * window - spent) if last else rate * since
-        if not last and others > max(brought + burst, self.settings.most_units):
+        if not last and others > max(brought + burst, self.settings.max_request_units):
             # They are more than a whole burst could pay as well: that share is the same however it ended.
             return self.share_out(now, c, others, amount, brought, 0.0)
         c.begun = others, amount, brought, before if last else -1.0
@@ -180,13 +182,13 @@
         """
         c.chance, c.heard = 1.0, True
         if others <= brought:
-            c.store = min(c.plan.burst, brought - others)
-        elif others <= self.settings.most_units:
+            c.store = min(c.plan.burst_units, brought - others)
+        elif others <= self.settings.max_request_units:
             c.store -= others if others <= c.store else 0.0
         else:
             c.chance, c.store = (brought - burst) / (others + mine), 0.0
         c.tokens = max(c.tokens, c.store * c.part)
         if c.chance == 1.0:
             c.tokens = min(c.tokens, c.store)
-        c.fresh_until = max(c.fresh_until, now + c.store / (SURGE * c.plan.rate) * 1000)
+        c.fresh_until = max(c.fresh_until, now + c.store / (SURGE * c.plan.rate_per_s) * 1000)
         return False
--- a/switchline/policy/zones.py
+++ b/switchline/policy/zones.py
@@ -98,7 +98,7 @@
             return
         if told.state == State.RETURNING.value and not self.rationed(told.zone):
             zone.lost, zone.granted, zone.granted_at = {}, 0.0, now  # what was seen before says nothing now
-        soon = now + told.gap * self.chance.random()
+        soon = now + told.probe_interval_ms * self.chance.random()
         zone.test_at = min(zone.test_at, soon) if zone.word else max(zone.test_at, soon)
         zone.word = told if told.state in (State.LEFT.value, State.RETURNING.value) else None
 
@@ -156,7 +156,7 @@
 
     def come_back(self, now: float, zone: Zone, reason: str) -> None:
         zone.ramp_from = zone.back_at = now
-        zone.ramp_ms = self.settings.rules.warm_within * self.chance.uniform(*RAMP) * 2**zone.flaps
+        zone.ramp_ms = self.settings.rules.warm_up_ms * self.chance.uniform(*RAMP) * 2**zone.flaps
         self.turn(zone, State.RETURNING, reason)
 
     def turn(self, zone: Zone, state: State, reason: str) -> None:
@@ -190,7 +190,7 @@
         """A zone that the fleet returns to and that one more request of this gateway may go to."""
         for name, zone in self.zones.items():
             if zone.word and zone.state is State.RETURNING and self.rationed(name):
-                earned = (now - zone.granted_at) / 1000 * zone.word.rate
+                earned = (now - zone.granted_at) / 1000 * zone.word.rate_per_s
                 zone.granted, zone.granted_at = min(MOST_GRANTED, zone.granted + earned), now
                 if zone.granted >= 1:
                     return zone
@@ -212,7 +212,7 @@
 
     def tested(self, now: float, name: str) -> None:
         zone = self.zones[name]
-        gap = zone.word.gap if zone.word else TEST_MS
+        gap = zone.word.probe_interval_ms if zone.word else TEST_MS
         zone.test_at = now + gap * self.chance.uniform(0.5, 1.5)  # not all act as one
 
     def factors(self, now: float) -> dict[str, float]:
@@ -236,7 +236,7 @@
         usable = [zone.usable for zone in self.zones.values() if zone.usable]
         own = self.zones[self.own].usable if self.own in self.zones else 0
         fair = sum(usable) / max(1, len(usable))  # backends of a zone of the usual size
-        near = min(NEAR_MOST, NEAR_LEAST + NEAR_PRICE * self.settings.cross_zone)
+        near = min(NEAR_MOST, NEAR_LEAST + NEAR_PRICE * self.settings.cross_zone_price)
         return near * min(1.0, own / max(1.0, fair)) ** 2 if own else near
 
     def distance(self, name: str) -> int:
--- a/switchline/service/driver.py
+++ b/switchline/service/driver.py
@@ -80,7 +80,7 @@
         """When a further attempt may begin at the latest: once a key's window is over, it would run again."""
         if not self.written or self.kind.effect is not api.Effect.KEYED:
             return math.inf
-        return min(self.written.values()) + self.kind.repeat_window - REPEAT_MARGIN_MS
+        return min(self.written.values()) + self.kind.repeat_window_ms - REPEAT_MARGIN_MS
 
 
 class Driver:
@@ -242,7 +242,7 @@
         self.seen["requests taken"] += 1
         self.shares.take(event.customer)
         kind = self.kinds[event.request_class]
-        owner = self.requests[command.id] = Request(command, slot, kind, event.expires)
+        owner = self.requests[command.id] = Request(command, slot, kind, event.expires_ms)
         owner.timer = self.timers.at(owner.expires, partial(self.on_expired, owner))
         self.give(event)
 
@@ -271,7 +271,7 @@
             request_class=given[b"c"].decode(),
             plan=given.get(b"t", b"").decode(),
             customer=command.customer,
-            expires=command.came_at
+            expires_ms=command.came_at
             + (LONGEST_BODY_MS if command.stream is not None else min(command.wait, LONGEST_WAIT_MS)),
             units=float(given.get(b"units", b"0")),
             spread=int(given.get(b"spread", b"1")),
@@ -464,7 +464,9 @@
         if owner is None or spent or owner.made >= self.settings.max_attempts:
             number = owner.made if owner else 0
             ignored = api.Outcome.IGNORED
-            self.give(api.AttemptEnded(request, number, backend, ignored, 0.0, owner is None, spent=spent))
+            self.give(
+                api.AttemptEnded(request, number, backend, ignored, 0.0, owner is None, body_discarded=spent)
+            )
             return
         number, owner.made = owner.made, owner.made + 1
         ended = partial(self.on_ended, owner, number, now)
--- a/switchline/service/service.py
+++ b/switchline/service/service.py
@@ -88,7 +88,7 @@
             self.figures,
             self.room,
         )
-        wait = config.settings.count_wait
+        wait = config.settings.counter_call_ms
         self.counter = (
             Counter(self.loop, self.timers, config.counter, wait, self.budget) if config.counter else None
         )
@@ -108,7 +108,7 @@
             known = read_list(config.known)
             version = known.version
             self.driver.members(api.ListScope.SAVED, known.members)
-        apart = asks_apart(config.settings.gateways) if config.settings.must_ask_for_list else 0.0
+        apart = asks_apart(config.settings.gateways) if config.settings.must_follow_list else 0.0
         chance = random.Random(config.seed)
         self.discovery = Discovery(config.discovery, version, self.on_list, chance, self.budget, apart)
         self.audit: Audit | None = None  # the versions acted on, with `fleet` or `audit`
@@ -639,7 +639,7 @@
 
     def longest_drain(self) -> float:
         """Seconds after SIGTERM until what is still open is ended, before SIGKILL would lose it."""
-        longest = max((kind.deadline for kind in self.config.settings.classes), default=math.inf)
+        longest = max((kind.deadline_ms for kind in self.config.settings.classes), default=math.inf)
         return min(longest / 1000, LONGEST_DEADLINE_S) + KILLED_AFTER_S - LAST_ANSWERS_S
 
     def close(self) -> None:
--- a/switchline/simulator.py
+++ b/switchline/simulator.py
@@ -24,45 +24,45 @@
         classes=tuple(read_class(c) for c in raw.get("classes") or ()),
         plans=tuple(read_plan(p) for p in raw.get("packages") or ()),
         rules=api.SafetyRules(
-            drain_grace=float(rules.get("drainGrace") or 0),
+            drain_grace_ms=float(rules.get("drainGrace") or 0),
             start_capacity=float(rules.get("startCapacity") or 0),
-            warm_within=float(rules.get("warmWithin") or 0),
-            fall_multiple=float(rules.get("fallMultiple") or 0),
+            warm_up_ms=float(rules.get("warmWithin") or 0),
+            overload_multiple=float(rules.get("fallMultiple") or 0),
         ),
         max_attempts=int(caps.get("maxAttempts") or 1),
-        may_duplicate=bool(caps.get("mayDuplicate")),
+        can_hedge=bool(caps.get("mayDuplicate")),
         can_cancel=bool(caps.get("cancelling")),
-        may_count=bool(info.get("mayCount")),
-        must_ask_for_list=raw.get("discovery") == "ask",
-        max_retry_after=float(caps.get("maxRetryAfter") or 0),
-        count_wait=float(info.get("countWait") or 0),
-        most_units=float(info.get("unitsTop") or 1),
-        cross_zone=float((raw.get("prices") or {}).get("crossZone") or 0),
+        uses_counter=bool(info.get("mayCount")),
+        must_follow_list=raw.get("discovery") == "ask",
+        max_retry_after_ms=float(caps.get("maxRetryAfter") or 0),
+        counter_call_ms=float(info.get("countWait") or 0),
+        max_request_units=float(info.get("unitsTop") or 1),
+        cross_zone_price=float((raw.get("prices") or {}).get("crossZone") or 0),
     )
 
 
 def read_class(raw: dict[str, Any]) -> api.RequestClass:
     return api.RequestClass(
         name=str(raw["name"]),
-        aim=float(raw.get("aim") or raw["deadline"]),
-        deadline=float(raw["deadline"]),
-        importance=float(raw.get("importance") or 0),
+        latency_objective_ms=float(raw.get("aim") or raw["deadline"]),
+        deadline_ms=float(raw["deadline"]),
+        priority_weight=float(raw.get("importance") or 0),
         effect=api.Effect(raw["effect"]),
-        group=api.RepeatScope(raw.get("group") or "all"),
-        repeat_window=float(raw.get("repeatWindow") or 0),
+        repeat_scope=api.RepeatScope(raw.get("group") or "all"),
+        repeat_window_ms=float(raw.get("repeatWindow") or 0),
     )
 
 
 def read_plan(raw: dict[str, Any]) -> api.Plan:
     return api.Plan(
         name=str(raw["name"]),
-        rate=float(raw.get("rate") or 0),
-        burst=float(raw.get("mostAtOnce") or 0),
-        open_limit=int(raw.get("open") or 0),
-        beyond_earns=float(raw.get("beyondEarns") or 0),
-        beyond_costs=float(raw.get("overrunCost") or 0),
-        ceiling_rate=float(raw.get("neverOverRate") or 0),
-        ceiling_burst=float(raw.get("hardBurst") or 0),
+        rate_per_s=float(raw.get("rate") or 0),
+        burst_units=float(raw.get("mostAtOnce") or 0),
+        max_open_requests=int(raw.get("open") or 0),
+        overage_revenue=float(raw.get("beyondEarns") or 0),
+        overage_cost=float(raw.get("overrunCost") or 0),
+        ceiling_rate_per_s=float(raw.get("neverOverRate") or 0),
+        ceiling_burst_units=float(raw.get("hardBurst") or 0),
     )
 
 
@@ -72,7 +72,7 @@
         backend=int(backend),
         zone=str(zone or ""),
         cell=int(cell or 0),
-        started=float(started or 0),
+        started_ms=float(started or 0),
         state=api.BackendState(state),
     )
 
--- a/switchline/state/recovery.py
+++ b/switchline/state/recovery.py
@@ -322,7 +322,7 @@
             self.trying.close()
         if self.store is not None:
             store = self.store
-            self.driver.give(api.PersistenceChanged(False, last=True))
+            self.driver.give(api.PersistenceChanged(False, final=True))
             store.close()
             store.join()
 
--- a/switchline/zones/coordination.py
+++ b/switchline/zones/coordination.py
@@ -39,7 +39,7 @@
         rules, gateways = settings.rules, settings.gateways
         self.driver = driver
         self.zonal = Zonal(
-            settings.zone, settings.index, gateways, rules.start_capacity, rules.warm_within / 1000, chance
+            settings.zone, settings.index, gateways, rules.start_capacity, rules.warm_up_ms / 1000, chance
         )
         self.peers: Peers | None = None
         self.timer: asyncio.TimerHandle | None = None
--- a/tests/fleet/test_outage.py
+++ b/tests/fleet/test_outage.py
@@ -30,8 +30,8 @@
 )
 PLANS = (
     api.Plan("free"),
-    api.Plan("bas", rate=2.0, burst=20.0),
-    api.Plan("spare", rate=1.0, burst=4.0, beyond_earns=1.0),
+    api.Plan("bas", rate_per_s=2.0, burst_units=20.0),
+    api.Plan("spare", rate_per_s=1.0, burst_units=4.0, overage_revenue=1.0),
 )
 RULES = api.SafetyRules(500.0, 0.2, 16_000.0, 3.0)
 DOWNS = st.one_of(st.none(), st.just(math.nan), st.floats(0, 3_600))
@@ -39,7 +39,16 @@
 
 def module(backends: int = 6, gateways: int = 6, now: float = 1e6, seed: int = 1) -> Gateway:
     given_ = api.Settings(
-        0, gateways, "a", KINDS, PLANS, RULES, 4, can_cancel=True, may_count=True, max_retry_after=2_000.0
+        0,
+        gateways,
+        "a",
+        KINDS,
+        PLANS,
+        RULES,
+        4,
+        can_cancel=True,
+        uses_counter=True,
+        max_retry_after_ms=2_000.0,
     )
     gateway = Gateway(given_, seed)
     up = api.BackendState.READY
@@ -188,10 +197,15 @@
     for number in range(10):
         ask(knows, 1e6 + number, number, "bas")
     (told,) = gateway_status.spending(knows, 1e6 + 20, 10)
-    assert told.key == "cbas" and told.left == pytest.approx(14.0, abs=0.1)  # its even share: six
-    for word in (told, api.PeerQuotaReport("cbas", "bas", told.even, 18.0)):  # a liar's, or an older one's
+    assert told.customer == "cbas" and told.remaining_units == pytest.approx(
+        14.0, abs=0.1
+    )  # its even share: six
+    for word in (
+        told,
+        api.PeerQuotaReport("cbas", "bas", told.even_share, 18.0),
+    ):  # a liar's, or an older one's
         lost.handle(1e6 + 20, word)
-    assert lost.customers["cbas"].tokens == pytest.approx(told.left / 3, abs=0.1)
+    assert lost.customers["cbas"].tokens == pytest.approx(told.remaining_units / 3, abs=0.1)
     before = module().customer(1e6, "cbas", "bas", 1 / 3).tokens
     assert before == pytest.approx(20 / 3)  # without an answer: the even share
 
@@ -255,7 +269,7 @@
         number += 1
         for action in ask(gateway, now, number):
             if isinstance(action, api.Send):
-                warm = 0.2 + 0.8 * min(1.0, (now - begin) / RULES.warm_within)
+                warm = 0.2 + 0.8 * min(1.0, (now - begin) / RULES.warm_up_ms)
                 cores = free[action.backend]
                 core = cores.index(min(cores))
                 starts, takes = max(now, cores[core]), work_ms / warm
@@ -328,7 +342,7 @@
     for number in range(200):
         for action in ask(gateway, now + number, number, "spare" if number % 2 else "free"):
             if isinstance(action, api.Reject) and action.reason == "return":
-                waits.append(action.retry_after)
+                waits.append(action.retry_after_ms)
         beyond.append(gateway.customers["cspare"].tokens < -1e-6 if number > 1 else False)
     assert not any(beyond)  # work beyond a quota is not let in for its worth
     assert len(set(waits)) > len(waits) / 2 and max(waits) > 1_500 and max(waits) <= 2_000
--- a/tests/gateway_fleet.py
+++ b/tests/gateway_fleet.py
@@ -13,7 +13,7 @@
 from switchline.policy import interface as api
 from switchline.policy.gateway import Gateway
 
-PLANS = api.Plan("free"), api.Plan("quota", rate=4, burst=8, beyond_costs=1)
+PLANS = api.Plan("free"), api.Plan("quota", rate_per_s=4, burst_units=8, overage_cost=1)
 ANSWER_MS = 50.0  # that an answer takes
 
 
@@ -51,7 +51,7 @@
             for place in range(count):
                 backend = (number + 1) * 1000 + place
                 self.zone_of[backend], self.cell_of[backend] = zone, place // 2
-        changes = dict(gateways=gateways, plans=PLANS, may_duplicate=True, max_attempts=5) | changes
+        changes = dict(gateways=gateways, plans=PLANS, can_hedge=True, max_attempts=5) | changes
         self.gateways = [
             Gateway(settings(zone=own(index), index=index, **changes), seed * 1000 + index)
             for index in range(gateways)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -8,20 +8,32 @@
 from switchline.policy import interface as api
 from switchline.policy.gateway import Gateway
 
-SAFE = api.RequestClass("view", aim=1000, deadline=3000, importance=1, effect=api.Effect.SAFE)
+SAFE = api.RequestClass(
+    "view", latency_objective_ms=1000, deadline_ms=3000, priority_weight=1, effect=api.Effect.SAFE
+)
 KEYED = api.RequestClass(
     "order",
-    aim=1000,
-    deadline=3000,
-    importance=4,
+    latency_objective_ms=1000,
+    deadline_ms=3000,
+    priority_weight=4,
     effect=api.Effect.KEYED,
-    group=api.RepeatScope.CELL,
-    repeat_window=2000,
+    repeat_scope=api.RepeatScope.CELL,
+    repeat_window_ms=2000,
+)
+UNSAFE = api.RequestClass(
+    "wipe", latency_objective_ms=1000, deadline_ms=3000, priority_weight=2, effect=api.Effect.UNSAFE
+)
+BASIC = api.Plan("basic", rate_per_s=2, burst_units=8, overage_cost=1)
+FIRM = api.Plan(
+    "firm",
+    rate_per_s=10,
+    burst_units=20,
+    max_open_requests=8,
+    overage_cost=1,
+    ceiling_rate_per_s=20,
+    ceiling_burst_units=40,
 )
-UNSAFE = api.RequestClass("wipe", aim=1000, deadline=3000, importance=2, effect=api.Effect.UNSAFE)
-BASIC = api.Plan("basic", rate=2, burst=8, beyond_costs=1)
-FIRM = api.Plan("firm", rate=10, burst=20, open_limit=8, beyond_costs=1, ceiling_rate=20, ceiling_burst=40)
-BONUS = api.Plan("bonus", rate=1, burst=2, beyond_earns=0.2)
+BONUS = api.Plan("bonus", rate_per_s=1, burst_units=2, overage_revenue=0.2)
 RULES = api.SafetyRules(1000, 0.2, 10_000, 2)
 
 
@@ -35,9 +47,9 @@
         rules=RULES,
         max_attempts=3,
         can_cancel=True,
-        may_count=True,
-        max_retry_after=500.0,
-        count_wait=50.0,
+        uses_counter=True,
+        max_retry_after_ms=500.0,
+        counter_call_ms=50.0,
     )
     values.update(changes)
     return api.Settings(**values)  # type: ignore[arg-type]
@@ -74,7 +86,7 @@
         self.log += [(self.now, a) for a in actions]
         for a in actions:
             if isinstance(a, api.SetTimer):
-                heapq.heappush(self.timers, (self.now + a.delay, len(self.log), a.token))
+                heapq.heappush(self.timers, (self.now + a.delay_ms, len(self.log), a.token))
         return actions
 
     def ask(
--- a/tests/linked_fleet.py
+++ b/tests/linked_fleet.py
@@ -41,7 +41,7 @@
             node = self.net.add(index, seeds=(0, 1))
             rules = self.gateways[index].settings.rules
             chance = random.Random(f"{seed} {index}")
-            least, warm_s = rules.start_capacity, rules.warm_within / 1000
+            least, warm_s = rules.start_capacity, rules.warm_up_ms / 1000
             self.zonals.append(Zonal(own(index), index, gateways, least, warm_s, chance))
             node.told = self._hears(index)
             for kind, value in (("zone", own(index)), ("index", str(index))):
--- a/tests/neutral_form.py
+++ b/tests/neutral_form.py
@@ -125,34 +125,34 @@
     api.RequestClass,
     names(
         name="name",
-        latency_objective_ms="aim",
-        deadline_ms="deadline",
-        priority_weight="importance",
+        latency_objective_ms="latency_objective_ms",
+        deadline_ms="deadline_ms",
+        priority_weight="priority_weight",
         effect=enum_form("effect", EFFECTS),
-        deduplication_scope=enum_form("group", DEDUPLICATION_SCOPES),
-        deduplication_window_ms="repeat_window",
+        deduplication_scope=enum_form("repeat_scope", DEDUPLICATION_SCOPES),
+        deduplication_window_ms="repeat_window_ms",
     ),
 )
 PLAN = ObjectForm(
     api.Plan,
     names(
         name="name",
-        rate_per_s="rate",
-        burst_units="burst",
-        max_in_flight="open_limit",
-        earns_beyond_quota="beyond_earns",
-        costs_beyond_quota="beyond_costs",
-        ceiling_rate_per_s="ceiling_rate",
-        ceiling_burst_units="ceiling_burst",
+        rate_per_s="rate_per_s",
+        burst_units="burst_units",
+        max_in_flight="max_open_requests",
+        earns_beyond_quota="overage_revenue",
+        costs_beyond_quota="overage_cost",
+        ceiling_rate_per_s="ceiling_rate_per_s",
+        ceiling_burst_units="ceiling_burst_units",
     ),
 )
 SAFETY_RULES = ObjectForm(
     api.SafetyRules,
     names(
-        drain_grace_ms="drain_grace",
+        drain_grace_ms="drain_grace_ms",
         cold_capacity_ratio="start_capacity",
-        warm_up_ms="warm_within",
-        max_load_multiple="fall_multiple",
+        warm_up_ms="warm_up_ms",
+        max_load_multiple="overload_multiple",
     ),
 )
 SETTINGS = ObjectForm(
@@ -165,14 +165,14 @@
         plans=objects_form("plans", PLAN),
         safety_rules=object_form("rules", SAFETY_RULES),
         max_attempts="max_attempts",
-        may_hedge="may_duplicate",
+        may_hedge="can_hedge",
         can_cancel="can_cancel",
-        may_use_counter="may_count",
-        must_poll_endpoint_list="must_ask_for_list",
-        max_retry_after_ms="max_retry_after",
-        counter_timeout_ms="count_wait",
-        max_request_units="most_units",
-        cross_zone_price="cross_zone",
+        may_use_counter="uses_counter",
+        must_poll_endpoint_list="must_follow_list",
+        max_retry_after_ms="max_retry_after_ms",
+        counter_timeout_ms="counter_call_ms",
+        max_request_units="max_request_units",
+        cross_zone_price="cross_zone_price",
         zone_regions=pairs_form("regions"),
     ),
 )
@@ -182,7 +182,7 @@
         backend="backend",
         zone="zone",
         cell="cell",
-        started_ms="started",
+        started_ms="started_ms",
         state=enum_form("state", BACKEND_STATES),
     ),
 )
@@ -193,30 +193,32 @@
         names(
             scope=enum_form("scope", LIST_SCOPES),
             entries=objects_form("entries", BACKEND_ENTRY),
-            previous_list_valid_until_ms="held_until",
+            previous_list_valid_until_ms="previous_valid_until_ms",
         ),
     ),
     "backend_overridden": ObjectForm(
-        api.BackendOverridden, names(backend="backend", disabled="out", since_ms="since")
+        api.BackendOverridden, names(backend="backend", disabled="disabled", since_ms="since_ms")
+    ),
+    "zone_overridden": ObjectForm(
+        api.ZoneOverridden, names(zone="zone", disabled="disabled", since_ms="since_ms")
     ),
-    "zone_overridden": ObjectForm(api.ZoneOverridden, names(zone="zone", disabled="out", since_ms="since")),
     "zone_directive": ObjectForm(
         api.ZoneDirective,
         names(
             zone="zone",
             state="state",
-            rate_per_s="rate",
-            backend_load_ratio="share",
-            health_check_interval_ms="gap",
-            slice_start="first",
-            slice_width="part",
+            rate_per_s="rate_per_s",
+            backend_load_ratio="capacity_ratio",
+            health_check_interval_ms="probe_interval_ms",
+            slice_start="range_start",
+            slice_width="range_width",
         ),
     ),
-    "staleness_changed": ObjectForm(api.StalenessChanged, names(stale="lags")),
-    "fleet_outage": ObjectForm(api.FleetOutage, names(since_ms="since", recovered_at_ms="back")),
+    "staleness_changed": ObjectForm(api.StalenessChanged, names(stale="stale")),
+    "fleet_outage": ObjectForm(api.FleetOutage, names(since_ms="since_ms", recovered_at_ms="recovered_ms")),
     "peer_quota_report": ObjectForm(
         api.PeerQuotaReport,
-        names(customer="key", plan="plan", even_share="even", units_left="left"),
+        names(customer="customer", plan="plan", even_share="even_share", units_left="remaining_units"),
     ),
     "regions_changed": ObjectForm(api.RegionsChanged, names(zone_regions=pairs_form("regions"))),
     "request_arrived": ObjectForm(
@@ -226,7 +228,7 @@
             request_class="request_class",
             plan="plan",
             customer="customer",
-            expires_ms="expires",
+            expires_ms="expires_ms",
             units="units",
             gateways_of_customer="spread",
             first_gateway="first",
@@ -241,14 +243,14 @@
             attempt="attempt",
             backend="backend",
             outcome=enum_form("outcome", OUTCOMES),
-            latency_ms="lag",
+            latency_ms="latency_ms",
             request_is_answered="finished",
-            true_units="settled",
-            body_is_consumed="spent",
+            true_units="actual_units",
+            body_is_consumed="body_discarded",
         ),
     ),
     "request_body_received": ObjectForm(
-        api.RequestBodyReceived, names(request="request", expires_ms="expires")
+        api.RequestBodyReceived, names(request="request", expires_ms="expires_ms")
     ),
     "request_body_sent": ObjectForm(api.RequestBodySent, names(request="request", attempt="attempt")),
     "streamed_answer_started": ObjectForm(
@@ -260,7 +262,7 @@
     "request_lapsed": ObjectForm(api.RequestLapsed, names(request="request")),
     "counter_replied": ObjectForm(
         api.CounterReplied,
-        names(name="name", outcome=enum_form("outcome", OUTCOMES), total="reading"),
+        names(name="name", outcome=enum_form("outcome", OUTCOMES), total="total"),
     ),
     "timer_fired": ObjectForm(api.TimerFired, names(token="token")),
     "gossip_received": ObjectForm(
@@ -268,33 +270,41 @@
         names(sender="sender", payload=FieldForm("payload", encode=bytes.hex, decode=bytes.fromhex)),
     ),
     "peer_process_joined": ObjectForm(api.PeerProcessJoined, {}),
-    "peer_process_message": ObjectForm(api.PeerProcessMessage, names(record=record_form("said"))),
+    "peer_process_message": ObjectForm(api.PeerProcessMessage, names(record=record_form("record"))),
     "peer_process_left": ObjectForm(api.PeerProcessLeft, {}),
-    "persistence_changed": ObjectForm(api.PersistenceChanged, names(enabled="on", is_last_write="last")),
+    "persistence_changed": ObjectForm(
+        api.PersistenceChanged, names(enabled="enabled", is_last_write="final")
+    ),
     "records_persisted": ObjectForm(api.RecordsPersisted, names(up_to_serial="serial")),
     "state_file_found": ObjectForm(
         api.StateFileFound,
         names(
-            last_written_ms="alive",
-            restarts_ms=FieldForm("restarts", encode=list, decode=tuple),
-            is_latest="whole",
+            last_written_ms="last_commit_ms",
+            restarts_ms=FieldForm("restarts_ms", encode=list, decode=tuple),
+            is_latest="complete",
         ),
     ),
-    "record_restored": ObjectForm(api.RecordRestored, names(record=record_form("said"), written_at_ms="at")),
+    "record_restored": ObjectForm(
+        api.RecordRestored, names(record=record_form("record"), written_at_ms="written_ms")
+    ),
 }
 
 ACTIONS: dict[str, ObjectForm] = {
-    "send_attempt": ObjectForm(api.Send, names(request="request", backend="backend", timeout_ms="timeout")),
+    "send_attempt": ObjectForm(
+        api.Send, names(request="request", backend="backend", timeout_ms="timeout_ms")
+    ),
     "cancel_attempt": ObjectForm(api.Cancel, names(request="request", attempt="attempt")),
     "reject_request": ObjectForm(
-        api.Reject, names(request="request", retry_after_ms="retry_after", reason="reason")
+        api.Reject, names(request="request", retry_after_ms="retry_after_ms", reason="reason")
     ),
     "fail_request": ObjectForm(api.Fail, names(request="request")),
-    "set_timer": ObjectForm(api.SetTimer, names(delay_ms="delay", token="token")),
-    "add_to_counter": ObjectForm(api.Count, names(name="name", amount="amount", expire_in_ms="expire_in")),
+    "set_timer": ObjectForm(api.SetTimer, names(delay_ms="delay_ms", token="token")),
+    "add_to_counter": ObjectForm(
+        api.Count, names(name="name", amount="amount", expire_in_ms="expires_in_ms")
+    ),
     "follow_endpoint_list": ObjectForm(api.FollowList, names(enabled="enable")),
-    "replicate_record": ObjectForm(api.Replicate, names(record=record_form("said"))),
-    "persist_record": ObjectForm(api.PersistRecord, names(serial="serial", record=record_form("said"))),
+    "replicate_record": ObjectForm(api.Replicate, names(record=record_form("record"))),
+    "persist_record": ObjectForm(api.PersistRecord, names(serial="serial", record=record_form("record"))),
     "log_message": ObjectForm(api.LogMessage, names(text="text")),
 }
 EVENT_NAMES = {form.present: name for name, form in EVENTS.items()}
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -11,7 +11,7 @@
 from switchline.policy.entities import Attempt, Request
 
 WIDE = api.Plan("basic")  # no quota, so that only the back end decides
-OPEN = dict(plans=(WIDE,), may_count=False)
+OPEN = dict(plans=(WIDE,), uses_counter=False)
 
 
 def world(*entries: api.BackendEntry, **changes: object) -> World:
@@ -62,7 +62,7 @@
 
 
 def test_a_failed_list_keeps_the_old_one_and_asks_again_later() -> None:
-    w = world(must_ask_for_list=True)
+    w = world(must_follow_list=True)
     w.give(api.BackendsChanged(api.ListScope.FAILED, ()))
     assert one(w.ask())
     timers = [a for _, a in w.log if isinstance(a, api.SetTimer) and a.token == "follow"]
@@ -386,7 +386,7 @@
     for spread in (0, 1, 5000):
         for rate in (0.01, 10_000.0):
             for gateways in (1, 1000):
-                plan = api.Plan("basic", rate=rate, burst=rate)
+                plan = api.Plan("basic", rate_per_s=rate, burst_units=rate)
                 w = World([entry(1)], plans=(plan,), gateways=gateways, index=gateways - 1)
                 for life in (0, 3000):
                     w.ask(spread=spread, life=life)
@@ -429,7 +429,7 @@
 
 
 def test_the_plan_is_met_by_its_settings_not_its_name() -> None:
-    renamed = api.Plan("zzz", BASIC.rate, BASIC.burst)
+    renamed = api.Plan("zzz", BASIC.rate_per_s, BASIC.burst_units)
     a = World(plans=(BASIC,))
     b = World(plans=(renamed,))
     for _ in range(30):
--- a/tests/policy/test_durable_state.py
+++ b/tests/policy/test_durable_state.py
@@ -21,7 +21,7 @@
     """One gateway, the disk it keeps rows on, and its lives; real time goes on whatever its clock says."""
 
     def __init__(self, **changes: object) -> None:
-        self.changes = {"may_count": False, **changes}
+        self.changes = {"uses_counter": False, **changes}
         self.seed = int(str(self.changes.pop("seed", 0)))
         self.rows: dict[Told, tuple[list[object], float]] = {}
         self.waiting: list[api.PersistRecord] = []
@@ -56,11 +56,11 @@
 
     def commit(self) -> None:
         for keep in self.waiting:
-            if keep.said[0] == "forget":
-                self.rows.pop((str(keep.said[1]), str(keep.said[2])), None)
+            if keep.record[0] == "forget":
+                self.rows.pop((str(keep.record[1]), str(keep.record[2])), None)
             else:
-                name = "" if keep.said[0] == "gateway" else str(keep.said[1])
-                self.rows[str(keep.said[0]), name] = keep.said, self.world.now
+                name = "" if keep.record[0] == "gateway" else str(keep.record[1])
+                self.rows[str(keep.record[0]), name] = keep.record, self.world.now
         self.alive = self.world.now
         if self.waiting:
             last = self.waiting[-1].serial
@@ -129,10 +129,10 @@
             jump = {"crash": 0, "back": -number, "ahead": number}[what]
             disk.crash(number if what == "crash" else 10, jump)
             uncommitted = 0.0
-        if plan.rate:
-            assert lowest(disk.spent, plan.burst / 2, plan.rate / 2) > -1e-6 - disk.slack
-        if plan.ceiling_rate:
-            assert lowest(disk.spent, plan.ceiling_burst / 2, plan.ceiling_rate / 2) > -1e-6
+        if plan.rate_per_s:
+            assert lowest(disk.spent, plan.burst_units / 2, plan.rate_per_s / 2) > -1e-6 - disk.slack
+        if plan.ceiling_rate_per_s:
+            assert lowest(disk.spent, plan.ceiling_burst_units / 2, plan.ceiling_rate_per_s / 2) > -1e-6
 
 
 def test_without_reservation_a_crash_would_give_it_again() -> None:
@@ -144,14 +144,14 @@
     assert had >= 3
     disk.crash(100)
     assert not disk.ask()
-    fresh = World(may_count=False)  # knows nothing
+    fresh = World(uses_counter=False)  # knows nothing
     assert sends(fresh.ask())
 
 
 def test_a_lagging_disk_leaves_the_even_share_without_a_burst() -> None:
     disk = Disk()
     let_in = sum(disk.ask() for _ in range(10))
-    assert let_in == max(1, BASIC.burst / 2 / PARTS)  # a first part, and nothing waits
+    assert let_in == max(1, BASIC.burst_units / 2 / PARTS)  # a first part, and nothing waits
     assert len(refusals(disk.world.ask())) == 1
     for _ in range(20):
         disk.pass_time(500)
@@ -162,7 +162,7 @@
     assert disk.ask()
 
 
-CAP = api.Plan("cap", ceiling_rate=2, ceiling_burst=8)
+CAP = api.Plan("cap", ceiling_rate_per_s=2, ceiling_burst_units=8)
 
 
 def test_a_lagging_disk_leaves_the_even_share_of_a_ceiling() -> None:
@@ -177,7 +177,7 @@
 
 
 def test_what_went_unreserved_while_the_disk_lagged_is_not_paid_back() -> None:
-    fast = api.Plan("fast", rate=40, burst=8)
+    fast = api.Plan("fast", rate_per_s=40, burst_units=8)
     disk = Disk(plans=(fast,))
     for _ in range(6):
         while disk.ask(plan="fast"):
@@ -186,7 +186,7 @@
             disk.pass_time(20)
             disk.ask(plan="fast")
         disk.crash(0)
-    assert lowest(disk.spent, fast.burst / 2, fast.rate / 2) > -1e-6
+    assert lowest(disk.spent, fast.burst_units / 2, fast.rate_per_s / 2) > -1e-6
 
 
 def test_first_parts_of_many_lives_stay_within_the_ceiling() -> None:
@@ -197,8 +197,10 @@
         while disk.ask(plan="firm"):
             pass
         disk.crash(10)  # before its first row is committed
-    assert lowest(disk.spent, FIRM.ceiling_burst / 2, FIRM.ceiling_rate / 2) > -1e-6
-    assert lowest(disk.spent, FIRM.burst / 2, FIRM.rate / 2) >= -lives  # the slack: one request a crash
+    assert lowest(disk.spent, FIRM.ceiling_burst_units / 2, FIRM.ceiling_rate_per_s / 2) > -1e-6
+    assert (
+        lowest(disk.spent, FIRM.burst_units / 2, FIRM.rate_per_s / 2) >= -lives
+    )  # the slack: one request a crash
 
 
 def test_a_part_is_spent_from_memory_once_its_row_is_committed() -> None:
@@ -227,7 +229,7 @@
 
 
 def test_a_planned_end_keeps_all_that_is_left() -> None:
-    fast = api.Plan("fast", rate=1, burst=80)
+    fast = api.Plan("fast", rate_per_s=1, burst_units=80)
     left = []
     for planned in (False, True):
         disk = Disk(plans=(fast,))
@@ -235,7 +237,7 @@
             assert disk.ask(plan="fast")
             disk.commit()
         if planned:
-            disk.give(api.PersistenceChanged(False, last=True))
+            disk.give(api.PersistenceChanged(False, final=True))
             disk.commit()
         disk.crash(100)
         left.append(disk.world.gateway.customers["c"].tokens)
@@ -243,7 +245,7 @@
 
 
 def test_a_lease_that_ended_meanwhile_reverts() -> None:
-    disk = Disk(may_count=True)
+    disk = Disk(uses_counter=True)
     disk.ask()
     disk.commit()
     disk.world.gateway.customers["c"].part = 0.9
@@ -264,7 +266,7 @@
     disk.crash(100)
     first = disk.world.ask(plan="firm", customer="new")
     assert sends(first)  # a process that knows nothing would refuse it
-    assert not sends(World(may_count=False).ask(plan="firm", customer="new"))
+    assert not sends(World(uses_counter=False).ask(plan="firm", customer="new"))
 
 
 def test_marks_age_and_pace_come_back_but_not_those_of_another_process_of_a_backend() -> None:
@@ -290,7 +292,7 @@
 def test_a_fleet_that_is_back_does_not_ask_the_counter_at_once() -> None:
     asked: list[float] = []
     for index in range(40):
-        disk = Disk(may_count=True, seed=100 * index)
+        disk = Disk(uses_counter=True, seed=100 * index)
         disk.ask()
         disk.commit()
         disk.crash(1_000)
@@ -364,7 +366,9 @@
     reserve = disk.world.gateway.durable_state.reserves["c"]
     (send,) = sends(disk.note(disk.world.ask()))
     disk.note(
-        disk.give(api.AttemptEnded(send.request, 0, send.backend, api.Outcome.OK, 1.0, True, settled=3.0))
+        disk.give(
+            api.AttemptEnded(send.request, 0, send.backend, api.Outcome.OK, 1.0, True, actual_units=3.0)
+        )
     )
     assert reserve.ahead < 0
     disk.commit()
@@ -372,4 +376,4 @@
     held = disk.world.gateway.customers["c"].tokens
     said, _ = disk.rows["customer", "c"]
     assert said[4][2] <= held  # type: ignore[index]
-    assert settings().most_units == 1.0
+    assert settings().max_request_units == 1.0
--- a/tests/policy/test_leases.py
+++ b/tests/policy/test_leases.py
@@ -46,11 +46,11 @@
     world = World()
     drain(world, 4)
     (refusal,) = refusals(world.ask())
-    assert 0 < refusal.retry_after <= 500
+    assert 0 < refusal.retry_after_ms <= 500
 
 
 def test_the_bucket_fills_at_the_even_share() -> None:
-    world = World(may_count=False)
+    world = World(uses_counter=False)
     drain(world, 10)
     assert drain(world, 100, gap=100) in (9, 10, 11)  # one a second for ten seconds
 
@@ -66,7 +66,7 @@
     waiting = world.gateway.customers["c"].unsaid
     assert sum(call.amount for _, call in adds) + waiting == 100
     assert all(b - a >= REFRESH_MS for (a, _), (b, _) in zip(adds, adds[1:], strict=False))
-    assert all(call.expire_in <= 60_000 for _, call in adds)
+    assert all(call.expires_in_ms <= 60_000 for _, call in adds)
 
 
 def test_the_lease_is_this_gateways_share_of_what_all_asked() -> None:
@@ -185,7 +185,7 @@
     (send,) = sends(world.ask())
     customer = world.gateway.customers["c"]
     store, tokens, unsaid = customer.store, customer.tokens, customer.unsaid
-    done = api.AttemptEnded(send.request, 0, send.backend, api.Outcome.OK, 1.0, True, settled=3.0)
+    done = api.AttemptEnded(send.request, 0, send.backend, api.Outcome.OK, 1.0, True, actual_units=3.0)
     world.give(done)
     world.give(done)  # a repeat of the answer settles nothing twice
     assert (customer.store, customer.tokens, customer.unsaid) == (store - 2, tokens - 2, unsaid + 2)
@@ -194,7 +194,7 @@
 def test_units_given_back_never_make_a_call_that_only_reads() -> None:
     world = World()
     (send,) = sends(world.ask())
-    world.give(api.AttemptEnded(send.request, 0, send.backend, api.Outcome.OK, 1.0, True, settled=0.1))
+    world.give(api.AttemptEnded(send.request, 0, send.backend, api.Outcome.OK, 1.0, True, actual_units=0.1))
     world.gateway.customers["c"].unsaid = -5.0
     world.pass_time(600)
     (call,) = counts(world.ask())
@@ -202,12 +202,12 @@
 
 
 def test_a_customer_is_told_when_the_shared_store_holds_its_units() -> None:
-    world, numbers = World(max_retry_after=60_000.0), dict[str, float]()
+    world, numbers = World(max_retry_after_ms=60_000.0), dict[str, float]()
     while not (refused := refusals(actions := play(world, numbers))):
         for send in sends(actions):
             world.end(send)
     (missing,) = (1 - c.store for c in world.gateway.customers.values())
-    assert abs(refused[0].retry_after - missing / 2 * 1000) < 1  # at the whole rate of two a second
+    assert abs(refused[0].retry_after_ms - missing / 2 * 1000) < 1  # at the whole rate of two a second
 
 
 def test_refused_wants_leave_no_debt() -> None:
@@ -311,7 +311,7 @@
         read = World()
         (call,) = counts(read.ask(spread=100))
         customer = read.gateway.customers["c"]
-        brought, burst = 20.0, BASIC.burst - min(BASIC.burst, max(0.0, ended - 30.0))
+        brought, burst = 20.0, BASIC.burst_units - min(BASIC.burst_units, max(0.0, ended - 30.0))
         read.gateway.share_out(read.now, customer, others, call.amount, brought + burst, burst)
         assert (told.chance, told.store) == (customer.chance, customer.store)
 
@@ -395,7 +395,7 @@
 
 
 def test_no_plan_and_no_rate_means_no_quota() -> None:
-    world = World(plans=(), may_count=False)
+    world = World(plans=(), uses_counter=False)
     assert drain(world, 50, gap=10) == 50
 
 
@@ -414,9 +414,9 @@
 
 
 def test_beyond_quota_only_where_it_earns_and_capacity_is_spare() -> None:
-    world = World(may_count=False)
+    world = World(uses_counter=False)
     assert drain(world, 30, gap=1, plan="bonus") == 30
-    slow = World(may_count=False)
+    slow = World(uses_counter=False)
     for _ in range(60):
         slow.ask(plan="basic", customer=f"x{slow.serial}")
     slow.gateway.rate = 20.0  # sixty out at twenty answers a second: far from spare
@@ -476,7 +476,7 @@
                 w.give(api.CounterReplied(count.name, api.Outcome.OK, total))
         c = w.gateway.customers["c"]
         parts[others] = c.top
-        assert c.ceiling <= c.plan.ceiling_burst * c.top
+        assert c.ceiling <= c.plan.ceiling_burst_units * c.top
         w.pass_time(LEASE_MS + 1)
         w.ask(plan="firm")
         assert c.top == c.even == 0.5  # unheard
--- a/tests/policy/test_rules_hold.py
+++ b/tests/policy/test_rules_hold.py
@@ -25,9 +25,9 @@
 class Referee:
     """Keeps the rules' books from outside while a random history is played."""
 
-    def __init__(self, seed: int, may_duplicate: bool, started: bool) -> None:
-        self.world = World([entry(i, cell=i % 2) for i in range(5)], seed=seed, may_duplicate=may_duplicate)
-        self.may_duplicate = may_duplicate
+    def __init__(self, seed: int, can_hedge: bool, started: bool) -> None:
+        self.world = World([entry(i, cell=i % 2) for i in range(5)], seed=seed, can_hedge=can_hedge)
+        self.can_hedge = can_hedge
         self.asked: dict[str, tuple[str, float]] = {}
         self.final: set[str] = set()
         self.sent: dict[str, list[tuple[int, float, api.Outcome | None]]] = {}
@@ -46,11 +46,13 @@
                 tries = self.sent.setdefault(action.request, [])
                 assert action.request not in self.final and now <= expires
                 assert len(tries) < 3
-                assert self.may_duplicate or all(o is not None for _, _, o in tries)
+                assert self.can_hedge or all(o is not None for _, _, o in tries)
                 ran = [(b, t) for b, t, o in tries if o not in NEVER_RAN]
                 assert name != "wipe" or not ran
                 if name == "order":
-                    assert all(b % 2 == action.backend % 2 and now - t <= KEYED.repeat_window for b, t in ran)
+                    assert all(
+                        b % 2 == action.backend % 2 and now - t <= KEYED.repeat_window_ms for b, t in ran
+                    )
                 ready = self.states[action.backend] is api.BackendState.READY
                 assert ready or now - self.told_at[action.backend] <= 1000
                 if not tries:
--- a/tests/policy/test_zones.py
+++ b/tests/policy/test_zones.py
@@ -203,8 +203,8 @@
     rules = settings().rules
     for second in range(9):  # any 3 s: less than what the least capacity times the multiple bears
         at = began + second * 1000
-        warmth = rules.start_capacity + (1 - rules.start_capacity) * second * 1000 / rules.warm_within
-        most = rules.fall_multiple * warmth * usual * 2 * 3000  # warm backends are at most half busy here
+        warmth = rules.start_capacity + (1 - rules.start_capacity) * second * 1000 / rules.warm_up_ms
+        most = rules.overload_multiple * warmth * usual * 2 * 3000  # warm backends are at most half busy here
         assert fleet.to("b", at, at + 3000) <= most
 
 
@@ -221,7 +221,7 @@
             zones.note(now + 500, backend, "b", lost=False)
         zones.look(now + 500)
         assert zones.zones["b"].state is State.RETURNING
-        ramps.append(zones.zones["b"].ramp_ms / settings().rules.warm_within)
+        ramps.append(zones.zones["b"].ramp_ms / settings().rules.warm_up_ms)
         now += 1000
     assert 0.5 <= ramps[0] <= 1 <= ramps[1] <= 2 <= ramps[2] <= 4 and max(ramps) <= 4
 
@@ -300,7 +300,7 @@
 def test_the_share_that_crosses_follows_the_price() -> None:
     crossing = []
     for price in (0.0, 0.05, 0.2):
-        fleet = Fleet(ZONES, 9, own=spread, cross_zone=price)
+        fleet = Fleet(ZONES, 9, own=spread, cross_zone_price=price)
         fleet.run(6000, gap=100)
         crossed = sum(spread(i) != fleet.zone_of[b] for _, i, b, _ in fleet.sent) / len(fleet.sent)
         crossing.append(crossed)
@@ -308,12 +308,12 @@
 
 
 def test_a_small_zone_with_many_gateways_does_not_drown_and_spills_by_degree() -> None:
-    fleet = Fleet({"a": 2, "b": 12, "c": 12}, 12, own=lambda _: "a", cross_zone=0.2)
+    fleet = Fleet({"a": 2, "b": 12, "c": 12}, 12, own=lambda _: "a", cross_zone_price=0.2)
     fleet.run(4000, gap=50)
     assert fleet.share("a", 1000) < 0.2  # of 26 backends two are there
     shares = []
     for gap in (400, 20, 6):
-        fleet = Fleet({"a": 6, "b": 6}, 2, own=lambda _: "a", cross_zone=0.1)
+        fleet = Fleet({"a": 6, "b": 6}, 2, own=lambda _: "a", cross_zone_price=0.1)
         fleet.run(3000, gap=gap)
         shares.append(fleet.share("b", 0))
     assert shares[0] < shares[1] < shares[2] < 0.5
@@ -321,7 +321,7 @@
 
 def test_the_own_region_goes_before_the_rest() -> None:
     regions = (("a", "north"), ("b", "north"), ("c", "south"))
-    fleet = Fleet(ZONES, 6, own=lambda _: "a", cross_zone=0.1, regions=regions)
+    fleet = Fleet(ZONES, 6, own=lambda _: "a", cross_zone_price=0.1, regions=regions)
     fleet.run(4000, gap=60)
     assert fleet.share("a", 0) > fleet.share("b", 0) > fleet.share("c", 0)
     zones = Zones(settings(zone="x", regions=regions), random.Random(1))
@@ -379,7 +379,7 @@
 
 
 def test_keyed_work_may_be_repeated_in_a_rack_of_a_zone_that_is_left() -> None:
-    fleet = Fleet(ZONES, 2, own=spread, may_duplicate=False)
+    fleet = Fleet(ZONES, 2, own=spread, can_hedge=False)
     fleet.run(1500, gap=40, kinds=("order",))
     fleet.mode["b"] = "fails"
     fleet.run(4000, gap=40, kinds=("order",))
--- a/tests/service/test_driver.py
+++ b/tests/service/test_driver.py
@@ -111,13 +111,13 @@
         server = await asyncio.start_server(lambda *_: None, LOCAL, 0)
         port = server.sockets[0].getsockname()[1]
         scene.backends.update(7, (LOCAL, port), api.BackendState.READY)
-        scene.module.answers[api.RequestArrived] = [api.Send("r1", 7, timeout=20.0)]
+        scene.module.answers[api.RequestArrived] = [api.Send("r1", 7, timeout_ms=20.0)]
         scene.module.answers[api.AttemptEnded] = [api.Reject("r1")]
         slot = scene.ask()
         await until(lambda: slot.answered)
         (ended,) = scene.module.of(api.AttemptEnded)
         assert isinstance(ended, api.AttemptEnded)
-        assert (ended.outcome, ended.finished) == (api.Outcome.TIMED_OUT, False) and ended.lag >= 20
+        assert (ended.outcome, ended.finished) == (api.Outcome.TIMED_OUT, False) and ended.latency_ms >= 20
         assert slot.reply == b"-BUSY\r\n"
         server.close()
 
--- a/tests/service/test_fleet_budgets.py
+++ b/tests/service/test_fleet_budgets.py
@@ -17,9 +17,11 @@
 
 ANSWER_MS = 200.0
 COUNTER_MS = 20.0
-CAPPED = api.Plan("capped", rate=8, burst=15, beyond_earns=0.1, ceiling_rate=17, ceiling_burst=27)
+CAPPED = api.Plan(
+    "capped", rate_per_s=8, burst_units=15, overage_revenue=0.1, ceiling_rate_per_s=17, ceiling_burst_units=27
+)
 OPEN = api.Plan("open")
-CALC = api.RequestClass("calc", aim=4_000, deadline=8_000, effect=api.Effect.SAFE)
+CALC = api.RequestClass("calc", latency_objective_ms=4_000, deadline_ms=8_000, effect=api.Effect.SAFE)
 
 
 @dataclass
@@ -60,8 +62,8 @@
             gateways=self.size,
             classes=(CALC,),
             plans=(CAPPED, OPEN),
-            most_units=4.0,
-            count_wait=50.0,
+            max_request_units=4.0,
+            counter_call_ms=50.0,
             max_attempts=3,
         )
         return Gateway(given, self.seed * 1_000 + index)
@@ -89,7 +91,7 @@
     def act(self, index: int, gateway: Gateway, action: api.Action) -> None:
         if isinstance(action, api.SetTimer):
             event = api.TimerFired(action.token)
-            self.later(action.delay, lambda: self.give_living(index, gateway, event))
+            self.later(action.delay_ms, lambda: self.give_living(index, gateway, event))
         elif isinstance(action, api.Count):
             total = self.totals[action.name] = self.totals.get(action.name, 0.0) + action.amount
             replied = api.CounterReplied(action.name, api.Outcome.OK, total)
@@ -113,7 +115,7 @@
         self.serial += 1
         request = f"r{self.serial}"
         self.asked[request] = customer, units
-        expires = self.now + CALC.deadline
+        expires = self.now + CALC.deadline_ms
         arrived = api.RequestArrived(request, CALC.name, plan.name, customer, expires, units, spread, 0)
         self.give(index, arrived)
 
@@ -152,10 +154,10 @@
         for _ in range(40):
             fleet.ask(alone, CAPPED, "c", 4.0, 3)
             fleet.run_until(fleet.now + gap_in_burst)
-    lowest = lowest_store(fleet.sent, CAPPED.ceiling_rate, CAPPED.ceiling_burst)
+    lowest = lowest_store(fleet.sent, CAPPED.ceiling_rate_per_s, CAPPED.ceiling_burst_units)
     assert lowest >= 0  # the rule's slack is left to what the network delays
     asked_all_the_time = gap <= 60
-    least = CAPPED.rate * (fleet.now - 10_000.0) / 1_000  # what the quota alone brings
+    least = CAPPED.rate_per_s * (fleet.now - 10_000.0) / 1_000  # what the quota alone brings
     assert not asked_all_the_time or sum(one.units for one in fleet.sent) >= least
 
 
@@ -166,9 +168,9 @@
 def allowed_work(at: float, started: float) -> float:
     """Requests of mean work that a cold backend may get in a window that begins then, chance included."""
     rules = settings().rules
-    age = (at - started) / rules.warm_within
+    age = (at - started) / rules.warm_up_ms
     warmth = min(1.0, rules.start_capacity + (1 - rules.start_capacity) * age)
-    expected = rules.fall_multiple * warmth * WARM_RATE * WINDOW_MS / 1_000
+    expected = rules.overload_multiple * warmth * WARM_RATE * WINDOW_MS / 1_000
     return expected + 2 * math.sqrt(expected) + 2
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,21 +10,29 @@
 
 
 MOST_LINES = 800  # of one module: none may grow past it
-# Of the module's files, those that decide nothing: types, the adapter, rows of state, what is shown.
-UNDECIDED = {"__init__.py", "interface.py", "state_records.py", "gateway_status.py"}
+# Of the decisions' modules, those that decide nothing: types, state records, what operators are shown.
+UNDECIDED = {
+    "interface/actions.py",
+    "interface/events.py",
+    "interface/settings.py",
+    "state_records.py",
+    "gateway_status.py",
+}
 
 
 def test_no_module_is_long_and_all_that_decide_are_named() -> None:
     """In place of 1,200 lines for all decisions together: that limit was withdrawn by the operators."""
     named = {Path(path) for path in tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]}
-    files = {path.relative_to(ROOT) for path in ROOT.glob("switchline/policy/*.py")}
-    assert named == {path for path in files if path.name not in UNDECIDED}
+    files = {path.relative_to(ROOT) for path in ROOT.glob("switchline/policy/**/*.py")}
+    undecided = {Path("switchline/policy", name) for name in UNDECIDED}
+    assert undecided < files
+    assert named == {path for path in files - undecided if path.name != "__init__.py"}
     for path in [*ROOT.glob("switchline/**/*.py"), *ROOT.glob("testbed/**/*.py")]:
         assert len(path.read_text().splitlines()) <= MOST_LINES, path.name
 
 
 def test_no_line_is_over_110_characters() -> None:
-    for path in [*ROOT.glob("switchline/policy/*.py"), *ROOT.glob("tests/**/*.py")]:
+    for path in [*ROOT.glob("switchline/policy/**/*.py"), *ROOT.glob("tests/**/*.py")]:
         for number, line in enumerate(path.read_text().splitlines(), 1):
             assert len(line) <= 110, f"{path.name}:{number}"
 
--- a/tests/upgrade/test_upgrade.py
+++ b/tests/upgrade/test_upgrade.py
@@ -224,7 +224,7 @@
         told = [a for _, a in source.log if isinstance(a, api.Replicate)]
         source.log.clear()
         for tell in told:
-            target.give(api.PeerProcessMessage(json.loads(json.dumps(tell.said))))
+            target.give(api.PeerProcessMessage(json.loads(json.dumps(tell.record))))
 
 
 def test_two_processes_share_buckets_and_ceilings() -> None:
--- a/tests/zones/test_zone_agreement.py
+++ b/tests/zones/test_zone_agreement.py
@@ -85,7 +85,7 @@
     play.run(22_000, gap=50)
     returning = [at for at, e in play.decisions if read_act(e.value).state == "returning"]
     begun = max(at for at in returning if at < returning[0] + 1000)  # for the gateways of all three zones
-    total, warm_ms = 12 * 20.0, play.gateways[0].settings.rules.warm_within
+    total, warm_ms = 12 * 20.0, play.gateways[0].settings.rules.warm_up_ms
     used = allowed = 0.0
     for at in range(int(begun), int(begun + 0.7 * warm_ms), 500):
         # What the other zones' backends bear of all, on the way from cold to warm; and its share at most.
@@ -151,7 +151,7 @@
     play.mode["b"] = "refuses"
     play.run(10_000, gap=50)
     play.mode.clear()
-    back, warm_ms = play.now, play.gateways[0].settings.rules.warm_within
+    back, warm_ms = play.now, play.gateways[0].settings.rules.warm_up_ms
     play.tell(play.of("b"), started=back)
     play.run(0.7 * warm_ms, gap=50)
     each = 24 * 20 / 16  # a second, of a warm one: what those of the other zones take meanwhile
@@ -407,11 +407,11 @@
 def test_the_module_follows_the_fleet_s_word_and_goes_back_to_its_own_without_one() -> None:
     gateway = module()
     assert sends(gateway, 1000.0, 200, 10.0)[1] > 50
-    gateway.handle(3000.0, api.ZoneDirective("b", "left", gap=500.0))
+    gateway.handle(3000.0, api.ZoneDirective("b", "left", probe_interval_ms=500.0))
     assert 1 <= sends(gateway, 3000.0, 200, 10.0)[1] <= 5  # tests alone
-    gateway.handle(5000.0, api.ZoneDirective("b", "returning", rate=10.0, share=0.3))
+    gateway.handle(5000.0, api.ZoneDirective("b", "returning", rate_per_s=10.0, capacity_ratio=0.3))
     assert 17 <= sends(gateway, 5000.0, 200, 10.0)[1] <= 21  # ten a second, for two seconds
-    gateway.handle(7000.0, api.ZoneDirective("b", "returning", rate=0.0, share=0.3))
+    gateway.handle(7000.0, api.ZoneDirective("b", "returning", rate_per_s=0.0, capacity_ratio=0.3))
     assert sends(gateway, 7001.0, 100, 10.0)[1] <= 1
     gateway.handle(8000.0, api.ZoneDirective("b", ""))
     sends(gateway, 8001.0, 100, 10.0)
@@ -422,13 +422,13 @@
 def test_operators_go_before_the_fleet_and_a_cold_backend_before_its_ramp() -> None:
     gateway = module()
     gateway.handle(1000.0, api.ZoneOverridden("b", True, 1000.0))
-    gateway.handle(1001.0, api.ZoneDirective("b", "returning", rate=50.0, share=1.0))
+    gateway.handle(1001.0, api.ZoneDirective("b", "returning", rate_per_s=50.0, capacity_ratio=1.0))
     assert sends(gateway, 1002.0, 100, 10.0)[1] == 0
     cold = module()
     up = api.BackendState.READY
     fresh = tuple(api.BackendEntry(10 + n, "b", 0, 50_000.0, up) for n in range(4))
     cold.handle(50_000.0, api.BackendsChanged(api.ListScope.CHANGES, fresh))
-    cold.handle(50_000.0, api.ZoneDirective("b", "returning", rate=50.0, share=1.0))
+    cold.handle(50_000.0, api.ZoneDirective("b", "returning", rate_per_s=50.0, capacity_ratio=1.0))
     assert sends(cold, 50_001.0, 100, 20.0)[1] < 60  # a fifth to two fifths of what warm ones would be sent
 
 
