--- a/measure/zones.py
+++ b/measure/zones.py
@@ -25,7 +25,7 @@
 from gateway_fleet import Fleet  # noqa: E402
 from linked_fleet import Lined  # noqa: E402
 
-from switchline.policy.zones import Zones  # noqa: E402
+from switchline.policy.backends.zones import Zones  # noqa: E402
 from switchline.zones.agreement import read_act, share_at  # noqa: E402
 
 ZONES, GATEWAYS, GAP_MS = {"a": 8, "b": 8, "c": 8}, 24, 50.0
@@ -35,7 +35,7 @@
     """Sees no zones."""
 
     def regroup(self, now: float, backends: object) -> None:
-        self.several = False
+        self.is_multi_zone = False
 
 
 NAMES = "without", "alone", "fleet"
@@ -51,7 +51,7 @@
     if name == "without":
         for gateway in fleet.gateways:
             gateway.zones.__class__ = Without
-            gateway.regroup(fleet.now)
+            gateway.backends.regroup(fleet.now)
     return fleet
 
 
@@ -60,15 +60,15 @@
     found: list[tuple[float, int]] = []
 
     def noting(note: Callable[..., None]) -> Callable[..., None]:
-        def noted(now: float, backend: int, name: str, lost: bool, ended: bool = True) -> None:
-            if lost and name == "b":
+        def noted(now: float, backend: int, name: str, is_lost: bool, has_ended: bool = True) -> None:
+            if is_lost and name == "b":
                 found.append((now, backend))
-            note(now, backend, name, lost, ended)
+            note(now, backend, name, is_lost, has_ended)
 
         return noted
 
     for gateway in fleet.gateways:
-        gateway.zones.note = noting(gateway.zones.note)  # type: ignore[method-assign]
+        gateway.zones.on_outcome = noting(gateway.zones.on_outcome)  # type: ignore[method-assign]
     return found
 
 
--- a/switchline/clients/server.py
+++ b/switchline/clients/server.py
@@ -25,7 +25,7 @@
     StreamedResponse,
 )
 from switchline.operators.metrics import Evicted, Metrics
-from switchline.policy.fair_shares import FairShares
+from switchline.policy.quota.fair_shares import FairShares
 
 log = logging.getLogger(__name__)
 
@@ -548,7 +548,7 @@
 
     def resize(self) -> None:
         """Follow the budget. Proven ones have all places but the young ones' before they are shared out."""
-        self.shares.most, self.shares.pressed_at = self.most, self.most - self.most_young
+        self.shares.limit, self.shares.pressure_from = self.most, self.most - self.most_young
 
     def listen(self, sock: socket.socket) -> int:
         """Start to accept; gives the port."""
@@ -684,7 +684,7 @@
         """Its place is free; its descriptor is once the transport has closed it."""
         self.young.pop(connection, None)
         if (held := self.proven.get(connection.peer)) and held.pop(connection, True) is None:
-            self.shares.give_back(connection.peer)
+            self.shares.release(connection.peer)
             if not held:
                 del self.proven[connection.peer]
 
--- a/switchline/fleet_runtime/recovery.py
+++ b/switchline/fleet_runtime/recovery.py
@@ -113,7 +113,7 @@
         """What is spent of quotas, as this one knows; None as long as it asks itself."""
         if not self.ready:
             return None
-        told = gateway_status.spending(self.driver.gateway, now_ms(), MOST_SPENT)
+        told = gateway_status.quota_reports(self.driver.gateway, now_ms(), MOST_SPENT)
         return [Spent(one.customer, one.plan, one.even_share, one.remaining_units) for one in told]
 
     def settle(self) -> None:
@@ -295,7 +295,7 @@
         if self.held_back and time.monotonic() >= self.doubt_until:
             self.held_back = False
             self.discovery.anew()  # what it tells now holds
-        if self.stage is Stage.COLD and now_ms() >= self.driver.gateway.recovery_ramp.until:
+        if self.stage is Stage.COLD and now_ms() >= self.driver.gateway.recovery_ramp.until_ms:
             took = time.monotonic() - self.stage_at
             self.turn(Stage.WHOLE, f"the backends have had their slow start, {took:.1f} s after")
         elif self.stage is Stage.WHOLE and time.monotonic() < self.risen_until:
--- /dev/null
+++ b/switchline/policy/backends/__init__.py
@@ -0,0 +1,1 @@
+"""Backends: their capacity and health, which of them gets an attempt, and zones."""
--- /dev/null
+++ b/switchline/policy/backends/backend_table.py
@@ -0,0 +1,112 @@
+"""The backends of the endpoint list, operators' overrides of them, and the subset that is used."""
+
+from __future__ import annotations
+
+from switchline.policy import interface as api
+from switchline.policy.backends.backend import Backend
+from switchline.policy.backends.subset import choose_subset
+from switchline.policy.backends.zones import Zones
+
+FREE_IN_FLIGHT_PER_BACKEND = 3.0  # over all gateways: always allowed
+
+
+class BackendTable:
+    """Owns the backends, which of them operators disabled, and the subset.
+
+    Attributes:
+        by_id: The backends by number.
+        disabled: The numbers of those that operators disabled.
+        subset: Those that this gateway uses.
+        free_in_flight: Attempts that this gateway may always have in flight, whatever the load.
+    """
+
+    def __init__(self, settings: api.Settings, zones: Zones) -> None:
+        self.by_id: dict[int, Backend] = {}
+        self.disabled: set[int] = set()
+        self.subset: list[Backend] = []
+        self.free_in_flight = 0.0
+        self._settings = settings
+        self._zones = zones
+        self._enabled_ms: dict[int, float] = {}  # those that operators enabled lately, and when
+
+    def is_usable(self, backend: Backend) -> bool:
+        """Whether a backend may get work, by the list and the operators."""
+        return (
+            backend.is_ready and backend.id not in self.disabled and backend.zone not in self._zones.disabled
+        )
+
+    def warmth(self, now: float) -> float:
+        """Give the part of the subset's capacity that it surely has, up to 1."""
+        return sum(backend.warmth(now) for backend in self.subset) / max(1, len(self.subset))
+
+    def on_list(self, now: float, event: api.BackendsChanged, actions: api.Actions) -> None:
+        """Take over the endpoint list or its changes; after a failed poll the old list stays."""
+        if event.scope is api.ListScope.FAILED:
+            delay_ms = self._settings.rules.drain_grace_ms
+            actions.append(api.SetTimer(delay_ms, api.Timer(api.TimerPurpose.ENDPOINT_LIST)))
+            return
+        if event.scope is not api.ListScope.CHANGES:
+            listed = {entry.backend for entry in event.entries}
+            self.by_id = {number: backend for number, backend in self.by_id.items() if number in listed}
+        for entry in event.entries:
+            self._update(now, entry, event.previous_valid_until_ms)
+        self.regroup(now)
+
+    def on_overridden(self, now: float, event: api.BackendOverridden, _: api.Actions) -> None:
+        """Operators' overrides go before the list, and last until they are taken back."""
+        warm_ms = now - self._settings.rules.warm_up_ms
+        self._enabled_ms = {number: at for number, at in self._enabled_ms.items() if at > warm_ms}
+        if event.disabled:
+            self.disabled.add(event.backend)
+            self._enabled_ms.pop(event.backend, None)
+        else:
+            self.disabled.discard(event.backend)
+            self._enabled_ms[event.backend] = event.since_ms
+            backend = self.by_id.get(event.backend)
+            if backend:
+                backend.enable(now, event.since_ms)
+        self.regroup(now)
+
+    def on_zone_overridden(self, now: float, event: api.ZoneOverridden, _: api.Actions) -> None:
+        """As for one backend; all backends of a zone that is enabled again count as cold."""
+        self._zones.override(now, event.zone, event.disabled)
+        for backend in self.by_id.values():
+            if backend.zone == event.zone and not event.disabled:
+                self._enabled_ms[backend.id] = event.since_ms
+                backend.enable(now, event.since_ms)
+        self.regroup(now)
+
+    def on_outage(self, now: float, event: api.FleetOutage) -> None:
+        """The whole fleet lost power: so may the backends have, whatever an old list shows of their ages."""
+        for backend in self.by_id.values():
+            if backend.started_ms < event.since_ms:
+                backend.enable(now, event.recovered_ms, is_estimated=True)
+
+    def regroup(self, now: float) -> None:
+        """Choose the subset anew, and let the zones know which backends there are."""
+        settings = self._settings
+        self.free_in_flight = FREE_IN_FLIGHT_PER_BACKEND * len(self.by_id) / max(1, settings.gateways)
+        backends = list(self.by_id.values())
+        self._zones.regroup(
+            now, [(backend.id, backend.zone, self.is_usable(backend)) for backend in backends]
+        )
+        usable = [backend for backend in backends if self.is_usable(backend)]
+        self.subset = choose_subset(usable, settings.index, settings.gateways, self._zones.is_multi_zone)
+
+    def _update(self, now: float, entry: api.BackendEntry, previous_valid_until_ms: float) -> None:
+        if entry.state is api.BackendState.GONE:
+            self.by_id.pop(entry.backend, None)
+            return
+        backend = self.by_id.get(entry.backend)
+        if backend is not None:
+            is_restarted = entry.started_ms != backend.started_ms
+            if is_restarted:
+                self._zones.forget_backend(backend.id, backend.zone)
+            backend.update(entry)
+            if is_restarted:
+                backend.on_new_process(now, previous_valid_until_ms)
+            return
+        backend = self.by_id[entry.backend] = Backend(entry, self._settings.rules)
+        backend.on_new_process(now, previous_valid_until_ms)
+        if entry.backend in self._enabled_ms:
+            backend.enable(now, self._enabled_ms[entry.backend])
--- /dev/null
+++ b/switchline/policy/backends/recovery_ramp.py
@@ -0,0 +1,76 @@
+"""The recovery ramp of a whole fleet that lost power: what its cold backends are given.
+
+A cold backend answers later with nobody in its queue: judged as usual, its cores would idle. And slow start
+knows nothing of the load: its share is raised while answers come in time, and lowered once they don't.
+"""
+
+from __future__ import annotations
+
+import math
+
+# The latest an answer may be expected while backends are cold, in latency objectives; less for low priority.
+MAX_LOAD_RATIO = 0.95
+PRIORITY_SPAN = 0.3
+RAISING_RATIO = 0.9  # of the threshold: a load under it raises the share
+RISE_PER_S = 1.0  # how the share rises and falls, as an exponent of e
+MAX_LIFT = 16.0
+MAX_ANSWER_AGE_MS = 1_000.0  # of an answer that raises the share: silence is no evidence
+
+
+class RecoveryRamp:
+    """Owns whether the fleet recovers, and how far slow start's share is lifted meanwhile.
+
+    Attributes:
+        until_ms: The end of the recovery.
+        lift: The factor on slow start's share.
+    """
+
+    def __init__(self) -> None:
+        self.until_ms = -math.inf
+        self.lift = 1.0
+        self._began_ms = 0.0
+        self._updated_ms = 0.0
+
+    def is_active(self, now: float) -> bool:
+        """Whether the fleet recovers."""
+        return now < self.until_ms
+
+    def begin(self, now: float, until_ms: float) -> None:
+        """Begin a recovery."""
+        self._began_ms = now
+        self.until_ms = until_ms
+        self.lift = 1.0
+        self._updated_ms = now
+
+    def shedding_threshold(
+        self,
+        now: float,
+        *,
+        load_ratio: float,
+        usual_threshold: float,
+        priority_deficit: float,
+        warmth: float,
+        answered_ms: float,
+    ) -> float:
+        """Give the load ratio from which requests are shed; evidence raises or lowers the lift.
+
+        Args:
+            now: The time in milliseconds.
+            load_ratio: The expected latency, in latency objectives.
+            usual_threshold: The threshold without a recovery.
+            priority_deficit: How far the class is below the highest priority, up to 1.
+            warmth: The part of the backends' capacity that they surely have.
+            answered_ms: When the last answer came.
+        """
+        threshold = min(
+            MAX_LOAD_RATIO - PRIORITY_SPAN * priority_deficit, usual_threshold / max(warmth, 1e-3)
+        )
+        direction = int(answered_ms > max(self._began_ms, now - MAX_ANSWER_AGE_MS))
+        if load_ratio >= RAISING_RATIO * threshold:
+            direction = -1
+        step = RISE_PER_S * min(1.0, (now - self._updated_ms) / 1000) * direction
+        self.lift = min(MAX_LIFT, max(1.0, self.lift * math.exp(step)))
+        self._updated_ms = now
+        if warmth >= 1:  # the last of them has had its slow start
+            self.until_ms = now
+        return threshold
--- a/switchline/policy/gateway_status.py
+++ b/switchline/policy/gateway_status.py
@@ -1,4 +1,4 @@
-"""What staff and other gateways are shown of a gateway's module. Pure; nothing here decides anything."""
+"""What operators and other gateways are shown of a gateway. Pure; nothing here decides anything."""
 
 from __future__ import annotations
 
@@ -6,94 +6,125 @@
 from dataclasses import dataclass, field
 
 from switchline.policy import interface as api
-from switchline.policy.backend_selection import EJECTED
-from switchline.policy.entities import Backend
+from switchline.policy.backends.backend import Backend
+from switchline.policy.backends.zones import LOST_SCORE, TRAFFIC_MEMORY_MS, Zone, Zones
 from switchline.policy.gateway import Gateway
-from switchline.policy.zones import BAD, SHARE_MS, State, Zone, Zones
 
-SLOW_TIMES = 2.5  # of the usual time, and for a cold one of what it takes: a backend counts as slow
+# Of the mean latency, and for a warming backend of what it should take: a backend counts as slow.
+SLOW_MULTIPLE = 2.5
 
 
 @dataclass(slots=True)
-class Seen:
-    """Of one zone: its usable backends, those that look lost, those that answer, how many are slow."""
+class ZoneObservation:
+    """What this gateway has seen of one zone lately.
+
+    Attributes:
+        usable: How many of its backends may get work.
+        lost_ms: Its backends that look lost, and how many ms ago that was seen.
+        well_ms: Its backends that answer, and how many ms ago one did.
+        slow: How many of those are slow.
+        warmth: That of the youngest of its backends, as far as the list shows their starts.
+    """
 
     usable: int
-    lost: dict[int, float] = field(default_factory=dict)  # milliseconds since then
-    well: dict[int, float] = field(default_factory=dict)
+    lost_ms: dict[int, float] = field(default_factory=dict)
+    well_ms: dict[int, float] = field(default_factory=dict)
     slow: int = 0
-    warmth: float = 1.0  # of the youngest of them, as far as the list tells of starts
-
-
-def ejected(gateway: Gateway, now: float) -> int:
-    """How many of the listed backends are avoided."""
-    return sum(avoids(gateway, b, now) for b in gateway.backends.values())
+    warmth: float = 1.0
 
 
-def avoids(gateway: Gateway, b: Backend, now: float) -> bool:
-    """Whether a backend is avoided, by operators' word or for its failures."""
-    by_hand = b.id in gateway.held or b.zone in gateway.zones.held
-    return by_hand or max(gateway.mark(now, b, name) for name in ("all", "shut")) >= EJECTED
+def ejected_backends(gateway: Gateway, now: float) -> int:
+    """Count the listed backends that are avoided, by an operator's override or for their failures."""
+    return sum(is_avoided(gateway, backend, now) for backend in gateway.backends.by_id.values())
 
 
-def lately(zone: Zone, now: float) -> float:
-    """Attempts there of the last 10 s or so, fading."""
-    return zone.recent * math.exp((zone.recent_at - now) / SHARE_MS)
+def is_avoided(gateway: Gateway, backend: Backend, now: float) -> bool:
+    """Whether a backend is avoided, by an operator's override or for its failures."""
+    is_disabled = backend.id in gateway.backends.disabled or backend.zone in gateway.zones.disabled
+    return is_disabled or gateway.selection.outliers.is_ejected(now, backend)
 
 
-def figures_of(zones: Zones, now: float) -> dict[str, dict[str, int]]:
-    """By zone: counts since the start, percent of the traffic lately, the state by its place."""
-    recent = {name: lately(zone, now) for name, zone in zones.zones.items()}
-    whole = max(sum(recent.values()), 1e-9)
-    states = list(State)
+def zone_metrics(zones: Zones, now: float) -> dict[str, dict[str, int]]:
+    """Give by zone: counts since the start, percent of the traffic lately, the state by its place."""
+    recent = {name: zone.faded_recent_attempts(now) for name, zone in zones.by_name.items()}
+    total = max(sum(recent.values()), 1e-9)
+    states = list(api.ZoneState)
     return {
         name: {
             "attempts": zone.attempts,
             "failures": zone.failures,
-            "share": round(100 * recent[name] / whole),
+            "share": round(100 * recent[name] / total),
             "state": states.index(zone.state),
         }
-        for name, zone in zones.zones.items()
+        for name, zone in zones.by_name.items()
     }
 
 
-def spending(gateway: Gateway, now: float, most: int) -> list[api.PeerQuotaReport]:
-    """What all gateways have left of customers' quotas, as this one knows: where most is spent first."""
-    found = []
-    for c in gateway.customers.values():
-        if c.plan.rate_per_s:
-            passed = max(0.0, now - c.filled_at) / 1000
-            left = min(c.plan.burst_units, max(0.0, c.store + passed * c.plan.rate_per_s))
-            if left < c.plan.burst_units:
-                found.append(api.PeerQuotaReport(c.key, c.plan.name, c.even, left))
-    found.sort(key=lambda told: told.remaining_units - gateway.plans[told.plan].burst_units)
-    return found[:most]
+def quota_reports(gateway: Gateway, now: float, limit: int) -> list[api.PeerQuotaReport]:
+    """Give what all gateways have left of customers' quotas, as this one knows: where most is spent first.
 
-
-def met(gateway: Gateway, now: float) -> dict[str, Seen]:
-    """By zone: what this gateway met there lately, for the other gateways; ages are milliseconds.
-
-    Of a zone that it has left it meets little more: what was lost there counts until an answer comes.
+    Args:
+        gateway: The gateway.
+        now: The time in milliseconds.
+        limit: How many reports to give at most.
+    """
+    reports = []
+    for customer in gateway.customers.by_key.values():
+        plan = customer.plan
+        if plan.rate_per_s:
+            passed_s = max(0.0, now - customer.filled_at_ms) / 1000
+            left = min(plan.burst_units, max(0.0, customer.fleet_units + passed_s * plan.rate_per_s))
+            if left < plan.burst_units:
+                reports.append(api.PeerQuotaReport(customer.key, plan.name, customer.even_share, left))
+    plans = gateway.customers.plans
+    reports.sort(key=lambda report: report.remaining_units - plans[report.plan].burst_units)
+    return reports[:limit]
+
+
+def zone_observations(gateway: Gateway, now: float) -> dict[str, ZoneObservation]:
+    """Give by zone what this gateway has seen there lately, for the other gateways.
+
+    Of a zone that it has left it sees little more: what was lost there counts until an answer comes.
     """
     zones = gateway.zones
-    found = {name: Seen(zone.usable) for name, zone in zones.zones.items()}
-    for b in gateway.backends.values():
-        if b.zone in found and gateway.usable(b):
-            found[b.zone].warmth = min(found[b.zone].warmth, b.warmth(now))
-    for name, zone in zones.zones.items():
-        for backend, (lost, at) in zone.lost.items():
-            age, seen = now - at, found[name]
-            if lost * math.exp(-age / zones.memory) > BAD or (lost > BAD and zone.state is State.LEFT):
-                seen.lost[backend] = age
-            elif lost < BAD and age < zones.memory:
-                seen.well[backend] = age
-                if (known := gateway.backends.get(backend)) is not None and gateway.typical:
-                    takes = (gateway.typical + gateway.mark(now, known, "slow")) * known.warmth(now)
-                    seen.slow += takes > SLOW_TIMES * gateway.typical
-    return found
-
-
-def offered(gateway: Gateway, now: float) -> float:
-    """Attempts a second that this gateway has made lately, to all zones."""
-    memory = SHARE_MS * (1 - math.exp((gateway.created - now) / SHARE_MS))  # a young one remembers less
-    return sum(lately(zone, now) for zone in gateway.zones.zones.values()) * 1000 / max(1.0, memory)
+    observations = {name: ZoneObservation(zone.usable) for name, zone in zones.by_name.items()}
+    for backend in gateway.backends.by_id.values():
+        if backend.zone in observations and gateway.backends.is_usable(backend):
+            observation = observations[backend.zone]
+            observation.warmth = min(observation.warmth, backend.warmth(now))
+    for name, zone in zones.by_name.items():
+        observe_evidence(gateway, now, zone, observations[name])
+    return observations
+
+
+def observe_evidence(gateway: Gateway, now: float, zone: Zone, observation: ZoneObservation) -> None:
+    """Sort the backends of a zone into lost ones and ones that answer."""
+    memory_ms = gateway.zones.memory_ms
+    is_left = zone.state is api.ZoneState.LEFT
+    for number, (level, at) in zone.evidence.items():
+        age_ms = now - at
+        if level * math.exp(-age_ms / memory_ms) > LOST_SCORE or (level > LOST_SCORE and is_left):
+            observation.lost_ms[number] = age_ms
+        elif level < LOST_SCORE and age_ms < memory_ms:
+            observation.well_ms[number] = age_ms
+            backend = gateway.backends.by_id.get(number)
+            if backend is not None:
+                observation.slow += is_slow(gateway, now, backend)
+
+
+def is_slow(gateway: Gateway, now: float, backend: Backend) -> bool:
+    """Whether a backend answers far slower than the mean, for how warm it is."""
+    mean_ms = gateway.latency.mean_ms
+    if not mean_ms:
+        return False
+    takes_ms = (mean_ms + gateway.selection.outliers.slowness_ms(now, backend)) * backend.warmth(now)
+    return takes_ms > SLOW_MULTIPLE * mean_ms
+
+
+def attempt_rate_per_s(gateway: Gateway, now: float) -> float:
+    """Give the attempts a second that this gateway has made lately, to all zones."""
+    # A young gateway has less to remember.
+    age_ms = now - gateway.customers.gateway_created_ms
+    memory_ms = TRAFFIC_MEMORY_MS * (1 - math.exp(-age_ms / TRAFFIC_MEMORY_MS))
+    recent = sum(zone.faded_recent_attempts(now) for zone in gateway.zones.by_name.values())
+    return recent * 1000 / max(1.0, memory_ms)
--- a/switchline/policy/interface/__init__.py
+++ b/switchline/policy/interface/__init__.py
@@ -1,4 +1,4 @@
-"""The interface of the decisions: settings, events that go in, actions that come out.
+"""The interface of the decisions: settings, events that go in, actions that come out, state records.
 
 All times are milliseconds on the caller's monotonic clock. Nothing here decides anything.
 """
@@ -13,9 +13,12 @@
     LogMessage,
     PersistRecord,
     Reject,
+    RejectionCause,
     Replicate,
     Send,
     SetTimer,
+    Timer,
+    TimerPurpose,
 )
 from switchline.policy.interface.events import (
     AnswerStarted,
@@ -48,6 +51,17 @@
     TimerFired,
     ZoneDirective,
     ZoneOverridden,
+    ZoneState,
+)
+from switchline.policy.interface.records import (
+    BackendRecord,
+    CustomerRecord,
+    DeleteRecord,
+    FadingScore,
+    GatewayRecord,
+    Record,
+    RecordKind,
+    SpendingRecord,
 )
 from switchline.policy.interface.settings import (
     Effect,
@@ -65,16 +79,21 @@
     "AttemptEnded",
     "BackendEntry",
     "BackendOverridden",
+    "BackendRecord",
     "BackendState",
     "BackendsChanged",
     "Cancel",
     "Count",
     "CounterReplied",
+    "CustomerRecord",
+    "DeleteRecord",
     "Effect",
     "Event",
+    "FadingScore",
     "Fail",
     "FleetOutage",
     "FollowList",
+    "GatewayRecord",
     "GossipReceived",
     "ListScope",
     "LogMessage",
@@ -86,10 +105,13 @@
     "PersistRecord",
     "PersistenceChanged",
     "Plan",
+    "Record",
+    "RecordKind",
     "RecordRestored",
     "RecordsPersisted",
     "RegionsChanged",
     "Reject",
+    "RejectionCause",
     "RepeatScope",
     "Replicate",
     "RequestArrived",
@@ -101,10 +123,14 @@
     "Send",
     "SetTimer",
     "Settings",
+    "SpendingRecord",
     "StalenessChanged",
     "StateFileFound",
     "StreamedAnswerStarted",
+    "Timer",
     "TimerFired",
+    "TimerPurpose",
     "ZoneDirective",
     "ZoneOverridden",
+    "ZoneState",
 ]
--- a/switchline/policy/interface/actions.py
+++ b/switchline/policy/interface/actions.py
@@ -3,7 +3,37 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any
+from enum import Enum, StrEnum
+from typing import NamedTuple
+
+from switchline.policy.interface.records import Record
+
+
+class TimerPurpose(StrEnum):
+    """What a timer is for."""
+
+    ENDPOINT_LIST = "follow"  # poll the endpoint list again
+    PERSISTENCE = "keep"  # write what has changed of the state
+    REQUEST = "r"  # look at a request again
+
+
+class Timer(NamedTuple):
+    """What a timer is for; `request` is the request's identifier, where it is for one."""
+
+    purpose: TimerPurpose
+    request: str = ""
+
+
+class RejectionCause(Enum):
+    """Why a request was rejected, as logs and metrics name it."""
+
+    QUOTA = "quota"
+    CEILING = "ceiling"
+    OVERLOAD = "time"  # its answer would come too late
+    RECOVERY = "return"  # the whole fleet recovers from a power loss
+    NO_BACKEND = "backends"
+    ATTEMPTS = "attempts"  # its attempts failed, and there is time or budget for no other
+    NO_CONNECTION = "room"  # this gateway has no connection left for it
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +62,7 @@
 
     request: str
     retry_after_ms: float = 0.0
-    reason: str = ""
+    cause: RejectionCause = RejectionCause.ATTEMPTS
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,10 +74,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Give `TimerFired` with this token after a delay."""
+    """Give `TimerFired` with this timer after a delay."""
 
     delay_ms: float
-    token: str
+    timer: Timer
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,7 +100,7 @@
 class Replicate:
     """A record for the other process of this gateway."""
 
-    record: list[Any]
+    record: Record
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,7 +108,7 @@
     """A record for the state file; `RecordsPersisted` with its serial number answers it."""
 
     serial: int
-    record: list[Any]
+    record: Record
 
 
 @dataclass(frozen=True, slots=True)
--- a/switchline/policy/interface/events.py
+++ b/switchline/policy/interface/events.py
@@ -5,7 +5,9 @@
 import math
 from dataclasses import dataclass, field
 from enum import Enum
-from typing import Any
+
+from switchline.policy.interface.actions import Timer
+from switchline.policy.interface.records import Record
 
 
 class BackendState(Enum):
@@ -25,6 +27,15 @@
     FAILED = "FAILED"
 
 
+class ZoneState(Enum):
+    """Whether a zone gets work."""
+
+    UP = "up"
+    RETURNING = "returning"  # its share of the work grows
+    LEFT = "left"  # it gets health checks alone
+    DISABLED = "out by hand"  # by an operator
+
+
 class Outcome(Enum):
     """How an attempt or a counter call ended."""
 
@@ -91,7 +102,7 @@
 
     Attributes:
         zone: Its name.
-        state: "up", "left", "returning", or "": the fleet has decided nothing.
+        state: Up, left, returning, or None: the fleet has decided nothing.
         rate_per_s: While it returns, the requests a second that this gateway may send there.
         capacity_ratio: While it returns, the load asked of each backend, of what a warm one bears.
         probe_interval_ms: The mean time between two health checks of the zone by this gateway.
@@ -101,7 +112,7 @@
     """
 
     zone: str
-    state: str
+    state: ZoneState | None
     rate_per_s: float = 0.0
     capacity_ratio: float = 1.0
     probe_interval_ms: float = 0.0
@@ -255,7 +266,7 @@
 class TimerFired:
     """A timer that `SetTimer` asked for is due."""
 
-    token: str
+    timer: Timer
 
 
 @dataclass(frozen=True, slots=True)
@@ -273,9 +284,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerProcessMessage:
-    """A record that the other process of this gateway replicated (`Replicate`)."""
+    """A record that the other process of this gateway replicated (`Replicate`).
 
-    record: list[Any]
+    None: one that can't be read, which the gateway refuses with a ValueError.
+    """
+
+    record: Record | None
 
 
 @dataclass(frozen=True, slots=True)
@@ -320,9 +334,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordRestored:
-    """A record of that file, and when it was written."""
+    """A record of that file, and when it was written.
+
+    None: one that can't be read, which the gateway refuses with a ValueError.
+    """
 
-    record: list[Any]
+    record: Record | None
     written_ms: float
 
 
--- /dev/null
+++ b/switchline/policy/persistence/__init__.py
@@ -0,0 +1,1 @@
+"""State that outlives a process: records on disk, and replication between two processes."""
--- /dev/null
+++ b/switchline/policy/quota/__init__.py
@@ -0,0 +1,1 @@
+"""Quotas: customers and their leases, admission, and fair shares of places."""
--- /dev/null
+++ b/switchline/policy/requests/__init__.py
@@ -0,0 +1,1 @@
+"""Requests: attempts, latency, patience, retries and the final answer."""
--- /dev/null
+++ b/switchline/policy/requests/attempts.py
@@ -0,0 +1,231 @@
+"""Attempts of requests: sent, watched, judged, retried or hedged, and ended by the one final answer."""
+
+from __future__ import annotations
+
+import math
+
+from switchline.policy import interface as api
+from switchline.policy.backends.backend import Backend
+from switchline.policy.backends.outlier_scores import OutlierScores
+from switchline.policy.backends.selection import END_MARGIN_MS, BackendSelection
+from switchline.policy.backends.zones import Zones
+from switchline.policy.persistence.replication import PeerReplication
+from switchline.policy.quota.leases import LeaseKeeper
+from switchline.policy.requests.final_answer import final_answer
+from switchline.policy.requests.latency import LatencyEstimate
+from switchline.policy.requests.patience import patience_ms
+from switchline.policy.requests.request import NEVER_RAN, Attempt, Request
+from switchline.policy.requests.retry_budget import RetryBudget
+
+GIVEN_UP = {api.Outcome.TIMED_OUT, api.Outcome.CANCELLED}
+TIMER_TOLERANCE_MS = 1.0  # a timer may fire so much early
+
+
+class AttemptTracker:
+    """Owns the requests that are owed an answer, and their attempts in flight.
+
+    Attributes:
+        requests: The requests by identifier.
+        in_flight: The attempts by request and number, the oldest first.
+        retry_budget: What further attempts may be made.
+    """
+
+    def __init__(
+        self,
+        settings: api.Settings,
+        selection: BackendSelection,
+        latency: LatencyEstimate,
+        leases: LeaseKeeper,
+        replication: PeerReplication,
+    ) -> None:
+        self.requests: dict[str, Request] = {}
+        self.in_flight: dict[tuple[str, int], Attempt] = {}
+        self.retry_budget = RetryBudget()
+        self._settings = settings
+        self._selection = selection
+        self._outliers: OutlierScores = selection.outliers
+        self._zones: Zones = selection.zones
+        self._latency = latency
+        self._leases = leases
+        self._replication = replication
+
+    def send(self, now: float, request: Request, backend: Backend, actions: api.Actions) -> None:
+        """Send a request's next attempt to a backend."""
+        backend.on_sent()
+        self._zones.on_sent(now, backend.zone)
+        self._count_open(request, 1, actions)
+        number = request.attempts_made
+        attempt = Attempt(request, backend, math.inf if request.is_streamed else now)
+        self.in_flight[request.id, number] = attempt
+        request.live.add(number)
+        request.may_have_run.append(attempt)
+        request.tried.add(backend.id)
+        request.attempts_made += 1
+        actions.append(api.Send(request.id, backend.id))
+        check_at_ms = now + self.patience_ms(now, attempt) if request.is_body_complete else math.inf
+        self.watch(now, request, check_at_ms, actions)
+
+    def patience_ms(self, now: float, attempt: Attempt) -> float:
+        """Give how long an attempt may take before it counts as lost."""
+        request = attempt.request
+        failure_probability = self._outliers.failure_probability(now, attempt.backend, request.score_names)
+        objective_ms = request.request_class.latency_objective_ms
+        return patience_ms(self._latency.mean_ms, failure_probability, objective_ms)
+
+    def watch(self, now: float, request: Request, check_at_ms: float, actions: api.Actions) -> None:
+        """Look at a request again at a time, before it expires in any case."""
+        request.check_at_ms = min(check_at_ms, request.expires_ms - END_MARGIN_MS)
+        timer = api.Timer(api.TimerPurpose.REQUEST, request.id)
+        actions.append(api.SetTimer(max(0.0, request.check_at_ms - now), timer))
+
+    def is_expiring(self, now: float, request: Request) -> bool:
+        """Whether a request must have its final answer now."""
+        return now >= request.expires_ms - END_MARGIN_MS - TIMER_TOLERANCE_MS
+
+    def on_body_received(self, now: float, event: api.RequestBodyReceived, actions: api.Actions) -> None:
+        """The body of a streamed request is complete: watch the request as any other."""
+        request = self.requests.get(event.request)
+        if request:
+            request.on_body_received(now, event.expires_ms)
+            self.watch(now, request, request.check_at_ms, actions)
+
+    def on_body_sent(self, now: float, event: api.RequestBodySent, _: api.Actions) -> None:
+        """The body of a streamed request has left: the time of its backend is counted from here."""
+        attempt = self.in_flight.get((event.request, event.attempt))
+        if attempt:
+            attempt.sent_ms = now
+
+    def on_answer_streamed(self, now: float, event: api.StreamedAnswerStarted, actions: api.Actions) -> None:
+        """A streamed answer is the final one: nothing may cut it off, and other attempts are not needed."""
+        attempt = self.in_flight.get((event.request, event.attempt))
+        request = self.requests.pop(event.request, None)
+        if attempt and request:
+            self.judge(now, attempt, api.Outcome.OK)
+            attempt.is_answer_streamed = True
+            request.live.discard(event.attempt)
+            self._cancel_all(request, actions)
+            request.live.add(event.attempt)
+
+    def on_lapsed(self, _: float, event: api.RequestLapsed, __: api.Actions) -> None:
+        """A request needs no answer any more."""
+        self.requests.pop(event.request, None)
+
+    def on_silence(self, now: float, request: Request, actions: api.Actions) -> None:
+        """A request's attempt is in flight far longer than usual: hedge it, or cancel it and retry after."""
+        self.watch(now, request, math.inf, actions)
+        for number in request.live:  # silence tells of a zone before the attempt has ended
+            silent = self.in_flight[request.id, number]
+            if now - silent.sent_ms >= self.patience_ms(now, silent) - TIMER_TOLERANCE_MS:
+                self._zones.on_outcome(
+                    now, silent.backend.id, silent.backend.zone, is_lost=True, has_ended=False
+                )
+        if len(request.live) != 1 or request.is_streamed:
+            return
+        if request.request_class.effect is api.Effect.UNSAFE:
+            return
+        if self._settings.can_hedge:
+            self.send_another(now, request, actions, price=1.0)
+        elif self.retry_budget.allows(1.0) and now + self._latency.mean_ms < request.objective_ms:
+            self._cancel_all(request, actions)
+
+    def on_ended(self, now: float, event: api.AttemptEnded, actions: api.Actions) -> None:
+        """An attempt has ended: judge it, and answer, retry or end its request."""
+        attempt = self.in_flight.pop((event.request, event.attempt), None)
+        if attempt is None:
+            return
+        request = attempt.request
+        attempt.backend.in_flight -= 1
+        self._count_open(request, -1, actions)
+        request.live.remove(event.attempt)
+        # Without a connection of its own, the gateway has learnt nothing of the backend.
+        if not attempt.is_answer_streamed and event.outcome is not api.Outcome.NO_CAPACITY:
+            self.judge(now, attempt, event.outcome)
+        if event.outcome in NEVER_RAN:
+            request.may_have_run.remove(attempt)
+            attempt.backend.on_never_ran(now)
+        if event.actual_units > 0 and not request.has_actual_units:
+            request.has_actual_units = True
+            self._leases.correct(request.customer, event.actual_units - request.units, actions)
+        if event.request in self.requests:
+            self._go_on(now, request, event, actions)
+
+    def _go_on(self, now: float, request: Request, event: api.AttemptEnded, actions: api.Actions) -> None:
+        """Go on with a request that is open when one of its attempts has ended."""
+        if event.finished or event.outcome is api.Outcome.OK:
+            del self.requests[request.id]
+            self._cancel_all(request, actions)
+        elif not request.live:
+            if event.outcome is api.Outcome.NO_CAPACITY:  # nor would another backend get a connection
+                self.finish(request, actions, cause=api.RejectionCause.NO_CONNECTION)
+                return
+            price = 0.0 if event.outcome in NEVER_RAN else 1.0
+            if event.body_discarded or not self.send_another(now, request, actions, price):
+                self.finish(request, actions)
+
+    def judge(self, now: float, attempt: Attempt, outcome: api.Outcome) -> None:
+        """Take what an attempt shows into the latency estimate, the outlier scores and the zones."""
+        backend, latency = attempt.backend, self._latency
+        elapsed_ms = max(1.0, now - attempt.sent_ms)
+        is_ok = outcome is api.Outcome.OK
+        is_given_up = outcome in GIVEN_UP
+        slowness_ms = self._outliers.slowness_ms(now, backend)
+        is_overdue = elapsed_ms >= self.patience_ms(now, attempt)
+        bounded_ms = latency.bounded(elapsed_ms)
+        # One that was given up would have taken longer yet.
+        if is_ok or (is_given_up and bounded_ms > latency.mean_ms + slowness_ms):
+            excess_ms = bounded_ms - (latency.mean_ms or elapsed_ms)
+            self._outliers.observe_slowness(now, backend, slowness_ms, excess_ms)
+        if is_ok or (is_given_up and elapsed_ms > latency.recent_ms):
+            latency.observe_recent(now, elapsed_ms)
+        if is_ok:
+            latency.observe_answer(now, bounded_ms)
+        if is_given_up and not is_overdue:
+            return  # a client that left early says nothing of the backend
+        if outcome not in (api.Outcome.IGNORED, api.Outcome.FULL):  # a full one is there, and busy
+            self._zones.on_outcome(now, backend.id, backend.zone, is_lost=not is_ok)
+        self._outliers.observe_outcome(now, backend, outcome, attempt.request.score_names)
+
+    def send_another(self, now: float, request: Request, actions: api.Actions, price: float) -> bool:
+        """Send a further attempt if one can be in time and in the budget; what never ran is not charged.
+
+        Args:
+            now: The time in milliseconds.
+            request: The request.
+            actions: Takes what is to be done.
+            price: What the attempt costs of the retry budget.
+
+        Returns:
+            Whether one was sent.
+        """
+        if now + self._latency.mean_ms >= request.objective_ms:
+            return False
+        if request.attempts_made >= self._settings.max_attempts or not self.retry_budget.allows(price):
+            return False
+        backend = self._selection.pick(now, request)
+        if backend is None:
+            return False
+        self.retry_budget.spend(price)
+        self.send(now, request, backend, actions)
+        return True
+
+    def finish(
+        self,
+        request: Request,
+        actions: api.Actions,
+        retry_after_ms: float = 0.0,
+        cause: api.RejectionCause = api.RejectionCause.ATTEMPTS,
+    ) -> None:
+        """Give a request its final answer, and cancel what is in flight of it."""
+        del self.requests[request.id]
+        actions.append(final_answer(request, retry_after_ms, cause, self._settings.max_retry_after_ms))
+        self._cancel_all(request, actions)
+
+    def _cancel_all(self, request: Request, actions: api.Actions) -> None:
+        if self._settings.can_cancel:
+            actions.extend(api.Cancel(request.id, number) for number in request.live)
+
+    def _count_open(self, request: Request, change: int, actions: api.Actions) -> None:
+        customer = request.customer
+        customer.in_flight += change
+        if customer.plan.max_open_requests:
+            self._replication.replicate_spending(customer, actions, open_attempts=change)
--- /dev/null
+++ b/switchline/policy/requests/final_answer.py
@@ -0,0 +1,34 @@
+"""The one final answer of a request that no attempt has answered: a rejection or a failure."""
+
+from __future__ import annotations
+
+from switchline.policy import interface as api
+from switchline.policy.requests.patience import initial_patience_ms
+from switchline.policy.requests.request import Request
+
+
+def is_safe_to_repeat(request: Request) -> bool:
+    """Whether a client may send a request again without harm: it did not run, or may run twice."""
+    if not request.may_have_run:
+        return True
+    request_class = request.request_class
+    if request_class.effect is api.Effect.KEYED:
+        return request_class.repeat_scope is api.RepeatScope.ALL
+    return request_class.effect is api.Effect.SAFE
+
+
+def final_answer(
+    request: Request, retry_after_ms: float, cause: api.RejectionCause, max_retry_after_ms: float
+) -> api.Reject | api.Fail:
+    """Give the final answer: a rejection only where a new attempt by the client does no harm.
+
+    Args:
+        request: The request.
+        retry_after_ms: When to come back; 0: the usual wait.
+        cause: Why it is rejected.
+        max_retry_after_ms: The longest Retry-After.
+    """
+    if not is_safe_to_repeat(request):
+        return api.Fail(request.id)
+    wait_ms = retry_after_ms or initial_patience_ms(request.request_class.latency_objective_ms)
+    return api.Reject(request.id, min(wait_ms, max_retry_after_ms), cause)
--- /dev/null
+++ b/switchline/policy/requests/request.py
@@ -0,0 +1,98 @@
+"""A request that is owed a final answer, and its attempts."""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass
+
+from switchline.policy import interface as api
+from switchline.policy.backends.backend import Backend
+from switchline.policy.backends.score_names import ALL, score_of_class, score_of_plan
+from switchline.policy.quota.customer import Customer
+
+# Outcomes of an attempt that surely did not run.
+NEVER_RAN = {api.Outcome.FULL, api.Outcome.CONNECT, api.Outcome.IGNORED, api.Outcome.NO_CAPACITY}
+
+
+class Request:
+    """One request that is owed a final answer.
+
+    Attributes:
+        id: Its identifier.
+        request_class: Its class.
+        customer: Its customer.
+        units: Its size as guessed, in units of quota.
+        expires_ms: When its client stops waiting.
+        objective_ms: When its answer is due by the latency objective of its class.
+        attempts_made: How many attempts it has had.
+        check_at_ms: When it is looked at again.
+        has_actual_units: Whether its true size is known.
+        score_names: The outlier scores of a backend that its attempts bear on.
+        is_streamed: Whether its body comes in while it is sent on.
+        is_body_complete: Whether the body has come in.
+        live: The numbers of its attempts in flight.
+        tried: The backends that it was sent to.
+        may_have_run: Its attempts that may have run or are in flight, the earliest first.
+    """
+
+    __slots__ = (
+        "attempts_made",
+        "check_at_ms",
+        "customer",
+        "expires_ms",
+        "has_actual_units",
+        "id",
+        "is_body_complete",
+        "is_streamed",
+        "live",
+        "may_have_run",
+        "objective_ms",
+        "request_class",
+        "score_names",
+        "tried",
+        "units",
+    )
+
+    def __init__(
+        self, event: api.RequestArrived, request_class: api.RequestClass, customer: Customer, now: float
+    ) -> None:
+        self.id = event.request
+        self.request_class = request_class
+        self.customer = customer
+        self.units = event.units
+        self.expires_ms = event.expires_ms
+        self.objective_ms = event.expires_ms
+        if not event.streamed:
+            self.objective_ms = min(event.expires_ms, now + request_class.latency_objective_ms)
+        self.attempts_made = 0
+        self.check_at_ms = math.inf
+        self.has_actual_units = False
+        self.score_names = (ALL, score_of_class(request_class.name), score_of_plan(customer.plan.name))
+        self.is_streamed = event.streamed
+        self.is_body_complete = not event.streamed
+        self.live: set[int] = set()
+        self.tried: set[int] = set()
+        self.may_have_run: list[Attempt] = []
+
+    def on_body_received(self, now: float, expires_ms: float) -> None:
+        """Begin to count the time of a streamed request, now that its body is complete."""
+        self.is_body_complete = True
+        self.expires_ms = expires_ms
+        self.objective_ms = min(expires_ms, now + self.request_class.latency_objective_ms)
+
+
+@dataclass(slots=True, eq=False)
+class Attempt:
+    """One attempt of a request at a backend.
+
+    Attributes:
+        request: The request.
+        backend: The backend that it was sent to.
+        sent_ms: When all of it was sent; infinite until then.
+        is_answer_streamed: Whether its answer is being passed on already.
+    """
+
+    request: Request
+    backend: Backend
+    sent_ms: float
+    is_answer_streamed: bool = False
--- a/switchline/service/driver.py
+++ b/switchline/service/driver.py
@@ -24,8 +24,9 @@
 from switchline.operators.metrics import Metrics, OutcomeKind
 from switchline.policy import Gateway, gateway_status
 from switchline.policy import interface as api
-from switchline.policy.entities import NEVER_RAN
-from switchline.policy.fair_shares import PRESSED, FairShares
+from switchline.policy.persistence.codec import decode_record, encode_record
+from switchline.policy.quota.fair_shares import PRESSURE_RATIO, FairShares
+from switchline.policy.requests.request import NEVER_RAN
 
 log = logging.getLogger(__name__)
 
@@ -134,13 +135,13 @@
         """The live state that operators fetch with the counts."""
         return {
             "outstanding": len(self.requests),
-            "discovered": len(self.gateway.backends),
-            "ejected": gateway_status.ejected(self.gateway, now_ms()),
+            "discovered": len(self.gateway.backends.by_id),
+            "ejected": gateway_status.ejected_backends(self.gateway, now_ms()),
         }
 
     def zones(self) -> dict[str, dict[str, int]]:
         """The figures of each zone, under a name that can stand in a figure's; of two alike, those of one."""
-        given = gateway_status.figures_of(self.gateway.zones, now_ms())
+        given = gateway_status.zone_metrics(self.gateway.zones, now_ms())
         return {figure_name(zone): figures for zone, figures in given.items()}
 
     # ---- events ----
@@ -174,12 +175,20 @@
     def recover(self, said: list[Any], at: float) -> bool:
         """Give the module a row of an earlier life; whether it could be taken."""
         try:
-            self.gateway.handle(now_ms(), api.RecordRestored(said, at))
+            self.gateway.handle(now_ms(), api.RecordRestored(decode_record(said), at))
         except (ValueError, TypeError, OverflowError) as error:
             log.info("a row of the state on disk is left out: %s", error)
             return False
         return True
 
+    def on_peer_message(self, said: list[Any]) -> None:
+        """Give the module a record of the other process; one that can't be read is refused by it."""
+        try:
+            record = decode_record(said)
+        except ValueError:
+            record = None
+        self.give(api.PeerProcessMessage(record))
+
     def abandon(self, event: api.Event) -> None:
         """The honest end of a request whose event the module failed at: whether it ran is not known."""
         if isinstance(event, api.RequestArrived | api.AttemptEnded):
@@ -233,10 +242,10 @@
         if command.id in self.requests:
             raise ValueError("id in use")
         event = self.read(command)
-        self.shares.most = min(
+        self.shares.limit = min(
             self.max_open, OPEN_PER_CONNECTION * self.backends.budget.limit_of(Part.BACKENDS)
         )
-        self.shares.pressed_at = int(self.shares.most * PRESSED)
+        self.shares.pressure_from = int(self.shares.limit * PRESSURE_RATIO)
         if self.ending or not self.shares.admits(event.customer):
             return self.crowd(event.request_class, slot)
         self.seen["requests taken"] += 1
@@ -431,9 +440,9 @@
             case api.Cancel(request, number):
                 if attempt := self.attempts.get((request, number)):
                     self.backends.give_up(attempt, api.Outcome.CANCELLED)
-            case api.Reject(request, retry_after, reason):
-                self.seen["refused for " + reason] += 1
-                self.withheld += reason == "return"
+            case api.Reject(request, retry_after, cause):
+                self.seen["refused for " + cause.value] += 1
+                self.withheld += cause is api.RejectionCause.RECOVERY
                 wait = math.ceil(retry_after)
                 self.finish(
                     request, b"-BUSY %d\r\n" % wait if wait > 0 else b"-BUSY\r\n", OutcomeKind.DECLINED
@@ -441,17 +450,17 @@
             case api.Fail(request):
                 self.seen["failed"] += 1
                 self.finish(request, FAILED, OutcomeKind.ABORTED)
-            case api.SetTimer(delay, token):
-                self.timers.at(now_ms() + delay, partial(self.give, api.TimerFired(token)))
+            case api.SetTimer(delay, timer):
+                self.timers.at(now_ms() + delay, partial(self.give, api.TimerFired(timer)))
             case api.Count(name, amount, expire_in):
                 if self.counter is None:
                     self.give(api.CounterReplied(name, api.Outcome.CONNECT, 0.0))
                 else:
                     self.counter.add(name, amount, expire_in, self.on_counted)
-            case api.Replicate(said):
-                self.tell(said)
-            case api.PersistRecord(serial, said):
-                self.keep(serial, said)
+            case api.Replicate(record):
+                self.tell(encode_record(record))
+            case api.PersistRecord(serial, record):
+                self.keep(serial, encode_record(record))
             case api.LogMessage(text):
                 log.info("%s", text)
             case api.FollowList():
@@ -500,7 +509,7 @@
         """A request has ended: its place is free."""
         owner = self.requests.pop(request, None)
         if owner is not None:
-            self.shares.give_back(owner.command.customer)
+            self.shares.release(owner.command.customer)
         return owner
 
     def leave_body(self, owner: Request) -> None:
--- a/switchline/service/service.py
+++ b/switchline/service/service.py
@@ -28,7 +28,7 @@
 from switchline.operators.overrides import OperatorOverrides, private_file
 from switchline.operators.server import Calls, Later, OperatorServer, Said
 from switchline.policy import interface as api
-from switchline.policy.leases import PERIOD_MS
+from switchline.policy.quota.lease_sizing import PERIOD_MS
 from switchline.service.driver import Driver
 from switchline.upgrade.handover import HOLDS, UpgradeHandover
 
@@ -129,7 +129,7 @@
         self.upgrade = UpgradeHandover(
             private_file(config.name, "beside.sock"),
             came=partial(self.driver.give, api.PeerProcessJoined()),
-            heard=lambda said: self.driver.give(api.PeerProcessMessage(said)),
+            heard=lambda said: self.driver.on_peer_message(said),
             handed=self.hand_over,
             left=self.beside_left,
             holds=self.share,
@@ -227,7 +227,9 @@
 
     def note_list(self) -> None:
         if self.audit is not None:
-            known = sorted((b.id, b.ready, b.started) for b in self.driver.gateway.backends.values())
+            known = sorted(
+                (b.id, b.is_ready, b.started_ms) for b in self.driver.gateway.backends.by_id.values()
+            )
             digest = hashlib.blake2b(repr(known).encode(), digest_size=4).hexdigest()
             self.note("list", "", f"{self.discovery.version} {digest}", f"discovery: {len(known)} backends")
 
--- a/switchline/simulator.py
+++ b/switchline/simulator.py
@@ -9,6 +9,7 @@
 
 from switchline.policy import interface as api
 from switchline.policy.gateway import Gateway
+from switchline.policy.persistence.codec import decode_timer, encode_timer
 
 
 class WireError(Exception):
@@ -141,7 +142,7 @@
     "underWay": read_began,
     "lapsed": lambda request, *_: api.RequestLapsed(text(request)),
     "ledgerReply": read_counted,
-    "wakeup": lambda token, *_: api.TimerFired(text(token)),
+    "wakeup": lambda token, *_: api.TimerFired(decode_timer(text(token))),
     "whisper": lambda sender, payload, *_: api.GossipReceived(int(sender), bytes.fromhex(payload)),
     "health": lambda *_: None,
 }
@@ -157,8 +158,8 @@
             return ["bounce", request, retry_after]
         case api.Fail(request):
             return ["dropRequest", request]
-        case api.SetTimer(delay, token):
-            return ["sleep", delay, token]
+        case api.SetTimer(delay, timer):
+            return ["sleep", delay, encode_timer(timer)]
         case api.Count(name, amount, expire_in):
             return ["incr", name, expire_in, amount]
         case api.FollowList(enable):
--- a/switchline/zones/coordination.py
+++ b/switchline/zones/coordination.py
@@ -79,7 +79,7 @@
 
     def _turn(self) -> None:
         self.timer = asyncio.get_running_loop().call_later(TICK_S, self._turn)
-        now, losses = time.monotonic(), self.driver.gateway.zones.losses
+        now, losses = time.monotonic(), self.driver.gateway.zones.lost_attempts
         if losses != self.losses or self.stirred or now - self.looked_at >= LOOK_S:
             self.losses, self.stirred, self.looked_at = losses, False, now
             self.look(now)
@@ -87,10 +87,10 @@
     def look(self, now: float) -> None:
         """Tell what was met, take part in what is decided, and have the module follow it."""
         gateway = self.driver.gateway
-        if self.peers is None or not gateway.zones.several:
+        if self.peers is None or not gateway.zones.is_multi_zone:
             return self.follow({})
         seen = seen_of(gateway, now_ms())
-        load = gateway_status.offered(gateway, now_ms())
+        load = gateway_status.attempt_rate_per_s(gateway, now_ms())
         self.zonal.regions = gateway.zones.regions
         words = self.zonal.look(self.peers.node, now, now_ms(), seen, load)
         if self.peers.node.facts.refused["own"] and not self.over_said:
@@ -190,8 +190,8 @@
 
 def seen_of(gateway: Gateway, now: float) -> dict[str, Seen]:
     """What a gateway meets, by zone, in the words of the line; `now` in milliseconds."""
-    met = {zone: one for zone, one in gateway_status.met(gateway, now).items() if one.usable}
-    return {z: Seen(o.usable, ages(o.lost), ages(o.well), o.slow, o.warmth) for z, o in met.items()}
+    met = {zone: one for zone, one in gateway_status.zone_observations(gateway, now).items() if one.usable}
+    return {z: Seen(o.usable, ages(o.lost_ms), ages(o.well_ms), o.slow, o.warmth) for z, o in met.items()}
 
 
 def ages(of: dict[int, float]) -> dict[str, float]:
@@ -199,8 +199,17 @@
     return {short(backend): age / 1000 for backend, age in of.items()}
 
 
+DIRECTED = {state.value: state for state in (api.ZoneState.LEFT, api.ZoneState.RETURNING)}
+
+
 def told_of(zone: str, word: Word) -> api.ZoneDirective:
     """A word as the module takes it."""
     return api.ZoneDirective(
-        zone, word.state, word.rate, word.share, word.gap_s * 1000, word.first, word.part
+        zone,
+        DIRECTED.get(word.state),
+        word.rate,
+        word.share,
+        word.gap_s * 1000,
+        word.first,
+        word.part,
     )
--- a/testbed/launch.py
+++ b/testbed/launch.py
@@ -63,16 +63,18 @@
 
 def twice() -> None:
     """It sends work that must not run twice a second time."""
-    from switchline.policy import gateway as rules
     from switchline.policy import interface
+    from switchline.policy.requests.attempts import AttemptTracker
 
-    def send(self: Any, now: float, request: Any, backend: Any, out: Any) -> None:
-        before(self, now, request, backend, out)
-        others = [b for b in self.backends.values() if b is not backend and b.cell != backend.cell]
-        if request.attempts == 1 and request.kind.effect is not interface.Effect.SAFE and others:
-            before(self, now, request, others[0], out)
+    def send(self: Any, now: float, request: Any, backend: Any, actions: Any) -> None:
+        before(self, now, request, backend, actions)
+        known = self._selection.backends.by_id.values()
+        others = [other for other in known if other is not backend and other.cell != backend.cell]
+        is_safe = request.request_class.effect is interface.Effect.SAFE
+        if request.attempts_made == 1 and not is_safe and others:
+            before(self, now, request, others[0], actions)
 
-    before = replace(rules.Gateway, "send", send)
+    before = replace(AttemptTracker, "send", send)
 
 
 def denies() -> None:
@@ -85,34 +87,36 @@
 def deaf() -> None:
     """It does not hear of drains and removals, nor keep to operators' bans."""
     from switchline.backends import endpoint, pool
-    from switchline.policy import entities, interface
-    from switchline.policy import gateway as rules
+    from switchline.policy import interface
+    from switchline.policy.backends.backend import Backend
+    from switchline.policy.backends.backend_table import BackendTable
 
-    replace(rules.Gateway, "usable", lambda self, b: b.ready)
+    replace(BackendTable, "is_usable", lambda self, backend: backend.is_ready)
     replace(endpoint.Endpoint, "takes_new", property(lambda self: True))
 
     def update(self: Any, entry: Any) -> None:
         before(self, entry)
-        self.ready = entry.state is not interface.BackendState.GONE
+        self.is_ready = entry.state is not interface.BackendState.GONE
 
-    before = replace(entities.Backend, "update", update)
+    before = replace(Backend, "update", update)
     replace(pool.BackendPool, "retire", lambda self, backend: None)
 
 
 def eager() -> None:
     """It knows of no cold backends, ceilings or quotas."""
-    from switchline.policy import entities
-    from switchline.policy import gateway as rules
+    from switchline.policy.backends.backend import Backend
+    from switchline.policy.gateway import Gateway
+    from switchline.policy.requests.load import LoadEstimate
 
-    replace(entities.Backend, "warmth", lambda self, now: 1.0)
+    replace(Backend, "warmth", lambda self, now: 1.0)
 
-    def admit(self: Any, now: float, request: Any, out: Any) -> None:
+    def admit(self: Any, now: float, request: Any, actions: Any) -> None:
         customer = request.customer
-        customer.tokens = customer.ceiling = customer.store = 1e9
-        before(self, now, request, out)
+        customer.tokens = customer.ceiling_tokens = customer.fleet_units = 1e9
+        before(self, now, request, actions)
 
-    replace(rules.Gateway, "time_to_answer", lambda self, now: 0.0)
-    before = replace(rules.Gateway, "admit", admit)
+    replace(LoadEstimate, "expected_answer_ms", lambda self, now: 0.0)
+    before = replace(Gateway, "admit", admit)
 
 
 def falls() -> None:
--- a/tests/clients/test_connections.py
+++ b/tests/clients/test_connections.py
@@ -33,8 +33,8 @@
 from switchline.net.listen import listen
 from switchline.net.streams import BufferBudget
 from switchline.operators.metrics import Evicted, Metrics
-from switchline.policy.fair_shares import FairShares
 from switchline.policy.interface import BackendState, Outcome
+from switchline.policy.quota.fair_shares import FairShares
 from testbed.network.addresses import claimed_port
 from testbed.network.sockets import LOCAL, Peer, Reply, encode, until
 from testbed.stand_ins.backends import Backend
@@ -159,7 +159,7 @@
                 shares.take(who)
                 held[who] += 1
         elif held[who]:
-            shares.give_back(who)
+            shares.release(who)
             held[who] -= 1
         assert shares.total == held.total() <= most and shares.held == +held
 
@@ -175,7 +175,7 @@
         assert shares.admits(who)
         shares.take(who)
         if number >= 10:
-            shares.give_back(small[number - 10])
+            shares.release(small[number - 10])
         if shares.admits("greedy"):
             shares.take("greedy")
     assert 75 <= shares.held["greedy"] <= 100 - 11
@@ -188,7 +188,7 @@
             if shares.admits(who):
                 shares.take(who)
         holders = sorted(shares.held)
-        shares.give_back(holders[turn % len(holders)])
+        shares.release(holders[turn % len(holders)])
     assert max(shares.held.values()) - min(shares.held.values()) <= 2
 
 
--- a/tests/fleet/test_outage.py
+++ b/tests/fleet/test_outage.py
@@ -196,7 +196,7 @@
     knows, lost = module(), module()
     for number in range(10):
         ask(knows, 1e6 + number, number, "bas")
-    (told,) = gateway_status.spending(knows, 1e6 + 20, 10)
+    (told,) = gateway_status.quota_reports(knows, 1e6 + 20, 10)
     assert told.customer == "cbas" and told.remaining_units == pytest.approx(
         14.0, abs=0.1
     )  # its even share: six
@@ -205,8 +205,8 @@
         api.PeerQuotaReport("cbas", "bas", told.even_share, 18.0),
     ):  # a liar's, or an older one's
         lost.handle(1e6 + 20, word)
-    assert lost.customers["cbas"].tokens == pytest.approx(told.remaining_units / 3, abs=0.1)
-    before = module().customer(1e6, "cbas", "bas", 1 / 3).tokens
+    assert lost.customers.by_key["cbas"].tokens == pytest.approx(told.remaining_units / 3, abs=0.1)
+    before = module().customers.get(1e6, "cbas", "bas", 1 / 3).tokens
     assert before == pytest.approx(20 / 3)  # without an answer: the even share
 
 
@@ -215,7 +215,7 @@
     gateway = module()
     gateway.handle(1e6, api.PeerQuotaReport("cbas", "bas", *spoilt))
     gateway.handle(1e6, api.PeerQuotaReport("cbas", "unknown", 0.5, 1.0))
-    assert not gateway.customers
+    assert not gateway.customers.by_key
 
 
 @settings(max_examples=60, deadline=None)
@@ -232,14 +232,14 @@
     now, set_of = 1e6, [module(seed=seed + number) for number in range(3)]
     left = 20.0 - spent
     for gateway in set_of:  # each knows by the counter what all have left
-        customer = gateway.customer(now, "cbas", "bas", 1 / 3)
-        customer.store, customer.tokens = left, left / 3
+        customer = gateway.customers.get(now, "cbas", "bas", 1 / 3)
+        customer.fleet_units, customer.tokens = left, left / 3
     after = [module(seed=seed) if gone else old for gone, old in zip(lost, set_of, strict=True)]
     for teller, (number, gateway) in itertools.product(heard, enumerate(after)):
         if teller != number:
-            for told in gateway_status.spending(after[teller], now, 10):
+            for told in gateway_status.quota_reports(after[teller], now, 10):
                 gateway.handle(now, told)
-    given_out = sum(gateway.customer(now, "cbas", "bas", 1 / 3).tokens for gateway in after)
+    given_out = sum(gateway.customers.get(now, "cbas", "bas", 1 / 3).tokens for gateway in after)
     whole = [number for number, gone in enumerate(lost) if not gone]
     if any(number in heard for number in whole) and all(
         not gone or any(teller != number and teller in whole for teller in heard)
@@ -312,13 +312,13 @@
 def test_the_stage_ends_with_the_slow_start_and_on_discovery_s_word_of_a_warm_backend() -> None:
     gateway, now = module(), 1e6
     gateway.handle(now, api.FleetOutage(now - 3_000, now))
-    assert gateway.warmth(now) == pytest.approx(0.2)
+    assert gateway.backends.warmth(now) == pytest.approx(0.2)
     entry = api.BackendEntry(0, "a", 0, now - 2_000, api.BackendState.READY)
     gateway.handle(now + 100, api.BackendsChanged(api.ListScope.CHANGES, (entry,)))
-    assert gateway.backends[0].warmth(now + 100) == pytest.approx(0.2 + 0.8 * 2_100 / 16_000)
-    assert gateway.recovery_ramp.until == now + 16_000
+    assert gateway.backends.by_id[0].warmth(now + 100) == pytest.approx(0.2 + 0.8 * 2_100 / 16_000)
+    assert gateway.recovery_ramp.until_ms == now + 16_000
     ask(gateway, now + 16_001, 1)
-    assert gateway.warmth(now + 16_001) == 1.0
+    assert gateway.backends.warmth(now + 16_001) == 1.0
 
 
 def test_a_backend_that_discovery_told_of_before_is_as_warm_as_it_told() -> None:
@@ -326,7 +326,7 @@
     entry = api.BackendEntry(0, "a", 0, now - 2_000, api.BackendState.READY)
     gateway.handle(now, api.BackendsChanged(api.ListScope.CHANGES, (entry,)))
     gateway.handle(now + 100, api.FleetOutage(now - 3_000, now))
-    assert gateway.backends[0].warmth(now + 100) > gateway.backends[1].warmth(now + 100)
+    assert gateway.backends.by_id[0].warmth(now + 100) > gateway.backends.by_id[1].warmth(now + 100)
 
 
 def test_quota_d_work_goes_first_and_those_sent_away_come_back_spread_out() -> None:
@@ -341,9 +341,9 @@
     now += 200
     for number in range(200):
         for action in ask(gateway, now + number, number, "spare" if number % 2 else "free"):
-            if isinstance(action, api.Reject) and action.reason == "return":
+            if isinstance(action, api.Reject) and action.cause is api.RejectionCause.RECOVERY:
                 waits.append(action.retry_after_ms)
-        beyond.append(gateway.customers["cspare"].tokens < -1e-6 if number > 1 else False)
+        beyond.append(gateway.customers.by_key["cspare"].tokens < -1e-6 if number > 1 else False)
     assert not any(beyond)  # work beyond a quota is not let in for its worth
     assert len(set(waits)) > len(waits) / 2 and max(waits) > 1_500 and max(waits) <= 2_000
 
@@ -351,13 +351,13 @@
 def test_who_has_most_to_spend_unheard_asks_the_counter_first() -> None:
     gateway, now = module(), 1e6
     for number in range(40):
-        customer = gateway.customer(now, f"c{number}", "bas", 1 / 3)
+        customer = gateway.customers.get(now, f"c{number}", "bas", 1 / 3)
         customer.tokens = number / 10
     gateway.handle(now, api.FleetOutage(now - 3_000, now))
-    turns = sorted(gateway.customers.values(), key=lambda c: c.fresh_until)
+    turns = sorted(gateway.customers.by_key.values(), key=lambda c: c.next_refresh_ms)
     assert [c.tokens for c in turns] == sorted((c.tokens for c in turns), reverse=True)
-    assert max(c.fresh_until for c in turns) <= now + 5_000
-    gaps = [b.fresh_until - a.fresh_until for a, b in itertools.pairwise(turns)]
+    assert max(c.next_refresh_ms for c in turns) <= now + 5_000
+    gaps = [b.next_refresh_ms - a.next_refresh_ms for a, b in itertools.pairwise(turns)]
     assert max(gaps) <= 2 * 5_000 / 40 + 1e-6  # evenly: no second of it asks for many
 
 
--- a/tests/gateway_fleet.py
+++ b/tests/gateway_fleet.py
@@ -121,8 +121,8 @@
                 self.meet(index, request, number, backend, self.now)
             case api.Cancel(request, number):
                 self.later(0, lambda: self.end(index, request, number, -1, api.Outcome.CANCELLED, self.now))
-            case api.SetTimer(delay, token):
-                self.later(delay, lambda: self.give(index, api.TimerFired(token)))
+            case api.SetTimer(delay, timer):
+                self.later(delay, lambda: self.give(index, api.TimerFired(timer)))
             case api.Reject(request) | api.Fail(request):
                 self.answered.add((index, request))
                 self.ended[type(action).__name__] += 1
@@ -163,7 +163,7 @@
     def end(
         self, index: int, request: str, number: int, backend: int, outcome: api.Outcome, sent_at: float
     ) -> None:
-        attempt = self.gateways[index].attempts.get((request, number))
+        attempt = self.gateways[index].attempts.in_flight.get((request, number))
         if attempt is None:
             return
         finished = outcome is api.Outcome.OK or (index, request) in self.answered
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -77,7 +77,7 @@
     ) -> None:
         self.gateway = Gateway(settings(**changes), seed)
         self.now, self.serial = now, 0
-        self.timers: list[tuple[float, int, str]] = []
+        self.timers: list[tuple[float, int, api.Timer]] = []
         self.log: list[tuple[float, api.Action]] = []
         self.give(backends(*(tuple(entries) or (entry(1), entry(2, cell=1), entry(3)))))
 
@@ -86,7 +86,7 @@
         self.log += [(self.now, a) for a in actions]
         for a in actions:
             if isinstance(a, api.SetTimer):
-                heapq.heappush(self.timers, (self.now + a.delay_ms, len(self.log), a.token))
+                heapq.heappush(self.timers, (self.now + a.delay_ms, len(self.log), a.timer))
         return actions
 
     def ask(
@@ -117,9 +117,9 @@
         actions: list[api.Action] = []
         end = self.now + milliseconds
         while self.timers and self.timers[0][0] <= end:
-            at, _, token = heapq.heappop(self.timers)
+            at, _, timer = heapq.heappop(self.timers)
             self.now = max(self.now, at)
-            actions += self.give(api.TimerFired(token))
+            actions += self.give(api.TimerFired(timer))
         self.now = end
         return actions
 
--- a/tests/linked_fleet.py
+++ b/tests/linked_fleet.py
@@ -88,11 +88,11 @@
         if node is None or index in self.lone or self.net.stopped.get(address_of(index), 0) > self.net.now:
             return
         self.net.run(max(0.0, self.seconds() - self.net.now))
-        losses = self.gateways[index].zones.losses
+        losses = self.gateways[index].zones.lost_attempts
         if losses != self.losses[index] or self.stirred[index] or self.net.now - self.looked[index] >= LOOK_S:
             self.losses[index], self.stirred[index], self.looked[index] = losses, False, self.net.now
             gateway, wall = self.gateways[index], self.net.wall(address_of(index))
-            seen, load = seen_of(gateway, self.now), gateway_status.offered(gateway, self.now)
+            seen, load = seen_of(gateway, self.now), gateway_status.attempt_rate_per_s(gateway, self.now)
             self.zonals[index].regions = gateway.zones.regions
             words = self.zonals[index].look(node, self.net.now, wall, seen, load)
             self.net.carry(address_of(index), node)
@@ -105,7 +105,7 @@
     def states(self, zone: str, own: str = "") -> set[str]:
         """What the gateways' modules make of a zone; those of one zone alone, where it is given."""
         of = [g for g, zonal in zip(self.gateways, self.zonals, strict=True) if own in ("", zonal.zone)]
-        return {gateway.zones.zones[zone].state.value for gateway in of}
+        return {gateway.zones.by_name[zone].state.value for gateway in of}
 
     def acts(self, zone: str) -> list[Act]:
         """The decisions on a zone that the first gateway has heard of, in their order."""
--- a/tests/neutral_form.py
+++ b/tests/neutral_form.py
@@ -18,6 +18,7 @@
 from typing import Any
 
 from switchline.policy import interface as api
+from switchline.policy.persistence.codec import decode_record, decode_timer, encode_record, encode_timer
 
 Neutral = dict[str, Any]
 
@@ -85,7 +86,30 @@
 
 def record_form(name: str) -> FieldForm:
     """Map a field that holds a state record: the list that is stored on disk and sent between processes."""
-    return FieldForm(name, encode=lambda record: record, decode=lambda record: record)
+    return FieldForm(name, encode=encode_record, decode=record_or_none)
+
+
+def record_or_none(record: list[Any]) -> api.Record | None:
+    """Read a record as the gateway's program does: None is one that can't be read."""
+    try:
+        return decode_record(record)
+    except ValueError:
+        return None
+
+
+def timer_form(name: str) -> FieldForm:
+    """Map a field that holds a timer: its token."""
+    return FieldForm(name, encode=encode_timer, decode=decode_timer)
+
+
+def encode_zone_state(state: api.ZoneState | None) -> str:
+    """Give the word for a zone's state; "" is none."""
+    return "" if state is None else state.value
+
+
+def decode_zone_state(word: str) -> api.ZoneState | None:
+    """Read a zone's state; "" is none."""
+    return api.ZoneState(word) if word else None
 
 
 OUTCOMES: dict[str, Enum] = {
@@ -206,7 +230,7 @@
         api.ZoneDirective,
         names(
             zone="zone",
-            state="state",
+            state=FieldForm("state", encode=encode_zone_state, decode=decode_zone_state),
             rate_per_s="rate_per_s",
             backend_load_ratio="capacity_ratio",
             health_check_interval_ms="probe_interval_ms",
@@ -264,7 +288,7 @@
         api.CounterReplied,
         names(name="name", outcome=enum_form("outcome", OUTCOMES), total="total"),
     ),
-    "timer_fired": ObjectForm(api.TimerFired, names(token="token")),
+    "timer_fired": ObjectForm(api.TimerFired, names(token=timer_form("timer"))),
     "gossip_received": ObjectForm(
         api.GossipReceived,
         names(sender="sender", payload=FieldForm("payload", encode=bytes.hex, decode=bytes.fromhex)),
@@ -295,10 +319,15 @@
     ),
     "cancel_attempt": ObjectForm(api.Cancel, names(request="request", attempt="attempt")),
     "reject_request": ObjectForm(
-        api.Reject, names(request="request", retry_after_ms="retry_after_ms", reason="reason")
+        api.Reject,
+        names(
+            request="request",
+            retry_after_ms="retry_after_ms",
+            reason=FieldForm("cause", encode=lambda cause: cause.value, decode=api.RejectionCause),
+        ),
     ),
     "fail_request": ObjectForm(api.Fail, names(request="request")),
-    "set_timer": ObjectForm(api.SetTimer, names(delay_ms="delay_ms", token="token")),
+    "set_timer": ObjectForm(api.SetTimer, names(delay_ms="delay_ms", token=timer_form("timer"))),
     "add_to_counter": ObjectForm(
         api.Count, names(name="name", amount="amount", expire_in_ms="expires_in_ms")
     ),
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -8,7 +8,7 @@
 from helpers import BASIC, World, backends, entry, refusals, sends
 
 from switchline.policy import interface as api
-from switchline.policy.entities import Attempt, Request
+from switchline.policy.requests.request import Attempt, Request
 
 WIDE = api.Plan("basic")  # no quota, so that only the back end decides
 OPEN = dict(plans=(WIDE,), uses_counter=False)
@@ -65,9 +65,16 @@
     w = world(must_follow_list=True)
     w.give(api.BackendsChanged(api.ListScope.FAILED, ()))
     assert one(w.ask())
-    timers = [a for _, a in w.log if isinstance(a, api.SetTimer) and a.token == "follow"]
+    timers = [
+        a
+        for _, a in w.log
+        if isinstance(a, api.SetTimer) and a.timer.purpose is api.TimerPurpose.ENDPOINT_LIST
+    ]
     assert timers
-    assert any(isinstance(a, api.FollowList) for a in w.give(api.TimerFired("follow")))
+    assert any(
+        isinstance(a, api.FollowList)
+        for a in w.give(api.TimerFired(api.Timer(api.TimerPurpose.ENDPOINT_LIST)))
+    )
 
 
 def test_failing_backend_is_avoided_and_later_retested() -> None:
@@ -216,7 +223,7 @@
 
 def slices(fleet: list[api.BackendEntry], gateways: int) -> list[set[int]]:
     worlds = (World(fleet, **{**OPEN, "gateways": gateways, "index": i}) for i in range(gateways))
-    return [{b.id for b in w.gateway.subset} for w in worlds]
+    return [{b.id for b in w.gateway.backends.subset} for w in worlds]
 
 
 @pytest.mark.parametrize(("gateways", "backends", "covered"), [(40, 60, 10), (300, 70, 37)])
@@ -350,12 +357,14 @@
     for out, least, most in ((5, 0.4, 0.7), (100, 0.85, 1.0)):
         w = World([entry(1)], **{**OPEN, "gateways": 1})
         g = w.gateway
-        g.rate, g.answered_at, g.typical = 50.0, w.now, 100.0
+        g.latency.rate_per_s, g.latency.answered_at_ms, g.latency.mean_ms = 50.0, w.now, 100.0
         request = api.RequestArrived("r", "view", "basic", "c", w.now + 3_000, 1.0, 1, 0)
-        kind, c = g.classes["view"], g.customer(w.now, "c", "basic", 1.0)
+        kind, c = g.classes["view"], g.customers.get(w.now, "c", "basic", 1.0)
         for number in range(out - 1):  # the one that asks counts too
-            g.attempts["r", number] = Attempt(Request(request, kind, c, w.now), g.backends[1], w.now)
-        assert least < g.time_to_answer(w.now) / (out * 1_000 / g.rate) < most
+            g.attempts.in_flight["r", number] = Attempt(
+                Request(request, kind, c, w.now), g.backends.by_id[1], w.now
+            )
+        assert least < g.load.expected_answer_ms(w.now) / (out * 1_000 / g.latency.rate_per_s) < most
 
 
 def test_cold_backends_of_a_large_fleet_are_loaded_as_the_warm_ones() -> None:
@@ -391,19 +400,19 @@
                 for life in (0, 3000):
                     w.ask(spread=spread, life=life)
                     w.pass_time(4000)
-                assert not w.gateway.requests
+                assert not w.gateway.attempts.requests
     none = World(gateways=1000)
     none.give(backends())
     none.ask(spread=1, life=1000)
     none.pass_time(2000)
-    assert not none.gateway.requests
+    assert not none.gateway.attempts.requests
 
 
 def test_odd_events_are_survived() -> None:
     w = world()
     w.give(api.AttemptEnded("nobody", 0, 9, api.Outcome.OK, 1, True))
     w.give(api.RequestLapsed("nobody"))
-    w.give(api.TimerFired("unwanted"))
+    w.give(api.TimerFired(api.Timer(api.TimerPurpose.REQUEST, "nwanted")))
     w.give(api.CounterReplied("nothing", api.Outcome.OK, 1))
     w.give(api.GossipReceived(1, b"\xff\x00"))
     w.give(api.AnswerStarted("nobody", 0, 1))
--- a/tests/policy/test_durable_state.py
+++ b/tests/policy/test_durable_state.py
@@ -12,7 +12,14 @@
 from hypothesis import strategies as st
 
 from switchline.policy import interface as api
-from switchline.policy.durable_state import DOWN_MS, LAG_MS, MOST_KEPT, PARTS, SPREAD_MS, STALE_MS
+from switchline.policy.persistence.codec import decode_record, encode_record
+from switchline.policy.persistence.durable_state import (
+    MAX_CUSTOMER_RECORDS,
+    MAX_RECORD_AGE_MS,
+    REFRESH_SPREAD_MS,
+)
+from switchline.policy.persistence.reserve import RESERVED_RATIO
+from switchline.policy.persistence.restore import MAX_COMMIT_LAG_MS, MAX_DOWNTIME_MS
 
 Told = tuple[str, str]
 
@@ -41,7 +48,7 @@
             self.give(api.StateFileFound(self.alive, restarts[-8:]))
             for kind in ("customer", "backend", "gateway"):
                 for said, at in [row for (k, _), row in self.rows.items() if k == kind]:
-                    self.give(api.RecordRestored(json.loads(json.dumps(said)), at))
+                    self.give(api.RecordRestored(decode_record(json.loads(json.dumps(said))), at))
         self.give(api.PersistenceChanged(True))
         self.starts.append(self.world.now)
         self.rows.clear()
@@ -56,11 +63,12 @@
 
     def commit(self) -> None:
         for keep in self.waiting:
-            if keep.record[0] == "forget":
-                self.rows.pop((str(keep.record[1]), str(keep.record[2])), None)
+            record = encode_record(keep.record)
+            if record[0] == "forget":
+                self.rows.pop((str(record[1]), str(record[2])), None)
             else:
-                name = "" if keep.record[0] == "gateway" else str(keep.record[1])
-                self.rows[str(keep.record[0]), name] = keep.record, self.world.now
+                name = "" if record[0] == "gateway" else str(record[1])
+                self.rows[str(record[0]), name] = record, self.world.now
         self.alive = self.world.now
         if self.waiting:
             last = self.waiting[-1].serial
@@ -119,7 +127,7 @@
             for _ in range(20):  # a commit takes up to half of what the module reckons with
                 part = number / 20
                 uncommitted = uncommitted + part if disk.waiting else 0.0
-                if uncommitted > LAG_MS / 2:
+                if uncommitted > MAX_COMMIT_LAG_MS / 2:
                     disk.commit()
                     uncommitted = 0.0
                 disk.pass_time(part)
@@ -151,7 +159,7 @@
 def test_a_lagging_disk_leaves_the_even_share_without_a_burst() -> None:
     disk = Disk()
     let_in = sum(disk.ask() for _ in range(10))
-    assert let_in == max(1, BASIC.burst_units / 2 / PARTS)  # a first part, and nothing waits
+    assert let_in == max(1, BASIC.burst_units / 2 * RESERVED_RATIO)  # a first part, and nothing waits
     assert len(refusals(disk.world.ask())) == 1
     for _ in range(20):
         disk.pass_time(500)
@@ -210,12 +218,12 @@
     disk.commit()
     said, _ = disk.rows["customer", "c"]
     tokens = said[4][2]  # type: ignore[index]
-    assert tokens == disk.world.gateway.customers["c"].tokens - 1  # a part shows as spent
+    assert tokens == disk.world.gateway.customers.by_key["c"].tokens - 1  # a part shows as spent
     assert disk.ask() and not disk.ask()
 
 
 def test_downtime_fills_the_buckets_as_far_as_it_is_plausible() -> None:
-    for down, jump, most in ((20_000, 0, 3), (10, -3_600_000, 0), (10, int(DOWN_MS) * 2, 0)):
+    for down, jump, most in ((20_000, 0, 3), (10, -3_600_000, 0), (10, int(MAX_DOWNTIME_MS) * 2, 0)):
         disk = Disk()
         while disk.ask():
             disk.commit()
@@ -240,7 +248,7 @@
             disk.give(api.PersistenceChanged(False, final=True))
             disk.commit()
         disk.crash(100)
-        left.append(disk.world.gateway.customers["c"].tokens)
+        left.append(disk.world.gateway.customers.by_key["c"].tokens)
     assert left[1] == 35 and left[0] < 30
 
 
@@ -248,15 +256,15 @@
     disk = Disk(uses_counter=True)
     disk.ask()
     disk.commit()
-    disk.world.gateway.customers["c"].part = 0.9
-    disk.pass_time(STALE_MS)
+    disk.world.gateway.customers.by_key["c"].quota_share = 0.9
+    disk.pass_time(MAX_RECORD_AGE_MS)
     disk.ask()
     disk.commit()
     disk.crash(100)
-    assert disk.world.gateway.customers["c"].part == 0.9
+    assert disk.world.gateway.customers.by_key["c"].quota_share == 0.9
     disk.crash(20_000)
     disk.ask()
-    assert disk.world.gateway.customers["c"].part == 0.5
+    assert disk.world.gateway.customers.by_key["c"].quota_share == 0.5
 
 
 def test_a_ceiling_need_not_start_empty_after_a_restart_and_is_never_given_twice() -> None:
@@ -279,14 +287,17 @@
         disk.pass_time(100)
     disk.commit()
     before = disk.world.gateway
-    assert before.backends[1].marks
+    assert before.backends.by_id[1].scores
     disk.crash(200)
     after = disk.world.gateway
-    assert after.backends[1].marks == before.backends[1].marks and after.typical == before.typical
-    assert after.created == before.created
+    assert (
+        after.backends.by_id[1].scores == before.backends.by_id[1].scores
+        and after.latency.mean_ms == before.latency.mean_ms
+    )
+    assert after.customers.gateway_created_ms == before.customers.gateway_created_ms
     disk.changes["entries"] = [entry(1, started=disk.world.now), entry(2)]
     disk.crash(200)
-    assert not disk.world.gateway.backends[1].marks
+    assert not disk.world.gateway.backends.by_id[1].scores
 
 
 def test_a_fleet_that_is_back_does_not_ask_the_counter_at_once() -> None:
@@ -300,22 +311,25 @@
         while not counts(disk.note(disk.world.ask())):
             disk.pass_time(100)
         asked.append(disk.world.now - start)
-    assert max(sum(at <= t < at + 500 for t in asked) for at in asked) < 20 and max(asked) <= SPREAD_MS + 100
+    assert (
+        max(sum(at <= t < at + 500 for t in asked) for at in asked) < 20
+        and max(asked) <= REFRESH_SPREAD_MS + 100
+    )
 
 
 def test_rows_have_a_bound_and_an_end() -> None:
     disk = Disk()
-    for number in range(MOST_KEPT + 50):
+    for number in range(MAX_CUSTOMER_RECORDS + 50):
         disk.ask(customer=f"c{number}")
     keeping = disk.world.gateway.durable_state
-    assert keeping.rows == MOST_KEPT
+    assert keeping.customer_records == MAX_CUSTOMER_RECORDS
     disk.commit()
-    assert len(disk.rows) <= MOST_KEPT + 10
+    assert len(disk.rows) <= MAX_CUSTOMER_RECORDS + 10
     disk.pass_time(1_000_000)
     disk.ask(customer="last")
-    disk.pass_time(STALE_MS)
+    disk.pass_time(MAX_RECORD_AGE_MS)
     disk.commit()
-    assert len(keeping.reserves) == 1 and keeping.rows == 1 and len(disk.rows) <= 10
+    assert len(keeping.reserves) == 1 and keeping.customer_records == 1 and len(disk.rows) <= 10
 
 
 @pytest.mark.parametrize(
@@ -337,8 +351,8 @@
     world = World()
     world.give(api.StateFileFound(world.now, (world.now,)))
     with pytest.raises((ValueError, TypeError)):
-        world.give(api.RecordRestored(said, world.now))
-    assert not world.gateway.customers
+        world.give(api.RecordRestored(decode_record(said), world.now))
+    assert not world.gateway.customers.by_key
 
 
 def test_off_it_keeps_nothing() -> None:
@@ -354,9 +368,9 @@
     disk = Disk()
     disk.ask()
     disk.commit()
-    ahead = disk.world.gateway.durable_state.reserves["c"].ahead
-    disk.give(api.PeerProcessMessage(["spent", "c", "basic", 0.5, 0, 1, 1, 1, 0]))
-    assert disk.world.gateway.durable_state.reserves["c"].ahead == ahead - 1
+    ahead = disk.world.gateway.durable_state.reserves["c"].units
+    disk.give(api.PeerProcessMessage(decode_record(["spent", "c", "basic", 0.5, 0, 1, 1, 1, 0])))
+    assert disk.world.gateway.durable_state.reserves["c"].units == ahead - 1
 
 
 def test_true_units_are_spent_whatever_was_reserved() -> None:
@@ -370,10 +384,10 @@
             api.AttemptEnded(send.request, 0, send.backend, api.Outcome.OK, 1.0, True, actual_units=3.0)
         )
     )
-    assert reserve.ahead < 0
+    assert reserve.units < 0
     disk.commit()
     disk.commit()
-    held = disk.world.gateway.customers["c"].tokens
+    held = disk.world.gateway.customers.by_key["c"].tokens
     said, _ = disk.rows["customer", "c"]
     assert said[4][2] <= held  # type: ignore[index]
     assert settings().max_request_units == 1.0
--- a/tests/policy/test_leases.py
+++ b/tests/policy/test_leases.py
@@ -6,9 +6,10 @@
 from helpers import BASIC, World, counts, entry, refusals, sends
 
 from switchline.policy import interface as api
-from switchline.policy.customer import LEASE_MS
-from switchline.policy.gateway import CHANCE_PART
-from switchline.policy.leases import EVENLY, PERIOD_MS, REFRESH_MS
+from switchline.policy.quota.admission import SCATTERED_RATIO
+from switchline.policy.quota.customer import LEASE_MS
+from switchline.policy.quota.lease_sizing import EVEN_CEILING_RATIO, PERIOD_MS, REFRESH_MS, share_remaining
+from switchline.policy.quota.leases import PendingCall
 
 
 def drain(world: World, tries: int, gap: float = 0.0, **ask: object) -> int:
@@ -63,7 +64,7 @@
             answer(world, call, 100.0)
             adds.append((world.now, call))
         world.pass_time(50)
-    waiting = world.gateway.customers["c"].unsaid
+    waiting = world.gateway.customers.by_key["c"].unreported_units
     assert sum(call.amount for _, call in adds) + waiting == 100
     assert all(b - a >= REFRESH_MS for (a, _), (b, _) in zip(adds, adds[1:], strict=False))
     assert all(call.expires_in_ms <= 60_000 for _, call in adds)
@@ -77,7 +78,7 @@
             answer(world, call, total)
         world.pass_time(100)
         total = total if world.now % 4000 > 100 else 50.0
-    assert 0.2 < world.gateway.customers["c"].part < 0.3
+    assert 0.2 < world.gateway.customers.by_key["c"].quota_share < 0.3
 
 
 def test_alone_with_all_the_wants_the_lease_is_the_whole_quota() -> None:
@@ -89,23 +90,23 @@
                 period = call.name.split(":")[0]
             answer(world, call, total)
         world.pass_time(100)
-    assert world.gateway.customers["c"].part > 0.95
+    assert world.gateway.customers.by_key["c"].quota_share > 0.95
 
 
 def test_a_lease_unheard_reverts_to_the_even_share() -> None:
     world = World()
     (call,) = counts(world.ask())
     answer(world, call, 3.0)
-    customer = world.gateway.customers["c"]
-    customer.part = 0.9
+    customer = world.gateway.customers.by_key["c"]
+    customer.quota_share = 0.9
     for _ in range(int(LEASE_MS // 1000)):
         for call in counts(world.ask()):
             answer(world, call, 0, api.Outcome.TIMED_OUT)
-        assert customer.part == 0.9, "failed refreshes keep the lease until it ends"
+        assert customer.quota_share == 0.9, "failed refreshes keep the lease until it ends"
         world.pass_time(1000)
     world.pass_time(500)
     world.ask()
-    assert customer.part == 0.5
+    assert customer.quota_share == 0.5
 
 
 def test_one_that_is_behind_spends_its_even_share_and_tells_the_counter_nothing_until_it_is_level() -> None:
@@ -113,18 +114,18 @@
         world = World()
         for call in counts(world.ask(spread=spread)):
             answer(world, call, call.amount)
-        customer = world.gateway.customers["c"]
-        customer.part, customer.tokens, said = 1.0, 8.0, customer.unsaid
+        customer = world.gateway.customers.by_key["c"]
+        customer.quota_share, customer.tokens, said = 1.0, 8.0, customer.unreported_units
         world.give(api.StalenessChanged(True))
         taken = 0.0
         for _ in range(200):  # twenty seconds at ten a second
             actions = world.ask(spread=spread)
-            assert not counts(actions) and customer.part == even
+            assert not counts(actions) and customer.quota_share == even
             for send in sends(actions):
                 taken += 1
                 world.end(send)
             world.pass_time(100)
-        assert taken <= 8 * even + 20 * 2 * even + 1 and customer.unsaid == said
+        assert taken <= 8 * even + 20 * 2 * even + 1 and customer.unreported_units == said
         world.give(api.StalenessChanged(False))
         world.pass_time(1000)
         assert counts(world.ask(spread=spread))  # and no burst of what was asked meanwhile
@@ -136,21 +137,21 @@
     world = World()
     (call,) = counts(world.ask())
     answer(world, call, 30.0)
-    customer = world.gateway.customers["c"]
-    customer.part, customer.tokens = 0.25, 0.0
+    customer = world.gateway.customers.by_key["c"]
+    customer.quota_share, customer.tokens = 0.25, 0.0
     world.pass_time(600)
     (call,) = counts(world.ask())
     answer(world, call, call.amount + 1)
-    assert customer.part == 0.25 and customer.tokens <= 0.5
+    assert customer.quota_share == 0.25 and customer.tokens <= 0.5
 
 
 def test_a_reading_at_the_very_start_of_a_period_is_survived() -> None:
     """Danger: a period whose start is rounded to just after now, and just the burst asked."""
     world = World()
     world.ask()
-    customer = world.gateway.customers["c"]
-    world.gateway.renew(12_000 - 1e-9, customer, 3, 1.0, 8.0, "", [])
-    assert customer.chance == 1.0
+    customer = world.gateway.customers.by_key["c"]
+    world.gateway.leases.renew(12_000 - 1e-9, customer, PendingCall("c", 3, 1.0, ""), 8.0, [])
+    assert customer.admit_probability == 1.0
 
 
 def test_early_in_a_period_what_the_last_one_left_spent_is_read_and_taken_off() -> None:
@@ -161,7 +162,7 @@
     read = world.log[-1][1]
     assert isinstance(read, api.Count) and read.amount == 0 and read.name != call.name
     world.give(api.CounterReplied(read.name, api.Outcome.OK, 33.0))  # 15 s of a quota of two, and 3
-    assert world.gateway.customers["c"].store == 8 - 3
+    assert world.gateway.customers.by_key["c"].fleet_units == 8 - 3
 
 
 def test_a_sparse_customer_is_served_what_the_store_holds_and_refused_what_it_does_not() -> None:
@@ -183,22 +184,26 @@
     """Danger: a customer whose guesses are low is let in beyond its quota for as long as it asks."""
     world = World()
     (send,) = sends(world.ask())
-    customer = world.gateway.customers["c"]
-    store, tokens, unsaid = customer.store, customer.tokens, customer.unsaid
+    customer = world.gateway.customers.by_key["c"]
+    store, tokens, unsaid = customer.fleet_units, customer.tokens, customer.unreported_units
     done = api.AttemptEnded(send.request, 0, send.backend, api.Outcome.OK, 1.0, True, actual_units=3.0)
     world.give(done)
     world.give(done)  # a repeat of the answer settles nothing twice
-    assert (customer.store, customer.tokens, customer.unsaid) == (store - 2, tokens - 2, unsaid + 2)
+    assert (customer.fleet_units, customer.tokens, customer.unreported_units) == (
+        store - 2,
+        tokens - 2,
+        unsaid + 2,
+    )
 
 
 def test_units_given_back_never_make_a_call_that_only_reads() -> None:
     world = World()
     (send,) = sends(world.ask())
     world.give(api.AttemptEnded(send.request, 0, send.backend, api.Outcome.OK, 1.0, True, actual_units=0.1))
-    world.gateway.customers["c"].unsaid = -5.0
+    world.gateway.customers.by_key["c"].unreported_units = -5.0
     world.pass_time(600)
     (call,) = counts(world.ask())
-    assert call.amount > 0 and -4.1 < world.gateway.customers["c"].unsaid < -4.0
+    assert call.amount > 0 and -4.1 < world.gateway.customers.by_key["c"].unreported_units < -4.0
 
 
 def test_a_customer_is_told_when_the_shared_store_holds_its_units() -> None:
@@ -206,7 +211,7 @@
     while not (refused := refusals(actions := play(world, numbers))):
         for send in sends(actions):
             world.end(send)
-    (missing,) = (1 - c.store for c in world.gateway.customers.values())
+    (missing,) = (1 - c.fleet_units for c in world.gateway.customers.by_key.values())
     assert abs(refused[0].retry_after_ms - missing / 2 * 1000) < 1  # at the whole rate of two a second
 
 
@@ -217,7 +222,7 @@
         for _ in range(tries):
             world.pass_time(gap)
             actions = play(world, numbers)
-    assert len(sends(actions)) == 1 and world.gateway.customers["c"].store > 6
+    assert len(sends(actions)) == 1 and world.gateway.customers.by_key["c"].fleet_units > 6
 
 
 def test_what_a_time_out_may_have_added_is_not_added_again_and_what_was_turned_away_is() -> None:
@@ -225,7 +230,7 @@
         world = World()
         (call,) = counts(world.ask())
         answer(world, call, 0, outcome)
-        world.gateway.counter_room = 1.0
+        world.gateway.leases.counter.ratio = 1.0
         world.pass_time(600)
         (call,) = counts(world.ask())
         assert call.amount == again
@@ -236,7 +241,7 @@
     world = World()
     added, asked = 0.0, 4000
     for _ in range(asked):
-        world.gateway.counter_room = 0.4
+        world.gateway.leases.counter.ratio = 0.4
         for call in counts(world.ask(spread=50)):
             added += call.amount
             answer(world, call, 500.0)
@@ -249,7 +254,7 @@
     asked = added = 0.0
     for index in range(40):
         world = World(gateways=40, index=index, seed=index)
-        world.gateway.counter_room = 0.3
+        world.gateway.leases.counter.ratio = 0.3
         for number in range(50):
             asked += 1
             added += sum(call.amount for call in counts(world.ask(customer=f"c{number}", spread=40)))
@@ -275,12 +280,12 @@
 def test_what_is_turned_away_takes_back_its_own_units_alone() -> None:
     """Danger: what stood for others is said again, and stands for others once more."""
     world = World(gateways=40)
-    world.gateway.counter_room = 0.25
+    world.gateway.leases.counter.ratio = 0.25
     while not (made := counts(world.ask(spread=40))):
         world.pass_time(300)
     assert made[0].amount == 4.0
     answer(world, made[0], 0.0, api.Outcome.FULL)
-    assert world.gateway.customers["c"].unsaid == 1.0
+    assert world.gateway.customers.by_key["c"].unreported_units == 1.0
 
 
 def test_a_sparse_lease_is_asked_for_by_the_request_that_needs_it() -> None:
@@ -307,26 +312,31 @@
         world = World()
         (call,) = counts(world.ask(spread=100))
         world.give(api.CounterReplied(call.name, api.Outcome.OK, others + call.amount))
-        told = world.gateway.customers["c"]
+        told = world.gateway.customers.by_key["c"]
         read = World()
         (call,) = counts(read.ask(spread=100))
-        customer = read.gateway.customers["c"]
+        customer = read.gateway.customers.by_key["c"]
         brought, burst = 20.0, BASIC.burst_units - min(BASIC.burst_units, max(0.0, ended - 30.0))
-        read.gateway.share_out(read.now, customer, others, call.amount, brought + burst, burst)
-        assert (told.chance, told.store) == (customer.chance, customer.store)
+        share_remaining(read.now, customer, others, call.amount, brought + burst, 1.0, burst)
+        assert (told.admit_probability, told.fleet_units) == (
+            customer.admit_probability,
+            customer.fleet_units,
+        )
 
 
 def test_a_first_reading_takes_off_what_was_sent_on_without_one() -> None:
     world = World(gateways=40)
-    world.gateway.counter_room = 0.0
+    world.gateway.leases.counter.ratio = 0.0
     for _ in range(2):
         world.ask(spread=40)
-    customer = world.gateway.customers["c"]
-    spent = customer.spent
-    world.gateway.counter_room = 1.0
+    customer = world.gateway.customers.by_key["c"]
+    spent = customer.spent_units
+    world.gateway.leases.counter.ratio = 1.0
     (call,) = counts(world.ask(spread=40))
     answer(world, call, 18.0)  # in 10 s of two a second
-    assert spent == 1 and customer.store == 20 - 1 - 17 - 1  # less the one before, the others' and its own
+    assert (
+        spent == 1 and customer.fleet_units == 20 - 1 - 17 - 1
+    )  # less the one before, the others' and its own
 
 
 def test_a_request_waits_for_the_answer_of_a_busy_counter() -> None:
@@ -383,13 +393,13 @@
             world.end(send)
     world.pass_time(3 * LEASE_MS)
     world.ask()
-    assert len(world.gateway.customers) == 1
+    assert len(world.gateway.customers.by_key) == 1
 
 
 def test_a_reply_for_a_forgotten_customer_is_ignored() -> None:
     world = World()
     call = counts(world.ask() + world.ask() + world.ask() + world.ask() + world.ask())[0]
-    world.gateway.customers.clear()
+    world.gateway.customers.by_key.clear()
     answer(world, call, 5.0)
     answer(world, call, 5.0)
 
@@ -419,7 +429,7 @@
     slow = World(uses_counter=False)
     for _ in range(60):
         slow.ask(plan="basic", customer=f"x{slow.serial}")
-    slow.gateway.rate = 20.0  # sixty out at twenty answers a second: far from spare
+    slow.gateway.latency.rate_per_s = 20.0  # sixty out at twenty answers a second: far from spare
     assert drain(slow, 30, plan="bonus") <= 2
 
 
@@ -454,14 +464,14 @@
 
     for number in range(400):  # one in ten lost
         reply(api.Outcome.TIMED_OUT if number % 10 == 9 else api.Outcome.OK)
-    assert world.gateway.counter_room > 0.85
+    assert world.gateway.leases.counter.ratio > 0.85
     for _ in range(200):
         reply(api.Outcome.TIMED_OUT)
-    assert world.gateway.counter_room < 0.2
-    before = world.gateway.counter_room
+    assert world.gateway.leases.counter.ratio < 0.2
+    before = world.gateway.leases.counter.ratio
     for _ in range(300):  # one in ten of them makes a call at first
         reply(api.Outcome.OK)
-    assert before < 0.2 and world.gateway.counter_room == 1
+    assert before < 0.2 and world.gateway.leases.counter.ratio == 1
 
 
 def test_the_parts_of_a_ceiling_follow_the_wants_and_stay_under_one() -> None:
@@ -474,14 +484,14 @@
             for count in counts(w.ask(plan="firm")):
                 total += count.amount * (1 + others)
                 w.give(api.CounterReplied(count.name, api.Outcome.OK, total))
-        c = w.gateway.customers["c"]
-        parts[others] = c.top
-        assert c.ceiling <= c.plan.ceiling_burst_units * c.top
+        c = w.gateway.customers.by_key["c"]
+        parts[others] = c.ceiling_share
+        assert c.ceiling_tokens <= c.plan.ceiling_burst_units * c.ceiling_share
         w.pass_time(LEASE_MS + 1)
         w.ask(plan="firm")
-        assert c.top == c.even == 0.5  # unheard
+        assert c.ceiling_share == c.even_share == 0.5  # unheard
     assert parts[0.0] > 0.65 and parts[9.0] < 0.35
-    assert parts[0.0] + EVENLY * 0.5 <= 1 and parts[1.0] * 2 <= 1 and parts[9.0] + parts[0.0] <= 1
+    assert parts[0.0] + EVEN_CEILING_RATIO * 0.5 <= 1 and parts[1.0] * 2 <= 1 and parts[9.0] + parts[0.0] <= 1
 
 
 def read_of(world: World, reading: float) -> tuple[int, int]:
@@ -501,7 +511,7 @@
         for _ in range(40):
             read_of(world, 1.0 if fits else 1e9)
             world.pass_time(10)
-        world.gateway.counter_room = 0.0
+        world.gateway.leases.counter.ratio = 0.0
         sent = 0
         for number in range(100):
             (send, *_) = [*sends(world.ask(customer=f"u{number}", spread=40)), None]
@@ -520,12 +530,12 @@
         sent = 0
         for seed in range(300):
             world = World(gateways=40, seed=seed)
-            world.gateway.counter_room, world.gateway.fitting = 1.0, 0.5
+            world.gateway.leases.counter.ratio, world.gateway.admission.quota.admitted_ratio = 1.0, 0.5
             (call,) = counts(world.ask(spread=40))
-            world.gateway.counter_room = room
+            world.gateway.leases.counter.ratio = room
             answer(world, call, 41.0)  # 40 others, for 20 that the time brought: about half
             sent += len(sends(action for _, action in world.log))
         let_in[room] = sent / 300
-    assert abs(let_in[1.0] - CHANCE_PART * 20 / 41) < 0.07
+    assert abs(let_in[1.0] - SCATTERED_RATIO * 20 / 41) < 0.07
     unread = (1 - 0.6) * 0.5
     assert abs(0.6 * let_in[0.6] + unread - let_in[1.0]) < 0.08
--- a/tests/policy/test_rules_hold.py
+++ b/tests/policy/test_rules_hold.py
@@ -128,7 +128,7 @@
         referee.step(*step)
     referee.pass_time(4000)
     assert set(referee.asked) == referee.final, "every request has its one final answer"
-    assert not referee.world.gateway.requests
+    assert not referee.world.gateway.attempts.requests
 
 
 def history(seed: int) -> list[tuple[float, api.Action]]:
--- a/tests/policy/test_zones.py
+++ b/tests/policy/test_zones.py
@@ -21,8 +21,10 @@
 
 from switchline.config import ConfigError, parse_config
 from switchline.policy import interface as api
+from switchline.policy.backends.zone_routing import ZoneRouting
+from switchline.policy.backends.zones import MAX_ZONES, ZONE_TTL_MS, Zones
 from switchline.policy.gateway import Gateway
-from switchline.policy.zones import FORGET_MS, MOST_ZONES, State, Zones
+from switchline.policy.interface import ZoneState
 from testbed.network.sockets import until
 from testbed.stand_ins.agents import host
 from testbed.stand_ins.backends import Backend
@@ -36,8 +38,8 @@
     return "abc"[index % 3]
 
 
-def states(fleet: Fleet, zone: str) -> Counts[State]:
-    return Counts(g.zones.zones[zone].state for g in fleet.gateways)
+def states(fleet: Fleet, zone: str) -> Counts[ZoneState]:
+    return Counts(g.zones.by_name[zone].state for g in fleet.gateways)
 
 
 def rounded(text: str) -> str:
@@ -80,7 +82,7 @@
     fleet.mode["b"] = mode
     fleet.run(3000, gap=50)
     # Each gateway leaves it after some outcomes of several backends.
-    assert states(fleet, "b") == {State.LEFT: 12}
+    assert states(fleet, "b") == {ZoneState.LEFT: 12}
     for index in range(12):
         tried = [at for at, i, b, _ in fleet.sent if i == index and at > lost_at and fleet.zone_of[b] == "b"]
         left_at = next(at for at, i, text in fleet.remarks if i == index and "zone b is left" in text)
@@ -115,7 +117,7 @@
     entries = tuple(api.BackendEntry(z * 10 + n, "ab"[z], 0, 0, ready) for z in (0, 1) for n in range(6))
     gateway.handle(1000.0, api.BackendsChanged(api.ListScope.FULL, entries))
     for backend in (10, 11, 12):
-        gateway.zones.note(1000.0, backend, "b", lost=True)
+        gateway.zones.on_outcome(1000.0, backend, "b", is_lost=True)
     picked = Counts[str]()
     for number in range(200):
         event = api.RequestArrived(f"r{number}", "view", "basic", f"c{number}", 4000.0, 1.0, 2, 0)
@@ -125,7 +127,7 @@
                 gateway.handle(
                     1001.0, api.AttemptEnded(action.request, 0, action.backend, api.Outcome.OK, 1.0, True)
                 )
-    assert picked["a"] > 100 and picked["b"] == 0 and gateway.zones.zones["b"].state is State.LEFT
+    assert picked["a"] > 100 and picked["b"] == 0 and gateway.zones.by_name["b"].state is ZoneState.LEFT
 
 
 def test_a_zone_of_one_backend_is_judged_as_a_backend() -> None:
@@ -148,7 +150,7 @@
     since = fleet.now
     fleet.run(2000, gap=50)
     assert all(fleet.share(zone, since) > 0.15 for zone in ZONES)
-    assert all(not g.zones.closed(fleet.now) for g in fleet.gateways)
+    assert all(not g.selection.routing.closed_zones(fleet.now) for g in fleet.gateways)
     fleet.mode.clear()
     fleet.run(6000, gap=50)
     since, before = fleet.now, fleet.ended["served"]
@@ -178,7 +180,7 @@
     fleet.mode.clear()
     back = fleet.now
     fleet.run(30_000, gap=50)
-    assert states(fleet, "b") == {State.UP: 12}
+    assert states(fleet, "b") == {ZoneState.UP: 12}
     per_second = [fleet.share("b", back + s * 1000, back + (s + 1) * 1000) for s in range(30)]
     usual = sum(per_second[-5:]) / 5
     assert 0.2 < usual < 0.45
@@ -214,14 +216,14 @@
     now, ramps = 1000.0, []
     for _ in range(5):
         for backend in range(10, 14):
-            zones.note(now, backend, "b", lost=True)
-        zones.look(now)
-        assert zones.zones["b"].state is State.LEFT
+            zones.on_outcome(now, backend, "b", is_lost=True)
+        zones.update_states(now)
+        assert zones.by_name["b"].state is ZoneState.LEFT
         for backend in range(10, 14):
-            zones.note(now + 500, backend, "b", lost=False)
-        zones.look(now + 500)
-        assert zones.zones["b"].state is State.RETURNING
-        ramps.append(zones.zones["b"].ramp_ms / settings().rules.warm_up_ms)
+            zones.on_outcome(now + 500, backend, "b", is_lost=False)
+        zones.update_states(now + 500)
+        assert zones.by_name["b"].state is ZoneState.RETURNING
+        ramps.append(zones.by_name["b"].ramp_ms / settings().rules.warm_up_ms)
         now += 1000
     assert 0.5 <= ramps[0] <= 1 <= ramps[1] <= 2 <= ramps[2] <= 4 and max(ramps) <= 4
 
@@ -244,7 +246,7 @@
     fleet.run(2000, gap=50)
     fleet.mode["b"] = "silent"
     fleet.run(3000, gap=50)
-    assert states(fleet, "b")[State.LEFT] == 6
+    assert states(fleet, "b")[ZoneState.LEFT] == 6
     fleet.mode.clear()
     fleet.tell(fleet.of("b"), state=api.BackendState.GONE)
     fleet.zone_of = {b: z for b, z in fleet.zone_of.items() if z != "b"}
@@ -255,7 +257,7 @@
     fleet.sent.clear()
     fleet.tell(new, started=fleet.now)
     fleet.run(20_000, gap=50)
-    assert old and states(fleet, "b") == {State.UP: 6} and fleet.share("b", fleet.now - 4000) > 0.2
+    assert old and states(fleet, "b") == {ZoneState.UP: 6} and fleet.share("b", fleet.now - 4000) > 0.2
 
 
 @pytest.mark.parametrize("own", ["", "gone"])
@@ -273,24 +275,24 @@
 def test_zones_have_a_bound_and_an_end() -> None:
     zones = Zones(settings(), random.Random(1))
     zones.regroup(0.0, [(n, f"z{n}", True) for n in range(500)])
-    assert len(zones.zones) == MOST_ZONES
-    zones.note(1.0, 400, "z400", lost=True)  # of no zone that is kept
-    zones.regroup(FORGET_MS + 1, [(1, "z1", True)])
-    assert list(zones.zones) == ["z1"] and not zones.several
+    assert len(zones.by_name) == MAX_ZONES
+    zones.on_outcome(1.0, 400, "z400", is_lost=True)  # of no zone that is kept
+    zones.regroup(ZONE_TTL_MS + 1, [(1, "z1", True)])
+    assert list(zones.by_name) == ["z1"] and not zones.is_multi_zone
 
 
 def test_slices_cover_each_zone_and_a_change_moves_its_own_backends_alone() -> None:
     zones = {"a": 60, "b": 60, "c": 6}
     fleet = Fleet(zones, 40, own=spread)
-    met = Counts(b.id for g in fleet.gateways for b in g.subset)
-    assert all({b.zone for b in g.subset} == {"a", "b", "c"} for g in fleet.gateways)
+    met = Counts(b.id for g in fleet.gateways for b in g.backends.subset)
+    assert all({b.zone for b in g.backends.subset} == {"a", "b", "c"} for g in fleet.gateways)
     of_zone = {z: sum(n for b, n in met.items() if fleet.zone_of[b] == z) for z in zones}
     assert 0.8 < of_zone["a"] / of_zone["b"] < 1.25 and len(met) > 120
-    before = [{b.id for b in g.subset} for g in fleet.gateways]
+    before = [{b.id for b in g.backends.subset} for g in fleet.gateways]
     gone = fleet.of("a")[5]
     fleet.tell([gone], state=api.BackendState.GONE)
     for mine, g in zip(before, fleet.gateways, strict=True):
-        now = {b.id for b in g.subset}
+        now = {b.id for b in g.backends.subset}
         assert mine - now <= {gone} and len(now - mine) <= (gone in mine)
 
 
@@ -324,10 +326,12 @@
     fleet = Fleet(ZONES, 6, own=lambda _: "a", cross_zone_price=0.1, regions=regions)
     fleet.run(4000, gap=60)
     assert fleet.share("a", 0) > fleet.share("b", 0) > fleet.share("c", 0)
-    zones = Zones(settings(zone="x", regions=regions), random.Random(1))
-    assert [zones.distance(z) for z in "xabc"] == [0, 2, 2, 2]  # of no region that is named
+    given = settings(zone="x", regions=regions)
+    zones = Zones(given, random.Random(1))
+    routing = ZoneRouting(given, random.Random(1), zones)
+    assert [routing.distance(z) for z in "xabc"] == [0, 2, 2, 2]  # of no region that is named
     zones.regions = {}
-    assert [zones.distance(z) for z in "xabc"] == [0, 1, 1, 1]
+    assert [routing.distance(z) for z in "xabc"] == [0, 1, 1, 1]
 
 
 # ---- rules ----
@@ -358,7 +362,7 @@
                 fleet.give(index, api.ZoneOverridden(zone, what == "hold", fleet.now))
         since = fleet.now
         fleet.run(400, gap=30, kinds=KINDS)
-        held = fleet.gateways[0].zones.held
+        held = fleet.gateways[0].zones.disabled
         assert not any(fleet.zone_of[b] in {*shut, *held} for at, _, b, _ in fleet.sent if at > since)
     fleet.run(5000, gap=100, kinds=KINDS)
     kinds = {e.request: e.request_class for _, e, _ in fleet.events if isinstance(e, api.RequestArrived)}
@@ -412,7 +416,7 @@
         fleet.give(index, api.ZoneOverridden("b", True, fleet.now))  # calls may be repeated
     since = fleet.now
     fleet.run(3000, gap=50)
-    assert not fleet.to("b", since) and states(fleet, "b") == {State.HELD: 4}
+    assert not fleet.to("b", since) and states(fleet, "b") == {ZoneState.DISABLED: 4}
     back = fleet.now
     for index in range(4):
         fleet.give(index, api.ZoneOverridden("b", False, fleet.now))
@@ -516,7 +520,7 @@
     fleet.run(3000, gap=50, plan="quota")
     since, before = fleet.now, Counts(fleet.ended)
     fleet.run(4000, gap=50, plan="quota")
-    assert states(fleet, "b")[State.LEFT] >= 5 and fleet.share("b", since) < 0.06
+    assert states(fleet, "b")[ZoneState.LEFT] >= 5 and fleet.share("b", since) < 0.06
     done = fleet.ended - before
     assert done["served"] > 0.9 * done.total() - done["Reject"] and done["served"] > 100
     fleet.counter = "answers"
@@ -535,4 +539,4 @@
     fleet.tell(fleet.of("b"), state=api.BackendState.GONE)
     since = fleet.now
     fleet.run(2000, gap=50)
-    assert not fleet.to("b", since) and all(not g.zones.zones["b"].usable for g in fleet.gateways)
+    assert not fleet.to("b", since) and all(not g.zones.by_name["b"].usable for g in fleet.gateways)
--- a/tests/service/test_fleet_budgets.py
+++ b/tests/service/test_fleet_budgets.py
@@ -90,7 +90,7 @@
 
     def act(self, index: int, gateway: Gateway, action: api.Action) -> None:
         if isinstance(action, api.SetTimer):
-            event = api.TimerFired(action.token)
+            event = api.TimerFired(action.timer)
             self.later(action.delay_ms, lambda: self.give_living(index, gateway, event))
         elif isinstance(action, api.Count):
             total = self.totals[action.name] = self.totals.get(action.name, 0.0) + action.amount
--- a/tests/service/test_wall_clock.py
+++ b/tests/service/test_wall_clock.py
@@ -28,7 +28,7 @@
 def test_a_backend_that_a_newer_list_brings_is_cold_though_this_clock_is_ahead(ahead_ms: float) -> None:
     world = World(now=2 * HOUR_MS)
     told(world, started=world.now - ahead_ms, held_until=world.now - 500)
-    backend = world.gateway.backends[9]
+    backend = world.gateway.backends.by_id[9]
     assert backend.warmth(world.now) == pytest.approx(0.2 + 0.8 * 500 / RULES.warm_up_ms)
     assert backend.warmth(world.now + RULES.warm_up_ms) == 1.0
 
@@ -37,29 +37,29 @@
 def test_a_start_that_is_yet_to_come_by_this_clock_is_now(behind_ms: float) -> None:
     world = World(now=2 * HOUR_MS)
     told(world, started=world.now + behind_ms, held_until=world.now - 500)
-    backend = world.gateway.backends[9]
+    backend = world.gateway.backends.by_id[9]
     assert backend.warmth(world.now) == pytest.approx(RULES.start_capacity)
     assert backend.warmth(world.now + RULES.warm_up_ms) == pytest.approx(1.0)
 
 
 def test_a_backend_that_tells_a_new_start_is_cold_though_this_clock_is_ahead() -> None:
     world = World((entry(1), entry(9, started=1.0)), now=2 * HOUR_MS)
-    assert world.gateway.backends[9].warmth(world.now) == 1.0  # the first list is believed
+    assert world.gateway.backends.by_id[9].warmth(world.now) == 1.0  # the first list is believed
     told(world, started=2.0, held_until=world.now)
-    assert world.gateway.backends[9].warmth(world.now) == pytest.approx(RULES.start_capacity)
+    assert world.gateway.backends.by_id[9].warmth(world.now) == pytest.approx(RULES.start_capacity)
 
 
 def test_a_start_of_long_ago_is_warm_whenever_it_is_told() -> None:
     world = World(now=2 * HOUR_MS)
     told(world, started=0.0, held_until=world.now)
-    assert world.gateway.backends[9].warmth(world.now) == 1.0
+    assert world.gateway.backends.by_id[9].warmth(world.now) == 1.0
 
 
 def test_what_was_put_back_by_a_clock_that_is_ahead_warms_up_from_now_on() -> None:
     world = World(now=2 * HOUR_MS)
     world.give(api.BackendOverridden(1, True, world.now))
     world.give(api.BackendOverridden(1, False, world.now + HOUR_MS))
-    backend = world.gateway.backends[1]
+    backend = world.gateway.backends.by_id[1]
     assert backend.warmth(world.now) == pytest.approx(RULES.start_capacity)
     assert backend.warmth(world.now + RULES.warm_up_ms) == pytest.approx(1.0)
 
@@ -69,15 +69,15 @@
     for number in range(9):  # the front spreads each of them over two gateways
         for call in counts(world.ask(customer=f"c{number}")):
             answer(world, call, call.amount)
-    last = world.gateway.customers["c8"]
-    assert (last.part, last.top, last.heard) == (0.5, 0.5, False)
+    last = world.gateway.customers.by_key["c8"]
+    assert (last.quota_share, last.ceiling_share, last.is_counted) == (0.5, 0.5, False)
     for call in counts(world.ask(customer="c9")):
         answer(world, call, call.amount + 1.0)  # somebody else counts in the same period
     waiting = counts(world.ask(customer="c10"))
     while waiting:  # of this period, and of how the last one ended
         call = waiting[0]
         waiting = counts(world.give(api.CounterReplied(call.name, api.Outcome.OK, call.amount)))
-    assert world.gateway.customers["c10"].heard
+    assert world.gateway.customers.by_key["c10"].is_counted
 
 
 def test_a_clock_set_back_keeps_no_line_of_the_log_back(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -14,8 +14,10 @@
 UNDECIDED = {
     "interface/actions.py",
     "interface/events.py",
+    "interface/records.py",
     "interface/settings.py",
-    "state_records.py",
+    "persistence/codec.py",
+    "persistence/shared_state.py",
     "gateway_status.py",
 }
 
--- a/tests/upgrade/test_upgrade.py
+++ b/tests/upgrade/test_upgrade.py
@@ -19,6 +19,7 @@
 
 from switchline.operators.overrides import private_file
 from switchline.policy import interface as api
+from switchline.policy.persistence.codec import decode_record, encode_record
 from testbed.network.addresses import claimed_port
 from testbed.network.sockets import LOCAL, Peer, Reply, until
 from testbed.stand_ins.backends import Backend
@@ -224,7 +225,9 @@
         told = [a for _, a in source.log if isinstance(a, api.Replicate)]
         source.log.clear()
         for tell in told:
-            target.give(api.PeerProcessMessage(json.loads(json.dumps(tell.record))))
+            target.give(
+                api.PeerProcessMessage(decode_record(json.loads(json.dumps(encode_record(tell.record)))))
+            )
 
 
 def test_two_processes_share_buckets_and_ceilings() -> None:
@@ -246,8 +249,8 @@
                 world.end(send)
         pass_on(old, new)
     assert 0 < let_in["both"] <= let_in["alone"]
-    mine, theirs = new.gateway.customers["c"], old.gateway.customers["c"]
-    assert abs(mine.ceiling - theirs.ceiling) < 1e-6 and abs(mine.tokens - theirs.tokens) < 1e-6
+    mine, theirs = new.gateway.customers.by_key["c"], old.gateway.customers.by_key["c"]
+    assert abs(mine.ceiling_tokens - theirs.ceiling_tokens) < 1e-6 and abs(mine.tokens - theirs.tokens) < 1e-6
 
 
 def test_only_the_new_process_calls_the_counter_and_it_says_all_wants() -> None:
@@ -256,7 +259,7 @@
     asked = [a for _ in range(5) for a in old.ask()]
     assert not counts(asked) and (sends(asked) or refusals(asked))
     pass_on(old, new)
-    assert new.gateway.customers["c"].unsaid == 5
+    assert new.gateway.customers.by_key["c"].unreported_units == 5
     new.give(api.PeerProcessLeft())
     old.give(api.PeerProcessLeft())
     old.pass_time(1_000)
@@ -275,8 +278,8 @@
         ["what"],
     ):
         with pytest.raises((ValueError, TypeError)):
-            world.give(api.PeerProcessMessage(said))
-    assert list(world.gateway.customers) == ["c"]
+            world.give(api.PeerProcessMessage(decode_record(said)))
+    assert list(world.gateway.customers.by_key) == ["c"]
 
 
 def test_the_line_to_other_gateways_passes_to_the_new_process(tmp_path: Path) -> None:
--- a/tests/zones/test_zone_agreement.py
+++ b/tests/zones/test_zone_agreement.py
@@ -407,28 +407,36 @@
 def test_the_module_follows_the_fleet_s_word_and_goes_back_to_its_own_without_one() -> None:
     gateway = module()
     assert sends(gateway, 1000.0, 200, 10.0)[1] > 50
-    gateway.handle(3000.0, api.ZoneDirective("b", "left", probe_interval_ms=500.0))
+    gateway.handle(3000.0, api.ZoneDirective("b", api.ZoneState.LEFT, probe_interval_ms=500.0))
     assert 1 <= sends(gateway, 3000.0, 200, 10.0)[1] <= 5  # tests alone
-    gateway.handle(5000.0, api.ZoneDirective("b", "returning", rate_per_s=10.0, capacity_ratio=0.3))
+    gateway.handle(
+        5000.0, api.ZoneDirective("b", api.ZoneState.RETURNING, rate_per_s=10.0, capacity_ratio=0.3)
+    )
     assert 17 <= sends(gateway, 5000.0, 200, 10.0)[1] <= 21  # ten a second, for two seconds
-    gateway.handle(7000.0, api.ZoneDirective("b", "returning", rate_per_s=0.0, capacity_ratio=0.3))
+    gateway.handle(
+        7000.0, api.ZoneDirective("b", api.ZoneState.RETURNING, rate_per_s=0.0, capacity_ratio=0.3)
+    )
     assert sends(gateway, 7001.0, 100, 10.0)[1] <= 1
-    gateway.handle(8000.0, api.ZoneDirective("b", ""))
+    gateway.handle(8000.0, api.ZoneDirective("b", None))
     sends(gateway, 8001.0, 100, 10.0)
     assert sends(gateway, 30_000.0, 200, 10.0)[1] > 50
-    gateway.handle(40_000.0, api.ZoneDirective("nowhere", "left"))  # a zone that no list names
+    gateway.handle(40_000.0, api.ZoneDirective("nowhere", api.ZoneState.LEFT))  # a zone that no list names
 
 
 def test_operators_go_before_the_fleet_and_a_cold_backend_before_its_ramp() -> None:
     gateway = module()
     gateway.handle(1000.0, api.ZoneOverridden("b", True, 1000.0))
-    gateway.handle(1001.0, api.ZoneDirective("b", "returning", rate_per_s=50.0, capacity_ratio=1.0))
+    gateway.handle(
+        1001.0, api.ZoneDirective("b", api.ZoneState.RETURNING, rate_per_s=50.0, capacity_ratio=1.0)
+    )
     assert sends(gateway, 1002.0, 100, 10.0)[1] == 0
     cold = module()
     up = api.BackendState.READY
     fresh = tuple(api.BackendEntry(10 + n, "b", 0, 50_000.0, up) for n in range(4))
     cold.handle(50_000.0, api.BackendsChanged(api.ListScope.CHANGES, fresh))
-    cold.handle(50_000.0, api.ZoneDirective("b", "returning", rate_per_s=50.0, capacity_ratio=1.0))
+    cold.handle(
+        50_000.0, api.ZoneDirective("b", api.ZoneState.RETURNING, rate_per_s=50.0, capacity_ratio=1.0)
+    )
     assert sends(cold, 50_001.0, 100, 20.0)[1] < 60  # a fifth to two fifths of what warm ones would be sent
 
 
