--- a/switchline/clients/commands.py
+++ b/switchline/clients/commands.py
@@ -1,4 +1,9 @@
-"""Requests as clients send them: parsing a command, and encoding it for a backend."""
+"""Requests as clients send them: parsing a command, and encoding it for a backend.
+
+    API.READ|API.WRITE CUSTOMER REQUEST-ID ATTRIBUTES [VALUE]
+
+Attributes are `name=value` pairs, separated by commas; `d` is the time left, `c` the request class.
+"""
 
 from __future__ import annotations
 
@@ -9,74 +14,133 @@
 from switchline.clock import now_ms
 from switchline.net.streams import StreamedRequestBody
 
-SAFE = b"API.READ"
-REQUESTS = {SAFE, b"API.WRITE"}
-CUSTOMER, MOST_CUSTOMERS = re.compile(rb"[0-9a-fA-F]{16}"), 2**33
-LONGEST_ID = 64
-# Python reads more as a number (1_0, +2, nan) than a backend does, which gets these as they came.
-DECIMAL, INTEGER = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?"), re.compile(rb"[0-9]{1,6}")
-NUMBERS = {b"d": DECIMAL, b"units": DECIMAL, b"spread": INTEGER, b"first": INTEGER}
+SAFE_VERB = b"API.READ"
+REQUEST_VERBS = {SAFE_VERB, b"API.WRITE"}
+HEAD_ARGUMENTS = 4  # before the value
+TIME_LEFT = b"d"
+REQUEST_CLASS = b"c"
+CUSTOMER = re.compile(rb"[0-9a-fA-F]{16}")
+MAX_CUSTOMERS = 2**33
+MAX_ID_LENGTH = 64
+# Python reads more as a number (1_0, +2, nan) than a backend does, which gets these as they arrived.
+DECIMAL = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
+INTEGER = re.compile(rb"[0-9]{1,6}")
+NUMERIC_ATTRIBUTES = {TIME_LEFT: DECIMAL, b"units": DECIMAL, b"spread": INTEGER, b"first": INTEGER}
 
 
 @dataclass(slots=True)
 class Command:
-    """A request as it came; all but the time left is passed on unchanged."""
+    """A request as it arrived; all but the time left is forwarded unchanged.
+
+    Attributes:
+        head: encoded verb, customer and id.
+        before: of the attributes, what precedes the time left.
+        after: of the attributes, what follows it.
+        body: encoded, what follows the attributes.
+        length: arguments in all.
+        id: of the request.
+        customer: of the request.
+        safe: whether it arrived as a request that is safe to repeat.
+        attributes: by name.
+        wait: how long the client waits, in milliseconds.
+        came_at: monotonic milliseconds; it may have waited behind others of its connection since.
+        stream: a long value, whose bytes follow what is encoded here.
+    """
 
-    head: bytes  # encoded: command, customer, id
-    before: bytes  # of the attributes, what stands before the time left
+    head: bytes
+    before: bytes
     after: bytes
-    body: bytes  # encoded: what follows the attributes
-    length: int  # arguments in all
+    body: bytes
+    length: int
     id: str
     customer: str
-    safe: bool  # whether it came as a request that is safe to repeat
+    safe: bool
     attributes: dict[bytes, bytes]
-    wait: float  # how long the client waits, in milliseconds
-    came_at: float  # when its bytes came: it may have waited behind others of its connection since
-    stream: StreamedRequestBody | None = None  # of a long value, whose bytes follow what is encoded here
+    wait: float
+    came_at: float
+    stream: StreamedRequestBody | None = None
 
-    def encode(self, wait: int) -> bytes:
-        """The command with the time left that a backend is told."""
-        attributes = b"%b%d%b" % (self.before, min(wait, math.ceil(self.wait)), self.after)
+    def encode(self, time_left_ms: int) -> bytes:
+        """Encode the command with the time left that a backend is told."""
+        time_left = min(time_left_ms, math.ceil(self.wait))
+        attributes = b"%b%d%b" % (self.before, time_left, self.after)
         return b"*%d\r\n%b%b%b" % (self.length, self.head, bulk(attributes), self.body)
 
 
+@dataclass(frozen=True, slots=True)
+class Attributes:
+    """The attributes of a request, and their text round the time left."""
+
+    values: dict[bytes, bytes]
+    before_time_left: bytes
+    after_time_left: bytes
+
+
 def bulk(value: bytes) -> bytes:
+    """Encode a bulk string."""
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
 def parse_command(
     args: list[bytes], stream: StreamedRequestBody | None = None, came_at: float | None = None
 ) -> Command:
-    """Raises ValueError, with the reason, for what is not a request. `came_at`: now, if it is not told."""
-    if not 4 <= len(args) <= 5:
+    """Parse a request.
+
+    Args:
+        args: of the command.
+        stream: a long value that is still arriving, in place of the last argument.
+        came_at: monotonic milliseconds at which its bytes arrived; now by default.
+
+    Raises:
+        ValueError: it is not a request; the text says why, for the client.
+    """
+    if not HEAD_ARGUMENTS <= len(args) <= HEAD_ARGUMENTS + 1:
         raise ValueError("wrong number of arguments")
-    verb, customer, request, listed = args[:4]
-    attributes: dict[bytes, bytes] = {}
-    before = after = None
+    verb, customer, request, listed = args[:HEAD_ARGUMENTS]
+    attributes = parse_attributes(listed)
+    wait = float(attributes.values[TIME_LEFT])
+    if wait <= 0:
+        raise ValueError("no time left")
+    value = args[HEAD_ARGUMENTS:]
+    id_text = request.decode("ascii")
+    customer_text = customer.decode("ascii")
+    if not (request.isalnum() and len(request) <= MAX_ID_LENGTH):
+        raise ValueError("malformed id")
+    if not (CUSTOMER.fullmatch(customer) and int(customer, 16) < MAX_CUSTOMERS):
+        raise ValueError("malformed customer")
+    return Command(
+        head=bulk(verb) + bulk(customer) + bulk(request),
+        before=attributes.before_time_left,
+        after=attributes.after_time_left,
+        body=b"".join(map(bulk, value)) if stream is None else b"$%d\r\n" % stream.length,
+        length=len(args),
+        id=id_text,
+        customer=customer_text,
+        safe=verb.upper() == SAFE_VERB,
+        attributes=attributes.values,
+        wait=wait,
+        came_at=now_ms() if came_at is None else came_at,
+        stream=stream,
+    )
+
+
+def parse_attributes(listed: bytes) -> Attributes:
+    """Parse `name=value` pairs; raises ValueError if they are malformed, or class or time left missing."""
+    values: dict[bytes, bytes] = {}
+    before = None
+    after = b""
     items = listed.split(b",")
     for place, item in enumerate(items):
         name, equals, value = item.partition(b"=")
-        if not equals or name in attributes:
+        if not equals or name in values:
             raise ValueError("malformed attributes")
-        attributes[name] = value
-        if name == b"d":
-            before = b",".join([*items[:place], b"d="])
+        values[name] = value
+        if name == TIME_LEFT:
+            before = b",".join([*items[:place], TIME_LEFT + b"="])
             after = b"".join(b"," + other for other in items[place + 1 :])
-    if before is None or after is None or b"c" not in attributes:
+    if before is None or REQUEST_CLASS not in values:
         raise ValueError("class or time left missing")
-    if any(not NUMBERS[name].fullmatch(value) for name, value in attributes.items() if name in NUMBERS):
-        raise ValueError("malformed number")
-    wait = float(attributes[b"d"])
-    if wait <= 0:
-        raise ValueError("no time left")
-    head = bulk(verb) + bulk(customer) + bulk(request)
-    body = b"".join(bulk(arg) for arg in args[4:]) if stream is None else b"$%d\r\n" % stream.length
-    names = request.decode("ascii"), customer.decode("ascii")
-    if not (request.isalnum() and len(request) <= LONGEST_ID):
-        raise ValueError("malformed id")
-    if not (CUSTOMER.fullmatch(customer) and int(customer, 16) < MOST_CUSTOMERS):
-        raise ValueError("malformed customer")
-    safe = verb.upper() == SAFE
-    came = now_ms() if came_at is None else came_at
-    return Command(head, before, after, body, len(args), *names, safe, attributes, wait, came, stream)
+    for name, value in values.items():
+        if name in NUMERIC_ATTRIBUTES and not NUMERIC_ATTRIBUTES[name].fullmatch(value):
+            raise ValueError("malformed number")
+    return Attributes(values, before, after)
--- a/switchline/service/driver.py
+++ b/switchline/service/driver.py
@@ -14,7 +14,7 @@
 from switchline.backends.attempt import Attempt
 from switchline.backends.pool import BackendPool
 from switchline.clients.commands import Command, bulk
-from switchline.clients.server import Slot
+from switchline.clients.slot import Slot
 from switchline.clock import Timer, Timers, now_ms
 from switchline.counter.client import Counter
 from switchline.discovery.client import Member, host_number
@@ -291,7 +291,7 @@
             raise ValueError("malformed units or gateways")
         return event
 
-    def on_whole(self, request: str) -> None:
+    def on_body_received(self, request: str) -> None:
         """A long value has come in whole: from now on its request is one as any other.
 
         Its client may count the time from its first byte or from its last. One that still sends has not given
@@ -407,7 +407,7 @@
         if owner.timer is not None:
             owner.timer.cancel()
         value = owner.value = StreamedResponse(self.room, length, owner.slot.connection.pump)
-        owner.slot.begin(value, partial(self.on_passed, owner))
+        owner.slot.stream(value, partial(self.on_passed, owner))
         self.give(api.StreamedAnswerStarted(request, number))
         return value
 
@@ -487,7 +487,7 @@
         if owner := self.leave(request):
             self.figures.ended(owner.kind.name, ended)
             if owner.value is not None:  # begun, and not to be finished
-                owner.slot.cut(reply)
+                owner.slot.abort_stream(reply)
                 owner.value.drop()
             else:
                 owner.slot.answer(reply)
--- a/switchline/service/service.py
+++ b/switchline/service/service.py
@@ -307,15 +307,15 @@
     def drain_start(self) -> Said:
         self.drained = True
         log.info("an operator sends clients away")
-        self.clients.leave(NOTICE_S)
+        self.clients.drain(NOTICE_S)
         return YES
 
     def drain_stop(self) -> Said:
-        if self.clients.ending:
+        if self.clients.shutting_down:
             return Said(503, "this process is about to end\n")
         self.drained = False
         log.info("an operator has clients come back")
-        self.clients.stay()
+        self.clients.undrain()
         return YES
 
     # ---- its life ----
@@ -472,14 +472,14 @@
         given = list_repair.own(), list_repair.is_behind, spared, floors_of(floors)
         out = one.look(peers.node, self.loop.time(), now_ms(), *given)
         self.lag(one.kind)
-        if out == was or self.clients.ending:
+        if out == was or self.clients.shutting_down:
             return
         log.warning("%s: %s", "shut out" if out else "no more shut out", one.why)
         self.note("shut out" if out else "taken back", one.kind, "", one.why)
         if out:
-            self.clients.leave(NOTICE_S)
+            self.clients.drain(NOTICE_S)
         elif not self.drained:
-            self.clients.stay()
+            self.clients.undrain()
 
     def lag(self, kind: str) -> None:
         """Something that this gateway acts on is behind, or nothing is any more: quotas by the safe share."""
@@ -515,8 +515,8 @@
             self.zone_coordinator.close()
             self.zone_coordinator = self.divergence = None
         if self.quarantine is not None:
-            if self.quarantine.out and not (self.drained or self.clients.ending):
-                self.clients.stay()
+            if self.quarantine.out and not (self.drained or self.clients.shutting_down):
+                self.clients.undrain()
             self.quarantine = None
             self.lag("")
 
@@ -621,10 +621,10 @@
         """The last drain: nothing is accepted any more once the front has noticed, and what is open ends."""
         log.info("draining")
         self.note("ending", "", "", "SIGTERM")
-        self.guard.call("leaving the fleet", self.part, not self.clients.handed)
+        self.guard.call("leaving the fleet", self.part, not self.clients.handed_over)
         last_answers = self.loop.time() + self.longest_drain()
-        self.clients.end(NOTICE_S)
-        if not self.clients.handed:
+        self.clients.shut_down(NOTICE_S)
+        if not self.clients.handed_over:
             await asyncio.sleep(NOTICE_S)
         self.clients.stop_accepting()
         try:
--- a/tests/clients/test_clients.py
+++ b/tests/clients/test_clients.py
@@ -12,7 +12,11 @@
 import pytest
 from test_driver import Scene
 
+from switchline.clients import connection as connections
 from switchline.clients import server as clients
+from switchline.clients import watchdog
+from switchline.clients.commands import Command, parse_command
+from switchline.clients.slot import Slot
 from switchline.net.descriptors import Budget
 from switchline.net.streams import BufferBudget
 from switchline.operators.metrics import Metrics
@@ -205,7 +209,7 @@
     server: list[clients.ClientServer] = []
     keep = clients.ClientServer.opened
 
-    def opened(self: clients.ClientServer, connection: clients.ClientConnection) -> None:
+    def opened(self: clients.ClientServer, connection: connections.ClientConnection) -> None:
         server[:] = [self]
         keep(self, connection)
 
@@ -218,7 +222,7 @@
             await until(lambda: server)
             (connection,) = server[0].connections
             written = 0
-            while not connection.stopped:
+            while not connection.reading_paused:
                 peer.writer.write(echo)
                 written += 1
                 await asyncio.sleep(0)
@@ -226,7 +230,7 @@
             held = connection.transport.get_write_buffer_size() + sum(
                 len(slot.reply or b"") for slot in connection.slots
             )
-            assert held <= clients.MOST_UNREAD + (clients.MOST_WAITING + 2) * 66_000
+            assert held <= connections.MAX_UNSENT_BYTES + (connections.MAX_PIPELINED + 2) * 66_000
             for _ in range(written):  # once it reads, it gets all of them
                 assert await peer.receive() == b"x" * 65536
 
@@ -244,7 +248,7 @@
         backend = Backend(script)
         async with running(World(backend)) as world:
             peer = await world.client()
-            count = clients.MOST_WAITING * 2
+            count = connections.MAX_PIPELINED * 2
             ids = [b"%04d" % n for n in range(count)]
             peer.writer.write(b"".join(encode(*request(id)) for id in ids))
             await until(lambda: backend.got)
@@ -336,11 +340,11 @@
 
         handler: Any = None
         server = clients.ClientServer(handler, Budget(256), BufferBudget(2**26), Metrics([]))
-        connection = clients.ClientConnection(server)
+        connection = connections.ClientConnection(server)
         connection.data_received(b"?what\r\n")
         for _ in range(100):
             connection.data_received(b"x" * 65536)
-        assert connection.closing and len(connection.reader.buffer) < 1000
+        assert connection.closing and len(connection.parser.buffer) < 1000
         backend = Backend(script)
         async with running(World(backend)) as world:
             peer = await world.client()
@@ -355,7 +359,7 @@
 
 def test_a_peer_that_sends_no_whole_command_is_ended_and_no_other(monkeypatch: pytest.MonkeyPatch) -> None:
     """Anyone may connect; who says nothing, or stops half-way, would hold a descriptor for ever."""
-    monkeypatch.setattr(clients, "SWEEP_S", 0.005)
+    monkeypatch.setattr(clients, "SWEEP_INTERVAL_S", 0.005)
 
     async def scenario() -> None:
         go_on = asyncio.Event()
@@ -370,7 +374,7 @@
             await until(lambda: world.backends[0].got)
             used.send(b"PING")
             assert await used.receive() == b"PONG"
-            monkeypatch.setattr(clients, "OWED_S", 0.02)
+            monkeypatch.setattr(watchdog, "COMMAND_TIMEOUT_S", 0.02)
             silent, stalled = await world.client(), await world.client()
             stalled.writer.write(encode(*request())[:-1])
             for peer in (silent, stalled):
@@ -394,26 +398,26 @@
     async def scenario() -> None:
         handler: Any = None
         server = clients.ClientServer(handler, Budget(256), BufferBudget(2**26), Metrics([]))
-        connection, wire = clients.ClientConnection(server), Wire()
+        connection, wire = connections.ClientConnection(server), Wire()
         connection.connection_made(wire)
         connection.data_received(encode(b"PING"))
-        connection.check(connection.used_at + clients.UNUSED_S - 1)
+        connection.check(connection.last_used_s + connections.UNUSED_S - 1)
         assert wire.ended == ""
-        connection.check(connection.used_at + clients.UNUSED_S + 1)
+        connection.check(connection.last_used_s + connections.UNUSED_S + 1)
         assert wire.ended == "close"
 
-        connection, wire = clients.ClientConnection(server), Wire()
+        connection, wire = connections.ClientConnection(server), Wire()
         connection.connection_made(wire)
         connection.data_received(encode(b"PING"))
         wire.left = 100  # of an answer, and nobody reads
-        start = connection.used_at
+        start = connection.last_used_s
         connection.check(start)
-        connection.check(start + clients.UNREAD_S - 1)
+        connection.check(start + watchdog.UNREAD_TIMEOUT_S - 1)
         wire.left = 90  # slow, but alive
-        connection.check(start + clients.UNREAD_S)
-        connection.check(start + 2 * clients.UNREAD_S - 1)
+        connection.check(start + watchdog.UNREAD_TIMEOUT_S)
+        connection.check(start + 2 * watchdog.UNREAD_TIMEOUT_S - 1)
         assert wire.ended == ""
-        connection.check(start + 2 * clients.UNREAD_S + 1)
+        connection.check(start + 2 * watchdog.UNREAD_TIMEOUT_S + 1)
         assert wire.ended == "abort"
 
     in_loop(scenario)
@@ -423,14 +427,14 @@
     async def scenario() -> None:
         handler: Any = None
         server = clients.ClientServer(handler, Budget(256), BufferBudget(2**26), Metrics([]))
-        connection, wire = clients.ClientConnection(server), Wire()
+        connection, wire = connections.ClientConnection(server), Wire()
         connection.connection_made(wire)
-        owed = connection.owes_since
+        owed = connection.receiving.owed_since_s
         for _ in range(3):
             connection.data_received(encode(b"NONSENSE"))
-            assert connection.owes_since == owed
+            assert connection.receiving.owed_since_s == owed
         connection.data_received(encode(b"PING"))
-        assert connection.owes_since is None
+        assert connection.receiving.owed_since_s is None
 
     in_loop(scenario)
 
@@ -481,8 +485,9 @@
 
 
 def test_a_peer_that_never_closes_after_the_end_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(connections, "LINGER_S", 0.05)
     monkeypatch.setattr(clients, "LINGER_S", 0.05)
-    monkeypatch.setattr(clients, "SWEEP_S", 0.02)
+    monkeypatch.setattr(clients, "SWEEP_INTERVAL_S", 0.02)
 
     async def scenario() -> None:
         async with running(World(Backend())) as world:
@@ -533,7 +538,7 @@
         backend = Backend(script)
         async with running(World(backend, sockets=1, connect_ms=60_000.0)) as world:  # eight to backends
             peer = await world.client()
-            for number in range(clients.MOST_WAITING + 10):
+            for number in range(connections.MAX_PIPELINED + 10):
                 peer.send(*request(b"r%d" % number, name=b"wipe", wait=60_000, body=b"x"))
             await until(lambda: len(backend.got) == 8)
             peer.writer.close()
@@ -552,25 +557,25 @@
 ) -> None:
     """What a client has left counts from when its request came, not from when it was taken."""
     now = [1_000.0]
-    monkeypatch.setattr(clients, "now_ms", lambda: now[0])
-    taken: list[clients.Command] = []
-    slots: list[clients.Slot] = []
+    monkeypatch.setattr(connections, "now_ms", lambda: now[0])
+    taken: list[Command] = []
+    slots: list[Slot] = []
 
     class Handler:
-        def check(self, command: clients.Command) -> None:
+        def check(self, command: Command) -> None:
             pass
 
-        def on_command(self, command: clients.Command, slot: clients.Slot) -> None:
+        def on_command(self, command: Command, slot: Slot) -> None:
             taken.append(command)
             slots.append(slot)
 
     handler: Any = Handler()
     server = clients.ClientServer(handler, Budget(256), BufferBudget(2**26), Metrics([]))
-    connection = clients.ClientConnection(server)
+    connection = connections.ClientConnection(server)
     connection.connection_made(Wire())
-    commands = [encode(*request(b"r%d" % n)) for n in range(clients.MOST_WAITING + 1)]
+    commands = [encode(*request(b"r%d" % n)) for n in range(connections.MAX_PIPELINED + 1)]
     connection.data_received(b"".join(commands))
-    assert len(taken) == clients.MOST_WAITING
+    assert len(taken) == connections.MAX_PIPELINED
     now[0] += 300.0
     slots[0].answer(b"+OK\r\n")
     assert [command.came_at for command in taken] == [1_000.0] * len(commands)
@@ -579,7 +584,7 @@
 def test_a_request_expires_by_when_it_came() -> None:
     async def scenario() -> None:
         scene = Scene()
-        command = clients.parse_command(list(request(b"r1", wait=3_000)), None, 5_000.0)
+        command = parse_command(list(request(b"r1", wait=3_000)), None, 5_000.0)
         assert scene.driver.read(command).expires == 8_000.0
 
     in_loop(scenario)
--- a/tests/clients/test_connections.py
+++ b/tests/clients/test_connections.py
@@ -23,9 +23,13 @@
 from test_process import connect, start
 from test_streams import Cutting
 
+from switchline.clients import connection as connections
 from switchline.clients import server as clients
+from switchline.clients import watchdog
 from switchline.clients.commands import Command, parse_command
-from switchline.clients.server import ClientConnection, ClientServer, Slot
+from switchline.clients.connection import ClientConnection
+from switchline.clients.server import ClientServer
+from switchline.clients.slot import Slot
 from switchline.config import ConfigError, load_config, parse_config
 from switchline.net import accept
 from switchline.net.accept import Acceptor, AcceptRate
@@ -304,7 +308,7 @@
     place = Place(1024)
     for _ in range(500):
         place.ask(place.connect("127.0.0.9"))
-    assert place.server.shares.held["127.0.0.9"] == 384 and place.handler.crowded == 116
+    assert place.server.places.shares.held["127.0.0.9"] == 384 and place.handler.crowded == 116
     for number in range(20):
         place.ask(place.connect(f"127.0.1.{number}"))
     assert place.handler.crowded == 116
@@ -327,7 +331,7 @@
     place = Place()
     connection = place.connect()
     place.ask(connection, name=b"none")
-    assert not connection.proven and connection in place.server.young
+    assert not connection.proven and connection in place.server.places.young
     assert state(connection) == "young"
 
 
@@ -341,9 +345,9 @@
     part = encode(*request(b"part"))[:-9]
     for what, number in steps:
         before = {c: state(c) for c in known}
-        young = [c for c in place.server.young if before[c] == "young"]
+        young = [c for c in place.server.places.young if before[c] == "young"]
         oldest = young[0] if young else None
-        held = {peer: list(place.server.proven[peer]) for peer in place.server.proven}
+        held = {peer: list(place.server.places.proven[peer]) for peer in place.server.places.proven}
         evicted, crowded = dict(place.figures.evicted), place.handler.crowded
         there = [c for c in known if before[c] != "gone"]
         chosen = there[number % len(there)] if there else None
@@ -351,13 +355,13 @@
             known.append(place.connect(f"127.0.0.{number % 3}"))
         elif chosen is None:
             continue
-        elif what == "ask" and not chosen.reader.has_partial_value():
+        elif what == "ask" and not chosen.parser.has_partial_value():
             place.ask(chosen)
         elif what == "answer":
             place.answer(chosen)
-        elif what == "part" and not chosen.reader.has_partial_value():
+        elif what == "part" and not chosen.parser.has_partial_value():
             chosen.data_received(part)
-        elif what == "ping" and not chosen.reader.has_partial_value():
+        elif what == "ping" and not chosen.parser.has_partial_value():
             chosen.data_received(encode(b"PING"))
         elif what == "leave":
             chosen.connection_lost(None)
@@ -376,12 +380,12 @@
                 assert len(held[c.peer]) == max(map(len, rivals))
                 assert c is next(r for r in held[c.peer] if before[r] == "idle")
         if place.handler.crowded > crowded and chosen is not None:
-            assert chosen.peer in held or sum(map(len, held.values())) >= place.server.most
+            assert chosen.peer in held or sum(map(len, held.values())) >= place.server.places.limit
         place.settle()
-        assert place.server.live == len(place.server.connections) <= place.server.most + 1
-        assert len(place.server.young) <= 2 or place.server.live <= 7
+        assert place.server.places.live == len(place.server.connections) <= place.server.places.limit + 1
+        assert len(place.server.places.young) <= 2 or place.server.places.live <= 7
         assert place.budget.in_use[Part.CLIENTS] == len(place.server.connections)
-        assert place.server.shares.held == {p: len(h) for p, h in place.server.proven.items()}
+        assert place.server.places.shares.held == {p: len(h) for p, h in place.server.places.proven.items()}
 
 
 def test_a_budget_that_shrinks_takes_back_what_is_idle_and_nothing_else() -> None:
@@ -393,7 +397,9 @@
         idle = [place.idle() for _ in range(60)]
         place.budget.configured_limit = 100  # by SIGHUP: 32 places
         place.server.sweep()
-        assert not any(map(ended, busy)) and sum(map(bool, map(ended, idle))) == 80 - place.server.most
+        assert (
+            not any(map(ended, busy)) and sum(map(bool, map(ended, idle))) == 80 - place.server.places.limit
+        )
         place.budget.peer_process_descriptors = 90  # by the other process of an upgrade
         place.server.sweep()
         assert not any(map(ended, busy)) and all(map(ended, idle))
@@ -425,9 +431,9 @@
     start = 1_000_000.0
 
     def set_back(connection: ClientConnection) -> ClientConnection:
-        connection.used_at = connection.heard_at = start
-        if connection.owes_since is not None:
-            connection.owes_since = start
+        connection.last_used_s = connection.receiving.last_bytes_s = start
+        if connection.receiving.owed_since_s is not None:
+            connection.receiving.owed_since_s = start
         return connection
 
     idle, middle, unread = set_back(place.idle()), place.connect(), set_back(place.idle())
@@ -436,9 +442,9 @@
     assert isinstance(unread.transport, Wire)
     unread.transport.left = 50
     for connection, limit, reason in (
-        (idle, clients.UNUSED_S, Evicted.UNUSED),
-        (middle, clients.OWED_S, Evicted.OWING),
-        (unread, clients.UNREAD_S, Evicted.UNREAD),
+        (idle, connections.UNUSED_S, Evicted.UNUSED),
+        (middle, watchdog.COMMAND_TIMEOUT_S, Evicted.OWING),
+        (unread, watchdog.UNREAD_TIMEOUT_S, Evicted.UNREAD),
     ):
         connection.check(start)
         connection.check(start + limit - 0.1)
@@ -446,7 +452,11 @@
         connection.check(start + limit + 0.1)
         assert ended(connection) and place.figures.evicted[reason] == 1, reason
     place.settle()
-    assert place.budget.in_use[Part.CLIENTS] == 0 and not place.server.shares.held and not place.server.proven
+    assert (
+        place.budget.in_use[Part.CLIENTS] == 0
+        and not place.server.places.shares.held
+        and not place.server.places.proven
+    )
 
 
 def test_one_that_reads_by_dribbles_is_let_go_in_the_end() -> None:
@@ -454,11 +464,11 @@
     slow = place.idle()
     assert isinstance(slow.transport, Wire)
     at = 1_000_000.0  # whole seconds: of other times, at + 60 - at may come to a little over 60
-    for second in range(int(clients.DRIBBLE_S) + 1):
+    for second in range(int(watchdog.MAX_UNREAD_S) + 1):
         slow.transport.left = 1_000 - second
         slow.check(at + second)
         assert not ended(slow)
-    slow.check(at + clients.DRIBBLE_S + 1)
+    slow.check(at + watchdog.MAX_UNREAD_S + 1)
     assert ended(slow) == "abort"
 
 
@@ -468,25 +478,27 @@
     head = encode(*request(body=b"x" * 100_000))[:400]
     slow.data_received(head)
     assert slow.body is not None and not slow.idle
-    slow.heard_at = slow.body_since + clients.LONGEST_S - 1
-    slow.check(slow.body_since + clients.LONGEST_S - 1)
+    slow.receiving.last_bytes_s = slow.receiving.stream_started_s + watchdog.MAX_STREAMED_VALUE_S - 1
+    slow.check(slow.receiving.stream_started_s + watchdog.MAX_STREAMED_VALUE_S - 1)
     assert not ended(slow)
-    slow.heard_at = slow.body_since + clients.LONGEST_S + 1  # a byte just now
-    slow.check(slow.body_since + clients.LONGEST_S + 1)
-    assert ended(slow) and place.server.room.values == 0
+    slow.receiving.last_bytes_s = (
+        slow.receiving.stream_started_s + watchdog.MAX_STREAMED_VALUE_S + 1
+    )  # a byte just now
+    slow.check(slow.receiving.stream_started_s + watchdog.MAX_STREAMED_VALUE_S + 1)
+    assert ended(slow) and place.server.buffer_budget.values == 0
 
 
 def test_one_byte_every_two_seconds_is_no_head() -> None:
     place = Place()
     slow = place.connect()
     whole = encode(*request())
-    came = slow.used_at
+    came = slow.last_used_s
     for second in (0, 2):
         slow.data_received(whole[second : second + 1])
-        slow.heard_at = came + second
+        slow.receiving.last_bytes_s = came + second
         slow.check(came + second)
         assert not ended(slow)
-    slow.check(came + clients.OWED_S + 0.1)
+    slow.check(came + watchdog.COMMAND_TIMEOUT_S + 0.1)
     assert ended(slow) and wrote(slow) == [b"-ERR protocol error\r\n"]
 
 
@@ -788,8 +800,8 @@
 
 
 def test_bad_peers_get_what_they_are_owed_while_all_places_are_taken(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "OWED_S", 0.2)
-    monkeypatch.setattr(clients, "SWEEP_S", 0.02)
+    monkeypatch.setattr(watchdog, "COMMAND_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(clients, "SWEEP_INTERVAL_S", 0.02)
 
     async def scenario() -> None:
         async with running(World(Backend(), sockets=1)) as world:  # eight places
--- a/tests/net/test_streams.py
+++ b/tests/net/test_streams.py
@@ -9,6 +9,7 @@
 from test_operators import stats
 
 from switchline.clients import server as clients
+from switchline.clients import watchdog
 from switchline.net.streams import (
     MAX_VALUE_BYTES,
     MIN_WINDOW_BYTES,
@@ -242,8 +243,8 @@
 def test_a_peer_that_stalls_gets_its_error_and_a_slow_one_is_served(
     sent: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(clients, "OWED_S", 0.2)
-    monkeypatch.setattr(clients, "SWEEP_S", 0.02)
+    monkeypatch.setattr(watchdog, "COMMAND_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(clients, "SWEEP_INTERVAL_S", 0.02)
 
     async def scenario() -> None:
         async with running(World(Backend())) as world:
--- a/tests/service/test_driver.py
+++ b/tests/service/test_driver.py
@@ -11,7 +11,9 @@
 
 from switchline.backends.pool import BackendPool
 from switchline.clients.commands import parse_command
-from switchline.clients.server import ClientConnection, ClientServer, Slot
+from switchline.clients.connection import ClientConnection
+from switchline.clients.server import ClientServer
+from switchline.clients.slot import Slot
 from switchline.clock import Timers
 from switchline.net.descriptors import Budget
 from switchline.net.streams import BufferBudget
--- a/tests/service/test_guard.py
+++ b/tests/service/test_guard.py
@@ -8,7 +8,7 @@
 from test_driver import Scene
 
 from switchline.clients.commands import bulk
-from switchline.clients.server import Slot
+from switchline.clients.slot import Slot
 from switchline.clock import Timers, now_ms
 from switchline.guard import Guard, Invariant
 from switchline.policy import interface as api
