--- a/measure/recovery.py
+++ b/measure/recovery.py
@@ -26,7 +26,9 @@
 
 from connections import holds  # noqa: E402
 
-from switchline.state.store import FILE, Files  # noqa: E402
+from switchline.state.folder import DATABASE_FILE  # noqa: E402
+from switchline.state.records import PendingRecord, RecordKey  # noqa: E402
+from switchline.state.storage import StateStorage  # noqa: E402
 from testbed.network.sockets import LOCAL, Peer  # noqa: E402
 from testbed.stand_ins.backends import Backend  # noqa: E402
 from testbed.stand_ins.single_gateway import World  # noqa: E402
@@ -98,15 +100,15 @@
     """A file as a gateway of so many customers leaves it."""
     now = time.time() * 1000
     state = [1.0, 1.0, 5.0, now, 0.0, 1.0, 1.0, 5.0, 0.0, now + 15_000, now, 0, 0.0, 0.0, 0.0, -2, 0.0, now]
-    files = Files(folder, "n0", lambda: now)
-    files.hold(0)
+    files = StateStorage(folder, "n0", lambda: now)
+    files.lock(0)
     files.open(fresh=True)
-    files.start()
-    rows: dict[tuple[str, str], tuple[float, str | None]] = {}
+    files.record_start()
+    rows: dict[RecordKey, PendingRecord] = {}
     for number in range(customers):
         key = f"{number:016x}"
-        rows["customer", key] = now, json.dumps(["customer", key, "wide", 0, state])
-    files.commit(rows, whole=True)
+        rows[RecordKey("customer", key)] = PendingRecord(now, json.dumps(["customer", key, "wide", 0, state]))
+    files.commit(rows, replace_all=True)
     files.close()
 
 
@@ -123,7 +125,9 @@
     process.kill()
     await process.wait()
     if customers is not None:
-        assert (place.folder / "state" / FILE).exists() and not list(place.folder.glob("state/aside*"))
+        assert (place.folder / "state" / DATABASE_FILE).exists() and not list(
+            place.folder.glob("state/aside*")
+        )
     return took
 
 
--- a/switchline/audit/__init__.py
+++ b/switchline/audit/__init__.py
@@ -1,1 +1,1 @@
-"""Who acted on which version: records, their files, queries."""
+"""The audit: which versions a gateway acted on and when, in files whose records form a hash chain."""
--- a/switchline/audit/recorder.py
+++ b/switchline/audit/recorder.py
@@ -1,7 +1,7 @@
-"""Who acted on which version: one record for each change of a version, and each act that follows from one.
+"""The audit of one process: a record for each change of a version, and for each act that follows from one.
 
-Kept in memory (the last ones), and in the folder `audit`, if the configuration names one; never one for a
-request: acts on requests are counted, and go with the record that ends their version.
+The last records are in memory, and in the folder `audit` if the configuration names one. Requests are never
+recorded one by one: their outcomes are counted, and go with the record that ends the version they fell under.
 """
 
 from __future__ import annotations
@@ -12,11 +12,13 @@
 import time
 from collections import deque
 from collections.abc import Callable, Mapping
+from dataclasses import dataclass
 from pathlib import Path
+from typing import NamedTuple
 
 import msgspec
 
-from switchline.audit.segments import Writer
+from switchline.audit.writer import AuditWriter
 from switchline.clock import now_ms
 from switchline.fleet.chain import GAP, LONGEST_TEXT, MOST_COUNTS, Head, Record
 from switchline.fleet.hybrid_clock import HybridClock
@@ -24,111 +26,167 @@
 
 log = logging.getLogger(__name__)
 
-Noted = Callable[[str, str, str, str], None]  # kind, of what, version, cause
+AuditCallback = Callable[[str, str, str, str], None]  # kind, subject, version, cause, as of `Audit.record`
 
-MOST_HELD = 512  # records in memory
-MOST_VERSIONS = 512  # things that have a version: those changed last
-COUNTED = {"list", "config"}  # versions that acts on requests are counted under
+MAX_RECENT_RECORDS = 512  # in memory
+MAX_VERSIONS = 512  # subjects whose version is known: those changed last
+KINDS_WITH_COUNTS = frozenset({"list", "config"})  # outcomes of requests are counted under their versions
+
+
+class Subject(NamedTuple):
+    """What has a version: a kind, and the backend, zone or gateway of that kind, empty where there is one."""
+
+    kind: str
+    name: str
+
+
+@dataclass(slots=True)
+class Change:
+    """A change to be recorded."""
+
+    kind: str
+    subject: str = ""
+    version: str = ""
+    version_before: str = ""
+    cause: str = ""
 
 
 def build_digest() -> str:
-    """Of the program's own files, as they lie there: which build it is, whatever its release says."""
-    found = hashlib.blake2b(digest_size=8)
+    """Return a digest of the program's own files: it identifies the build, whatever its release says."""
+    digest = hashlib.blake2b(digest_size=8)
     for path in sorted(Path(__file__).parents[1].rglob("*.py")):
-        found.update(f"{path.name}\0".encode() + path.read_bytes())
-    return found.hexdigest()
+        digest.update(f"{path.name}\0".encode() + path.read_bytes())
+    return digest.hexdigest()
 
 
 class Audit:
-    """Owns the versions that this process acts on, and the records of their changes."""
+    """Owns the versions that this process acts on, and the records of their changes.
+
+    Args:
+        name: of the gateway.
+        incarnation: of this process.
+        folder: where the records are written; None keeps them in memory alone.
+        outcome_counts: gives the outcomes of requests since the start, by name.
+    """
 
     def __init__(
-        self, name: str, life: Incarnation, folder: Path | None, counts: Callable[[], Mapping[str, int]]
+        self,
+        name: str,
+        incarnation: Incarnation,
+        folder: Path | None,
+        outcome_counts: Callable[[], Mapping[str, int]],
     ) -> None:
-        """`counts`: acts on requests since the start."""
-        self.name, self.life, self.counts = name, life, counts
-        self.order = HybridClock()  # the line's own, once there is one
-        self.began = time.monotonic()
-        self.held: deque[Record] = deque(maxlen=MOST_HELD)
-        self.versions: dict[tuple[str, str], Record] = {}
-        self.counted: dict[str, int] = {}
-        self.number = 0
-        self.head, self.on = Head(0, ""), False
-        self.writer = Writer(folder, name, self._gap, self._told) if folder is not None else None
-
-    def follow(self, order: HybridClock, life: Incarnation) -> None:
-        """The line is open: records stand in the order of what came over it."""
-        order.last = max(order.last, self.order.last)
-        self.order, self.life = order, life
-
-    def note(self, kind: str, of: str = "", version: str = "", cause: str = "") -> None:
-        """A version changed, or an act followed from one (without a version of its own)."""
-        before = self.versions.get((kind, of))
+        self.name = name
+        self.incarnation = incarnation
+        self.outcome_counts = outcome_counts
+        self.clock = HybridClock()  # the gossip's own once this gateway takes part in a fleet
+        self.started_s = time.monotonic()
+        self.recent: deque[Record] = deque(maxlen=MAX_RECENT_RECORDS)
+        self.versions: dict[Subject, Record] = {}
+        self.reported_counts: dict[str, int] = {}
+        self.record_count = 0
+        self.head = Head(0, "")  # the last record on disk
+        self.writing = False  # whether the folder can be written
+        self.writer: AuditWriter | None = None
+        if folder is not None:
+            self.writer = AuditWriter(folder, name, self._gap_record, self._on_progress)
+
+    def join_fleet(self, clock: HybridClock, incarnation: Incarnation) -> None:
+        """Stamp records by the clock of the gossip from now on, so that they order after what it brought."""
+        clock.last = max(clock.last, self.clock.last)
+        self.clock = clock
+        self.incarnation = incarnation
+
+    def record(self, kind: str, subject: str = "", version: str = "", cause: str = "") -> None:
+        """Record that a version changed, or an act, which has none; the same version again is no change.
+
+        Args:
+            kind: of the version or act, as in docs/audit.md.
+            subject: the backend, zone or gateway that it is of; empty where the kind has one.
+            version: the new version; empty for an act.
+            cause: why, for staff.
+        """
+        key = Subject(kind, subject)
+        before = self.versions.get(key)
         if version and before is not None and before.version == version:
             return
-        counts = self._acts() if kind in COUNTED else {}
-        record = self._made(kind, of, version, before.version if before is not None else "", cause, counts)
+        counts = self._new_counts() if kind in KINDS_WITH_COUNTS else {}
+        version_before = before.version if before is not None else ""
+        record = self._build(Change(kind, subject, version, version_before, cause), counts)
         if version:
-            self.versions.pop((kind, of), None)
-            while len(self.versions) >= MOST_VERSIONS:
-                del self.versions[next(iter(self.versions))]
-            self.versions[kind, of] = record
-        self.number += 1
-        self.held.append(record)
+            self._remember(key, record)
+        self.record_count += 1
+        self.recent.append(record)
         if self.writer is not None:
             self.writer.add(record)
 
-    def _made(
-        self, kind: str, of: str, version: str, before: str, cause: str, counts: dict[str, int]
-    ) -> Record:
+    def _remember(self, key: Subject, record: Record) -> None:
+        self.versions.pop(key, None)
+        while len(self.versions) >= MAX_VERSIONS:
+            del self.versions[next(iter(self.versions))]
+        self.versions[key] = record
+
+    def _build(self, change: Change, counts: dict[str, int]) -> Record:
         wall = now_ms()
-        kind, of, version, before, cause = (t[:LONGEST_TEXT] for t in (kind, of, version, before, cause))
-        own = round(time.monotonic() - self.began, 3)
-        at = self.order.next(wall) if kind != GAP else self.order.last  # that one is made in the thread
-        wall = round(wall, 3)
-        return Record(0, self.name, self.life, at, wall, own, kind, of, version, before, cause, counts)
-
-    def _acts(self) -> dict[str, int]:
-        """Acts on requests since the last version that they are counted under."""
-        now = dict(list(self.counts().items())[:MOST_COUNTS])
-        found = {what: number - self.counted.get(what, 0) for what, number in now.items()}
-        self.counted = now
-        return {what: number for what, number in found.items() if number}
-
-    def _gap(self, why: str, lost: int) -> Record:
-        return self._made(GAP, "", "", "", why, {"lost": lost})
-
-    def _told(self, head: Head, on: bool) -> None:
-        """Called in the writer's thread: one word each, so that none is half seen."""
-        self.head, self.on = head, on
+        own = round(time.monotonic() - self.started_s, 3)
+        # A gap is recorded in the writer's thread, which may not move the event loop's clock.
+        stamp = self.clock.last if change.kind == GAP else self.clock.next(wall)
+        return Record(
+            n=0,  # numbered as it is written
+            name=self.name,
+            life=self.incarnation,
+            at=stamp,
+            wall=round(wall, 3),
+            own=own,
+            kind=change.kind[:LONGEST_TEXT],
+            of=change.subject[:LONGEST_TEXT],
+            version=change.version[:LONGEST_TEXT],
+            before=change.version_before[:LONGEST_TEXT],
+            cause=change.cause[:LONGEST_TEXT],
+            counts=counts,
+        )
+
+    def _new_counts(self) -> dict[str, int]:
+        """Return the outcomes of requests since the last record that had counts."""
+        counts = dict(list(self.outcome_counts().items())[:MOST_COUNTS])
+        new = {outcome: number - self.reported_counts.get(outcome, 0) for outcome, number in counts.items()}
+        self.reported_counts = counts
+        return {outcome: number for outcome, number in new.items() if number}
+
+    def _gap_record(self, cause: str, lost: int) -> Record:
+        """Return the record that stands for lost ones; called in the writer's thread."""
+        return self._build(Change(GAP, cause=cause), {"lost": lost})
+
+    def _on_progress(self, head: Head, writing: bool) -> None:
+        """Note the writer's progress; called in its thread, so each attribute is set by one assignment."""
+        self.head = head
+        self.writing = writing
 
     def close(self) -> None:
+        """Write what waits, as far as the disk allows in time, and end the writer."""
         if self.writer is not None:
             self.writer.close()
 
-    # ---- what staff see ----
-
     def gauges(self) -> dict[str, int]:
-        found = {"audit.records": self.number}
+        """Return the audit's metrics by name."""
+        gauges = {"audit.records": self.record_count}
         if self.writer is not None:
-            waiting = self.writer.queue.qsize()
-            faults, lost = self.writer.faults, self.writer.lost + self.writer.over
-            found |= {"audit.on": int(self.on), "audit.waiting": waiting}
-            found |= {"audit.faults": faults, "audit.lost": lost}
-        return found
-
-    def shown(self) -> str:
-        """For `GET /ops/audit`: JSON."""
-        versions = [msgspec.to_builtins(record) for record in self.versions.values()]
-        return json.dumps(
-            {
-                "name": self.name,
-                "life": list(self.life),
-                "now": {"wall": now_ms(), "at": list(self.order.last)},
-                "acts": dict(self.counts()),
-                "versions": versions,
-                "records": [msgspec.to_builtins(record) for record in self.held],
-                "kept": self.on,
-                "head": list(self.head),
-            }
-        )
+            gauges["audit.on"] = int(self.writing)
+            gauges["audit.waiting"] = self.writer.queue.qsize()
+            gauges["audit.faults"] = self.writer.faults
+            gauges["audit.lost"] = self.writer.lost + self.writer.overflowed
+        return gauges
+
+    def to_json(self) -> str:
+        """Return the versions and the last records, for `GET /ops/audit`."""
+        shown = {
+            "name": self.name,
+            "life": list(self.incarnation),
+            "now": {"wall": now_ms(), "at": list(self.clock.last)},
+            "acts": dict(self.outcome_counts()),
+            "versions": [msgspec.to_builtins(record) for record in self.versions.values()],
+            "records": [msgspec.to_builtins(record) for record in self.recent],
+            "kept": self.writing,
+            "head": list(self.head),
+        }
+        return json.dumps(shown)
--- a/switchline/backends/pool.py
+++ b/switchline/backends/pool.py
@@ -127,7 +127,7 @@
 
     def _not_up(self, refused: bool) -> None:
         """The handshake has failed; who waits longest for one hears of a refusal, the others wait on."""
-        self.pool.figures.failed += 1
+        self.pool.figures.handshakes_failed += 1
         self.close()
         if refused and (attempt := next(iter(self.host.waiting), None)) is not None:
             attempt.end(Outcome.CONNECT)
@@ -210,7 +210,7 @@
                 self.unsent, self.ending = memoryview(END), True
             return bool(self.unsent)
         self.sent, self.sent_at = True, now_ms()
-        self.pool.figures.forwarded()
+        self.pool.figures.count_forward()
         attempt.written(attempt)
         return False
 
@@ -467,7 +467,7 @@
         attempt.host, host.waiting[attempt] = host, None
         until = min(now_ms() + self.connect_timeout, attempt.expires)
         attempt.wait = self.timers.at(until, partial(self.waited, attempt))
-        self.figures.waited += 1
+        self.figures.handshake_waits += 1
         self.open_for(host)
 
     def open_for(self, host: Host) -> None:
@@ -494,7 +494,7 @@
                 attempt.end(Outcome.CONNECT)
             return
         attempt.connecting = True
-        self.figures.begun += 1
+        self.figures.handshakes_begun += 1
         self.budget.take(Part.BACKENDS)
         self.connections.add(made)
         host.opening.add(made)
--- a/switchline/clients/server.py
+++ b/switchline/clients/server.py
@@ -18,7 +18,7 @@
 from switchline.net.resp import NOT_YET, Opened, ProtocolError, RespParser, Value
 from switchline.net.socket_state import has_unread_bytes, peer_has_closed
 from switchline.net.streams import LONGEST, WHOLE, BufferBudget, StreamedRequestBody, StreamedResponse
-from switchline.operators.metrics import Evicted, Metrics
+from switchline.operators.metrics import EvictionReason, Metrics
 from switchline.policy.fair_shares import FairShares
 
 log = logging.getLogger(__name__)
@@ -28,7 +28,7 @@
 LARGEST = 128 * 1024  # bytes of a command, less a value that comes in pieces
 MOST_PASSING = 16 * 1024  # bytes of a long value that wait in the transport; it adds what was written last
 # Closed without a wait: descriptors are wanted, or the last answer was read long ago.
-CLOSED_AT_ONCE = {Evicted.YOUNG, Evicted.IDLE, Evicted.UNUSED}
+CLOSED_AT_ONCE = {EvictionReason.YOUNG, EvictionReason.IDLE, EvictionReason.UNUSED}
 READ_BYTES = 64 * 1024  # read at a time, into one buffer for all connections
 REQUEST_HEAD = 4  # arguments before the value
 MOST_ARGUMENTS = 16  # of a command; a request has five, and those of connection set-up few more
@@ -254,7 +254,7 @@
         if self.transport is not None and not self.slots and (self.closing or self._parts()):
             self.shut()
         elif self.surplus and not self.proven and self.body is None:
-            self.server.evict(self, Evicted.CROWDED)
+            self.server.evict(self, EvictionReason.CROWDED)
         self._throttle()
 
     def _parts(self) -> bool:
@@ -399,20 +399,20 @@
             return
         if self._unread(now):
             log.warning("client left its answers unread for %.0f s", now - self.behind_since)
-            self.server.evict(self, Evicted.UNREAD)
+            self.server.evict(self, EvictionReason.UNREAD)
         elif self.shut_at is not None:
             if now - self.shut_at > LINGER_S and not self.transport.get_write_buffer_size():
                 self.close()
         elif self.closing or self.stopped:
             return  # its answers are due first, and it is read no further until then
         elif self._late(now):
-            self.server.figures.evicted[Evicted.OWING] += 1
+            self.server.figures.evictions[EvictionReason.OWING] += 1
             self.refuse_protocol(ValueError("no whole command in time"))
             self.pump()
         elif not self.slots and not self.transport.get_write_buffer_size():
             parts = self._parts() and now > self.server.idle_from
             if now - self.used_at > (PARTING_IDLE_S if parts else UNUSED_S) and not self.has_unread_bytes:
-                self.server.evict(self, Evicted.PARTING if parts else Evicted.UNUSED)
+                self.server.evict(self, EvictionReason.PARTING if parts else EvictionReason.UNUSED)
 
     def _unread(self, now: float) -> bool:
         """Whether the peer has left what it was answered unread: it has vanished, or reads too slowly."""
@@ -626,7 +626,7 @@
     def evict_young(self, newcomer: ClientConnection | None = None) -> bool:
         spare = next((c for c in self.young if c.is_spare and c is not newcomer), None)
         if spare is not None:
-            self.evict(spare, Evicted.YOUNG)
+            self.evict(spare, EvictionReason.YOUNG)
         return spare is not None
 
     def evict_idle(self, least: int = 0) -> bool:
@@ -638,17 +638,17 @@
             if len(held) < least:
                 break
             if (spare := next((c for c in held if c.is_spare), None)) is not None:
-                self.evict(spare, Evicted.IDLE)
+                self.evict(spare, EvictionReason.IDLE)
                 return True
         return False
 
-    def evict(self, connection: ClientConnection, reason: Evicted) -> None:
-        self.figures.evicted[reason] += 1
+    def evict(self, connection: ClientConnection, reason: EvictionReason) -> None:
+        self.figures.evictions[reason] += 1
         log.info("connection of %s is closed: %s", connection.peer, reason.value)
         self.forget(connection)
-        if reason in CLOSED_AT_ONCE or reason is Evicted.UNREAD:
+        if reason in CLOSED_AT_ONCE or reason is EvictionReason.UNREAD:
             connection.closing = True
-            if reason is not Evicted.UNREAD:
+            if reason is not EvictionReason.UNREAD:
                 connection.close()
             elif connection.transport is not None:
                 connection.transport.abort()  # it reads nothing: no answer can reach it, whatever is open
--- a/switchline/fleet_runtime/list_repair.py
+++ b/switchline/fleet_runtime/list_repair.py
@@ -10,14 +10,14 @@
 import random
 import time
 
-from switchline.audit.recorder import Noted
+from switchline.audit.recorder import AuditCallback
 from switchline.discovery.client import Discovery, DiscoveryError, read_list
 from switchline.fleet.messages import LIST, Exchange, Listed
 from switchline.fleet.staleness import StaleList, agreed, leaves_none, number, seq_of
 from switchline.fleet_runtime.transport import Peers
 from switchline.policy import interface as api
 from switchline.service.driver import Driver
-from switchline.state.recovery import Recovery
+from switchline.state.persistence import StatePersistence
 
 log = logging.getLogger(__name__)
 
@@ -29,7 +29,7 @@
     """Owns whether this gateway is behind, and the newer lists that others have told it since."""
 
     def __init__(
-        self, driver: Driver, discovery: Discovery, recovery: Recovery, chance: random.Random
+        self, driver: Driver, discovery: Discovery, recovery: StatePersistence, chance: random.Random
     ) -> None:
         self.driver, self.discovery, self.recovery, self.chance = driver, discovery, recovery, chance
         self.behind = StaleList()
@@ -39,7 +39,7 @@
         self.ask_at = 0.0
         self.is_behind = False
         self.hosts = 0
-        self.noted: Noted = lambda kind, of, version, cause: None  # of the audit
+        self.noted: AuditCallback = lambda kind, of, version, cause: None  # of the audit
 
     def own(self) -> int:
         return seq_of(self.discovery.version)
@@ -72,7 +72,7 @@
 
     def learn(self, told: Exchange) -> None:
         """Another's list; what two tell alike binds."""
-        own = self.recovery.listed()
+        own = self.recovery.saved_hosts()
         if not self.is_behind or told.listed is None or own is None or told.listed.seq <= self.own():
             return
         self.lists.pop(told.sender, None)
--- a/switchline/fleet_runtime/recovery.py
+++ b/switchline/fleet_runtime/recovery.py
@@ -16,7 +16,7 @@
 from enum import IntEnum
 from typing import Any
 
-from switchline.audit.recorder import Noted
+from switchline.audit.recorder import AuditCallback
 from switchline.clock import now_ms
 from switchline.discovery.client import Discovery, DiscoveryError, read_list
 from switchline.fleet.members import Members
@@ -24,11 +24,11 @@
 from switchline.fleet.outage import RISEN, RISEN_S, UNKNOWN, Verdict, judge, read_down
 from switchline.fleet.staleness import bound_by, leaves_none, seq_of
 from switchline.fleet_runtime.transport import Peers, Word
-from switchline.operators.overrides import OperatorOverrides
+from switchline.operators.overrides import OperatorOverrides, OverrideChange
 from switchline.policy import gateway_status
 from switchline.policy import interface as api
 from switchline.service.driver import Driver
-from switchline.state.recovery import Recovery
+from switchline.state.persistence import StatePersistence
 
 log = logging.getLogger(__name__)
 
@@ -60,7 +60,7 @@
     def __init__(
         self,
         hands: Mapping[str, OperatorOverrides],
-        recovery: Recovery,
+        recovery: StatePersistence,
         driver: Driver,
         discovery: Discovery,
         index: int,
@@ -68,7 +68,7 @@
         self.hands, self.recovery, self.driver = hands, recovery, driver
         self.discovery, self.index = discovery, index
         self.began = time.monotonic()
-        self.down_s = recovery.down_s()
+        self.down_s = recovery.downtime_s()
         self.peers: Peers | None = None
         self.stage, self.stage_at = Stage.FACTS, self.began
         self.risen_until, self.doubt_until = self.began + RISEN_S, self.began + DOUBT_S
@@ -83,7 +83,7 @@
         self.hosts = self.customers = self.spoilt = 0  # taken from others; answers that were of no use
         self.waited_ms = 0
         discovery.weigh = self.weigh
-        self.noted: Noted = lambda kind, of, version, cause: None  # of the audit
+        self.noted: AuditCallback = lambda kind, of, version, cause: None  # of the audit
 
     # ---- what it tells ----
 
@@ -93,7 +93,7 @@
 
     def listed(self, seq: int) -> Listed | None:
         """The list here, if it is newer than what another has."""
-        hosts, version = self.recovery.listed(), self.discovery.version
+        hosts, version = self.recovery.saved_hosts(), self.discovery.version
         if hosts is None or version is None or version <= seq or len(hosts) > MOST_HOSTS:
             return None
         rows = [
@@ -211,7 +211,7 @@
         The addresses in it are those that the other gateway reaches backends by. Discovery is asked for all
         that it knows then, as its changes would not undo what a peer erred in.
         """
-        newer, own, seq = self.newest, self.recovery.listed(), seq_of(self.discovery.version)
+        newer, own, seq = self.newest, self.recovery.saved_hosts(), seq_of(self.discovery.version)
         if newer is None or own is None or newer.seq <= seq:
             return
         changes = list(bound_by(own, newer))
@@ -235,7 +235,7 @@
         """
         hosts = raw.get("hosts") or []
         known = max(seq_of(self.discovery.version), self.newest.seq if self.newest else -1)
-        own = self.recovery.listed()
+        own = self.recovery.saved_hosts()
         behind = raw.get("whole") and (int(raw["seq"]) < known or not hosts)
         if not behind or not own or time.monotonic() >= self.doubt_until:
             return raw
@@ -264,18 +264,18 @@
         self.meet(self.peers.node.members)
         now, facts = time.monotonic(), self.peers.node.facts
         for kind, bans in self.hands.items():
-            newer: dict[str, tuple[bool, float]] = {}
+            newer: dict[str, OverrideChange] = {}
             for (name, _), held in facts.of_kind(kind).items():
                 entry, out = held.entry, held.entry.value == "down"
                 brought = entry.at <= entry.life[0] and now < self.met.get(entry.origin, 0.0)
-                asked = (anew or brought) and (out or name in bans.out)
-                if ((kind, name) in self.taken or asked) and entry.at > bans.since(name):
-                    newer[name] = out, entry.at
+                asked = (anew or brought) and (out or name in bans.active)
+                if ((kind, name) in self.taken or asked) and entry.at > bans.last_changed_ms(name):
+                    newer[name] = OverrideChange(out, entry.at)
             if not newer:
                 continue
             self.taken |= {(kind, name) for name in newer}
             try:
-                bans.recover(newer)
+                bans.merge(newer)
             except OSError as error:
                 log.warning("what is out by hand, as others tell, can't be kept: %s", error)
 
--- a/switchline/operators/__init__.py
+++ b/switchline/operators/__init__.py
@@ -1,1 +1,1 @@
-"""What operators call: the address, the overrides, the metrics."""
+"""What operators use: the address that they call, their overrides, calls for the whole fleet, the metrics."""
--- a/switchline/operators/server.py
+++ b/switchline/operators/server.py
@@ -1,145 +1,106 @@
-"""The address that operators call: HTTP/1.1, one call a connection. Each call is handed to one function."""
+"""The server of the operators' address: HTTP/1.1, one call a connection."""
 
 from __future__ import annotations
 
 import asyncio
-import json
 import logging
 import math
 import socket
-from collections.abc import Callable, Coroutine
-from typing import Any, NamedTuple, cast
+from typing import cast
 
 import h11
 
 from switchline.config import Address
 from switchline.net.accept import Acceptor, ListenError, listening, listening_in_time
 from switchline.net.descriptors import Budget, Part
+from switchline.operators.calls import DeferredReply, OperatorCalls, Reply
 
 log = logging.getLogger(__name__)
 
-MOST_HEAD, MOST_BODY = 4096, 4096  # bytes; a call takes a few hundred
-MOST_CONNECTIONS = 16  # descriptors set aside; beyond, the one that has stalled longest gives way
-CALL_S = 2.0  # for a call to come whole
+MAX_HEAD_BYTES = 4096  # a call takes a few hundred
+MAX_BODY_BYTES = 4096
+MAX_CONNECTIONS = 16  # as many descriptors are reserved; beyond, the oldest connection is aborted
+CALL_TIMEOUT_S = 2.0  # for a call to arrive as a whole
 BACKLOG = 64
-BODY = 'the body is {"id":"ID"}, for the whole fleet {"id":"ID","fleet":true}\n'
-
-
-class Said(NamedTuple):
-    """The answer to a call."""
-
-    status: int
-    text: str
-
-
-Later = Coroutine[Any, Any, Said]  # an answer that waits for something, within the time of a call
-Call = Callable[[], Said]
-IdCall = Callable[[str, bool], Said | Later]  # what is named, and whether the call is for the whole fleet
-
-
-class Calls(NamedTuple):
-    """What the address offers: calls without a body, and calls that name a backend, by path."""
-
-    gets: dict[str, Call]
-    posts: dict[str, Call]
-    id_posts: dict[str, IdCall]
-
-    def answer(self, method: str, path: str, body: bytes) -> Said | Later:
-        allowed = self.allow(path)
-        if path not in self.gets and path not in self.posts and path not in self.id_posts:
-            return Said(404, "no such path\n")
-        if method != allowed:
-            return Said(405, f"the method is {allowed}\n")
-        if path in self.id_posts:
-            named = read_id(body)
-            return self.id_posts[path](*named) if named else Said(400, BODY)
-        return (self.gets.get(path) or self.posts[path])()
-
-    def allow(self, path: str) -> str:
-        return "GET" if path in self.gets else "POST"
-
-
-def read_id(body: bytes) -> tuple[str, bool] | None:
-    try:
-        given: Any = json.loads(body)
-    except (ValueError, RecursionError):
-        return None
-    if not isinstance(given, dict):
-        return None
-    named, fleet = given.get("id"), given.get("fleet", False)
-    return (named, fleet) if isinstance(named, str) and named and isinstance(fleet, bool) else None
 
 
 class OperatorConnection(asyncio.Protocol):
-    """One call: its head, its body, its answer, and then the close."""
+    """One call: its head, its body, its reply, and then the close."""
 
     def __init__(self, server: OperatorServer) -> None:
         self.server = server
-        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MOST_HEAD)
+        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.transport: asyncio.Transport | None = None
         self.request: h11.Request | None = None
         self.body = b""
-        self.timer: asyncio.TimerHandle | None = None
+        self.timeout: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Handle the event of asyncio."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
-        self.timer = asyncio.get_running_loop().call_later(CALL_S, self.reply, Said(408, "too slow\n"))
-        self.server.opened(self)
+        loop = asyncio.get_running_loop()
+        self.timeout = loop.call_later(CALL_TIMEOUT_S, self.reply, Reply(408, "too slow\n"))
+        self.server.on_open(self)
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Handle the event of asyncio."""
         self.transport = None
-        if self.timer is not None:
-            self.timer.cancel()
-        self.server.closed(self)
+        if self.timeout is not None:
+            self.timeout.cancel()
+        self.server.on_closed(self)
 
     def data_received(self, data: bytes) -> None:
+        """Handle the event of asyncio."""
         if self.http.our_state is not h11.IDLE and self.http.our_state is not h11.SEND_RESPONSE:
-            return  # the call has its answer
+            return  # the call has its reply
         try:
             self.http.receive_data(data)
-            while self._take(self.http.next_event()):
+            while self._handle(self.http.next_event()):
                 pass
         except h11.RemoteProtocolError as error:
-            self.reply(Said(error.error_status_hint, "not a proper call\n"))
+            self.reply(Reply(error.error_status_hint, "not a proper call\n"))
 
     def eof_received(self) -> None:
+        """Handle the event of asyncio."""
         self.close()
 
-    def _take(self, event: h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]) -> bool:
-        """Whether there may be more to take."""
+    def _handle(self, event: h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]) -> bool:
+        """Handle an event of the call; return whether a further one may be ready."""
         if isinstance(event, h11.Request):
             self.request = event
             if self.http.they_are_waiting_for_100_continue:
                 self._write(h11.InformationalResponse(status_code=100, headers=[]))
-        elif isinstance(event, h11.Data):
+            return True
+        if isinstance(event, h11.Data):
             self.body += event.data
-            if len(self.body) > MOST_BODY:
-                self.reply(Said(413, "too much\n"))
-                return False
+            if len(self.body) <= MAX_BODY_BYTES:
+                return True
+            self.reply(Reply(413, "too much\n"))
         elif isinstance(event, h11.EndOfMessage):
-            assert self.request is not None
-            path = self.request.target.decode("ascii", "replace").partition("?")[0]
-            method = self.request.method.decode("ascii", "replace")
-            said = self.server.calls.answer(method, path, self.body)
-            if isinstance(said, Said):
-                self.reply(said, self.server.calls.allow(path))
-            else:
-                self.server.answer_later(self, said)
-            return False
+            self._carry_out()
+        return False
+
+    def _carry_out(self) -> None:
+        assert self.request is not None
+        path = self.request.target.decode("ascii", "replace").partition("?")[0]
+        method = self.request.method.decode("ascii", "replace")
+        reply = self.server.calls.answer(method, path, self.body)
+        if isinstance(reply, Reply):
+            self.reply(reply, self.server.calls.allowed_method(path))
         else:
-            return False
-        return True
+            self.server.reply_later(self, reply)
 
-    def reply(self, said: Said, allow: str = "") -> None:
-        """Give the answer, a yes or a no, and close."""
-        headers = [("Content-Type", "text/plain"), ("Content-Length", str(len(said.text.encode())))]
+    def reply(self, reply: Reply, allowed_method: str = "") -> None:
+        """Send the reply and close; `allowed_method` goes with a 405."""
+        body = reply.text.encode()
+        headers = [("Content-Type", "text/plain"), ("Content-Length", str(len(body)))]
         headers.append(("Connection", "close"))
-        if said.status == 405:
-            headers.append(("Allow", allow))
+        if reply.status == 405:
+            headers.append(("Allow", allowed_method))
         try:
-            self._write(h11.Response(status_code=said.status, headers=headers))
+            self._write(h11.Response(status_code=reply.status, headers=headers))
             if self.request is None or self.request.method != b"HEAD":
-                self._write(h11.Data(data=said.text.encode()))
+                self._write(h11.Data(data=body))
         except h11.LocalProtocolError as error:
             log.info("an operator's call could not be answered: %s", error)
         self.close()
@@ -149,66 +110,76 @@
             self.transport.write(self.http.send(event) or b"")
 
     def close(self) -> None:
+        """Close the connection after what was written."""
         if self.transport is not None:
             self.transport.close()
 
 
 class OperatorServer:
-    """Listens for operators, and bounds what stalled callers hold."""
+    """Listens for operators, and bounds the connections of stalled callers.
+
+    Args:
+        calls: what the address offers.
+        budget: where the connections' descriptors are counted.
+    """
 
-    def __init__(self, calls: Calls, budget: Budget) -> None:
-        self.calls, self.budget = calls, budget
+    def __init__(self, calls: OperatorCalls, budget: Budget) -> None:
+        self.calls = calls
+        self.budget = budget
         self.connections: dict[OperatorConnection, None] = {}  # the oldest first
         self.acceptor: Acceptor | None = None
-        self.later: asyncio.Task[None] | None = None  # until the address can be had
-        self.answering: set[asyncio.Task[None]] = set()  # calls whose answers are waited for
+        self.listen_task: asyncio.Task[None] | None = None  # until the address is free
+        self.reply_tasks: set[asyncio.Task[None]] = set()  # calls with deferred replies
 
-    def answer_later(self, connection: OperatorConnection, said: Later) -> None:
-        """The call is carried out whether or not its caller stays."""
+    def reply_later(self, connection: OperatorConnection, deferred: DeferredReply) -> None:
+        """Reply once the call is carried out, which it is even if its caller leaves."""
 
-        async def answer() -> None:
-            connection.reply(await said)
+        async def wait_and_reply() -> None:
+            connection.reply(await deferred)
 
-        task = asyncio.get_running_loop().create_task(answer())
-        self.answering.add(task)
-        task.add_done_callback(self.answering.discard)
+        task = asyncio.get_running_loop().create_task(wait_and_reply())
+        self.reply_tasks.add(task)
+        task.add_done_callback(self.reply_tasks.discard)
 
     def listen_soon(self, address: Address) -> None:
-        """Start to accept, at once where the machine lets it, else while the gateway serves already."""
+        """Start to accept; where the address can't be had yet, retry while the gateway serves already."""
         try:
             self.listen(listening(address, BACKLOG))
         except OSError as error:
             log.warning("operators can't call yet: %s", error)
-            self.later = asyncio.get_running_loop().create_task(self._listen_later(address))
+            self.listen_task = asyncio.get_running_loop().create_task(self._retry_listening(address))
 
-    async def _listen_later(self, address: Address) -> None:
+    async def _retry_listening(self, address: Address) -> None:
         try:
             self.listen(await listening_in_time(address, BACKLOG, math.inf))
         except ListenError as error:
-            log.error("operators can't call: %s", error)
+            log.error("operators can't call: %s", error)  # noqa: TRY400 - its text says all
 
-    def listen(self, made: socket.socket) -> int:
-        """Start to accept on a listening socket; gives the port."""
+    def listen(self, listening_socket: socket.socket) -> int:
+        """Start to accept on a listening socket; return its port."""
         self.budget.keep_spare()
-        self.acceptor = Acceptor(made, lambda: OperatorConnection(self), self.budget, first=True)
+        self.acceptor = Acceptor(listening_socket, lambda: OperatorConnection(self), self.budget, first=True)
         return self.acceptor.port
 
-    def opened(self, connection: OperatorConnection) -> None:
+    def on_open(self, connection: OperatorConnection) -> None:
+        """Count a new connection, and abort the oldest where there are too many."""
         self.budget.take(Part.OPERATORS)
         self.connections[connection] = None
-        if len(self.connections) > MOST_CONNECTIONS:
+        if len(self.connections) > MAX_CONNECTIONS:
             oldest = next(iter(self.connections))
             del self.connections[oldest]
             if oldest.transport is not None:
                 oldest.transport.abort()
 
-    def closed(self, connection: OperatorConnection) -> None:
+    def on_closed(self, connection: OperatorConnection) -> None:
+        """Return the descriptor of a connection that has ended."""
         self.budget.free(Part.OPERATORS)
         self.connections.pop(connection, None)
 
     def close(self) -> None:
-        if self.later is not None:
-            self.later.cancel()
+        """Stop listening, and close all connections."""
+        if self.listen_task is not None:
+            self.listen_task.cancel()
         if self.acceptor is not None:
             self.acceptor.close()
         for connection in list(self.connections):
--- a/switchline/service/driver.py
+++ b/switchline/service/driver.py
@@ -251,8 +251,8 @@
 
     def crowd(self, kind: str, slot: Slot) -> None:
         """Refuse a request before the module is told of it."""
-        self.figures.ended(kind, OutcomeKind.DECLINED)
-        self.figures.crowded += 1
+        self.figures.count_outcome(kind, OutcomeKind.DECLINED)
+        self.figures.rejected_for_capacity += 1
         self.seen["refused for room"] += 1
         slot.answer(b"-BUSY %d\r\n" % FULL_MS)
 
@@ -320,7 +320,7 @@
         owner = self.leave(request)
         if owner is None:
             return
-        self.figures.ended(owner.kind.name, OutcomeKind.ABORTED)
+        self.figures.count_outcome(owner.kind.name, OutcomeKind.ABORTED)
         if owner.value is not None:
             owner.value.drop()
         self.leave_body(owner)
@@ -410,7 +410,7 @@
 
     def on_passed(self, owner: Request) -> None:
         if self.leave(owner.command.id) is not None:
-            self.figures.ended(owner.kind.name, OutcomeKind.SUCCEEDED)
+            self.figures.count_outcome(owner.kind.name, OutcomeKind.SUCCEEDED)
         if owner.value is not None:
             owner.value.drop()
         self.leave_body(owner)
@@ -482,7 +482,7 @@
     def finish(self, request: str, reply: bytes, ended: OutcomeKind) -> None:
         """Give the one final answer; a second one is not sent."""
         if owner := self.leave(request):
-            self.figures.ended(owner.kind.name, ended)
+            self.figures.count_outcome(owner.kind.name, ended)
             if owner.value is not None:  # begun, and not to be finished
                 owner.slot.cut(reply)
                 owner.value.drop()
--- a/switchline/service/service.py
+++ b/switchline/service/service.py
@@ -24,13 +24,14 @@
 from switchline.net.accept import inherited, listening_in_time
 from switchline.net.descriptors import OF_LINE, OF_STATE, OWN, Budget
 from switchline.net.streams import BufferBudget
+from switchline.operators.calls import DeferredReply, OperatorCalls, Reply
 from switchline.operators.metrics import Metrics, OutcomeKind
 from switchline.operators.overrides import OperatorOverrides, private_file
-from switchline.operators.server import Calls, Later, OperatorServer, Said
+from switchline.operators.server import OperatorServer
 from switchline.policy import interface as api
 from switchline.policy.leases import PERIOD_MS
 from switchline.service.driver import Driver
-from switchline.upgrade.handover import HOLDS, UpgradeHandover
+from switchline.upgrade.handover import HandoverEvents, UpgradeHandover
 
 if TYPE_CHECKING:
     from switchline.audit.recorder import Audit
@@ -41,7 +42,7 @@
     from switchline.fleet_runtime.recovery import FleetRecovery
     from switchline.fleet_runtime.transport import Peers, Word
     from switchline.operators.fleet_calls import FleetCalls
-    from switchline.state.recovery import Recovery
+    from switchline.state.persistence import StatePersistence
     from switchline.zones.coordination import ZoneCoordinator
 
 log = logging.getLogger(__name__)
@@ -65,7 +66,7 @@
     FLOOR: ("floor.json", "floor", "set", "ended"),
 }
 LEASED = f"leased, periods of {PERIOD_MS / 1000:.0f} s"  # how quotas are shared out, in the audit
-YES = Said(200, "yes\n")
+YES = Reply(200, "yes\n")
 
 
 class Service:
@@ -112,27 +113,31 @@
         chance = random.Random(config.seed)
         self.discovery = Discovery(config.discovery, version, self.on_list, chance, self.budget, apart)
         self.audit: Audit | None = None  # the versions acted on, with `fleet` or `audit`
-        self.recovery: Recovery | None = None  # of the state on disk, if there is a folder for it
+        self.persistence: StatePersistence | None = None  # of the state on disk, if there is a folder for it
         self.hands: dict[str, OperatorOverrides] = {}  # what operators call, by kind
         for kind, (file, *_) in HANDS.items():
             if kind in (HOST, ZONE) or config.line is not None:
                 changed = partial(self.on_held, kind)
                 self.hands[kind] = OperatorOverrides(private_file(config.name, file), self.timers, changed)
         if config.state is not None:
-            from switchline.state.recovery import Recovery
+            from switchline.state.persistence import StatePersistence
 
-            self.recovery = Recovery(config.state, config.name, self.driver, self.discovery, self.hands)
+            self.persistence = StatePersistence(
+                config.state, config.name, self.driver, self.discovery, self.hands
+            )
             if config.known:
-                self.recovery.keep_list(config.known)
+                self.persistence.save_list(config.known)
         self.clients = ClientServer(self.driver, self.budget, self.room, self.figures, self.guard)
         self.operators = OperatorServer(self.calls(), self.budget)
         self.upgrade = UpgradeHandover(
             private_file(config.name, "beside.sock"),
-            came=partial(self.driver.give, api.PeerProcessJoined()),
-            heard=lambda said: self.driver.give(api.PeerProcessMessage(said)),
-            handed=self.hand_over,
-            left=self.beside_left,
-            holds=self.share,
+            HandoverEvents(
+                joined=partial(self.driver.give, api.PeerProcessJoined()),
+                record_received=lambda said: self.driver.give(api.PeerProcessMessage(said)),
+                serving=self.hand_over,
+                left=self.beside_left,
+                descriptors_reported=self.share,
+            ),
         )
         self.peers: Peers | None = None  # the other gateways, if there is a line to them
         self.fleet_calls: FleetCalls | None = None  # what operators call for all of them
@@ -152,8 +157,8 @@
 
     # ---- what operators call ----
 
-    def calls(self) -> Calls:
-        return Calls(
+    def calls(self) -> OperatorCalls:
+        return OperatorCalls(
             gets={
                 "/ops/readiness": self.readiness,
                 "/ops/stats": self.stats,
@@ -173,18 +178,18 @@
             },
         )
 
-    def readiness(self) -> Said:
-        return YES if self.clients.takes_clients else Said(503, "no\n")
+    def readiness(self) -> Reply:
+        return YES if self.clients.takes_clients else Reply(503, "no\n")
 
-    def stats(self) -> Said:
+    def stats(self) -> Reply:
         gauges = self.driver.gauges() | self.connections()
         counts = self.guard.counts()
-        counts |= self.recovery.counts() if self.recovery is not None else {}
-        return Said(200, self.figures.text(gauges, self.driver.zones(), counts))
+        counts |= self.persistence.counts() if self.persistence is not None else {}
+        return Reply(200, self.figures.render(gauges, self.driver.zones(), counts))
 
     def connections(self) -> dict[str, int]:
         """The connections by state, and what is held of the descriptors."""
-        of_state = self.recovery.gauges() if self.recovery is not None else {}
+        of_state = self.persistence.gauges() if self.persistence is not None else {}
         of_line = self.peers.gauges() if self.peers is not None else {}
         of_line |= self.fleet_recovery.gauges() if self.fleet_recovery is not None else {}
         of_line |= self.list_repair.gauges() if self.list_repair is not None else {}
@@ -196,23 +201,27 @@
 
     def states(self) -> dict[str, int]:
         """For the log: the connections now, and what became of others since the start."""
-        of_state = self.recovery.counts() if self.recovery is not None else {}
-        return self.connections() | self.figures.connections() | self.guard.counts() | of_state
+        of_state = self.persistence.counts() if self.persistence is not None else {}
+        return self.connections() | self.figures.connection_counts() | self.guard.counts() | of_state
 
-    def fleet(self) -> Said:
+    def fleet(self) -> Reply:
         """The other gateways as this one knows them."""
         if self.peers is None:
-            return Said(404, "no such path\n")
+            return Reply(404, "no such path\n")
         shown = self.peers.shown()
         if self.fleet_recovery is not None:
             shown["recovery"] = self.fleet_recovery.shown()
         if self.zone_coordinator is not None:
             shown["zones"] = self.zone_coordinator.shown()
-        return Said(200, json.dumps(shown) + "\n")
+        return Reply(200, json.dumps(shown) + "\n")
 
-    def audited(self) -> Said:
+    def audited(self) -> Reply:
         """The versions that this process acts on, and its last records."""
-        return Said(200, self.audit.shown() + "\n") if self.audit is not None else Said(404, "no such path\n")
+        return (
+            Reply(200, self.audit.to_json() + "\n")
+            if self.audit is not None
+            else Reply(404, "no such path\n")
+        )
 
     def acts(self) -> dict[str, int]:
         """Acts on requests since the start, for the audit."""
@@ -223,7 +232,7 @@
     def note(self, kind: str, of: str = "", version: str = "", cause: str = "") -> None:
         """Something that this process acts on has another version, or it did what follows from one."""
         if self.audit is not None:
-            self.audit.note(kind, of, version, cause)
+            self.audit.record(kind, of, version, cause)
 
     def note_list(self) -> None:
         if self.audit is not None:
@@ -235,54 +244,54 @@
         """The configuration, and of it the settings, which a gateway keeps from its start on."""
         self.note("config", "", self.config.digest, cause)
 
-    def hold(self, kind: str, out: bool, name: str, fleet: bool) -> Said | Later:
+    def hold(self, kind: str, out: bool, name: str, fleet: bool) -> Reply | DeferredReply:
         """Take a backend or a zone out, or put it back; here, or at all gateways."""
         if fleet and self.fleet_calls is None:
-            return Said(503, "there is no line to other gateways\n")
+            return Reply(503, "there is no line to other gateways\n")
         said = self.hold_here(kind, out, name)
         return self.hold_all(said, kind, out, name) if fleet else said
 
-    async def hold_all(self, said: Said | Later, kind: str, out: bool, name: str) -> Said:
+    async def hold_all(self, said: Reply | DeferredReply, kind: str, out: bool, name: str) -> Reply:
         """First here, then at the others."""
-        here = said if isinstance(said, Said) else await said
+        here = said if isinstance(said, Reply) else await said
         if here is not YES or self.fleet_calls is None:
             return here
         from switchline.fleet.facts import FOR_ALL
 
-        return await self.fleet_calls.tell(FOR_ALL[kind], name, out)
+        return await self.fleet_calls.propagate(FOR_ALL[kind], name, out)
 
-    def hold_here(self, kind: str, out: bool, name: str) -> Said | Later:
+    def hold_here(self, kind: str, out: bool, name: str) -> Reply | DeferredReply:
         if kind not in self.hands:
-            return Said(404, "no such path\n")
+            return Reply(404, "no such path\n")
         bans = self.hands[kind]
         knows = {HOST: self.driver.knows, ZONE: self.driver.knows_zone, SPARE: self.knows_gateway}
         known = knows.get(kind, self.is_floor)
-        if not (known(name) or name in bans.out):
-            return Said(404, "no such name\n")
-        if self.recovery is not None:
-            return self.hold_kept(self.recovery, kind, bans, out, name)
+        if not (known(name) or name in bans.active):
+            return Reply(404, "no such name\n")
+        if self.persistence is not None:
+            return self.hold_kept(self.persistence, kind, bans, out, name)
         return self.set_hand(bans, out, name)
 
-    def set_hand(self, bans: OperatorOverrides, out: bool, name: str) -> Said:
+    def set_hand(self, bans: OperatorOverrides, out: bool, name: str) -> Reply:
         try:
             bans.set(name, out)
         except OSError as error:
             log.error("what is out by hand can't be written: %s", error)
             self.budget.relieve(error)
-            return Said(503, "it could not be kept\n")
+            return Reply(503, "it could not be kept\n")
         return YES
 
     async def hold_kept(
-        self, recovery: Recovery, kind: str, bans: OperatorOverrides, out: bool, name: str
-    ) -> Said:
+        self, recovery: StatePersistence, kind: str, bans: OperatorOverrides, out: bool, name: str
+    ) -> Reply:
         """A yes is given once it is on disk."""
-        if not out and name not in bans.out:
+        if not out and name not in bans.active:
             return YES  # calls may be repeated
-        if not await recovery.commit_hand(kind, name, out):
-            return Said(503, "it could not be kept on disk\n")
+        if not await recovery.commit_override(kind, name, out):
+            return Reply(503, "it could not be kept on disk\n")
         said = self.set_hand(bans, out, name)
         if said is not YES:
-            recovery.take_back(kind, name)
+            recovery.revert_override(kind, name)
         return said
 
     def on_held(self, kind: str, name: str, out: bool, since: float) -> None:
@@ -293,8 +302,8 @@
             self.driver.hold_zone(name, out, since)
         _, noted, on, off = HANDS[kind]
         self.note(noted, name, f"{on if out else off} {since:.0f}", "by hand")
-        if self.recovery is not None:
-            self.recovery.keep_hand(kind, name, out, since)
+        if self.persistence is not None:
+            self.persistence.save_override(kind, name, out, since)
 
     def is_floor(self, name: str) -> bool:
         from switchline.fleet.staleness import floors_of
@@ -304,15 +313,15 @@
     def knows_gateway(self, name: str) -> bool:
         return self.peers is not None and name in (self.config.name, *self.peers.node.members.others)
 
-    def drain_start(self) -> Said:
+    def drain_start(self) -> Reply:
         self.drained = True
         log.info("an operator sends clients away")
         self.clients.leave(NOTICE_S)
         return YES
 
-    def drain_stop(self) -> Said:
+    def drain_stop(self) -> Reply:
         if self.clients.ending:
-            return Said(503, "this process is about to end\n")
+            return Reply(503, "this process is about to end\n")
         self.drained = False
         log.info("an operator has clients come back")
         self.clients.stay()
@@ -323,18 +332,18 @@
     async def load(self) -> None:
         """Read the state on disk, if there is any; the list in it may be newer than the known one."""
         self.begin_audit()
-        if self.recovery is not None:
-            await self.recovery.load()
+        if self.persistence is not None:
+            await self.persistence.load()
             if self.config.line is not None:
                 from switchline.fleet_runtime.list_repair import ListRepair
                 from switchline.fleet_runtime.recovery import FleetRecovery
 
                 index = self.config.settings.index
                 self.fleet_recovery = FleetRecovery(
-                    self.hands, self.recovery, self.driver, self.discovery, index
+                    self.hands, self.persistence, self.driver, self.discovery, index
                 )
                 chance = random.Random(f"{self.config.seed} level")
-                self.list_repair = ListRepair(self.driver, self.discovery, self.recovery, chance)
+                self.list_repair = ListRepair(self.driver, self.discovery, self.persistence, chance)
                 self.fleet_recovery.noted = self.list_repair.noted = self.note
 
     def begin_audit(self) -> None:
@@ -357,11 +366,11 @@
         """Begin to serve; gives the port."""
         await self.hear_discovery()
         await self.upgrade.take_over()
-        took_over = self.upgrade.told.is_set()
+        took_over = self.upgrade.state_received.is_set()
         if self.fleet_recovery is not None:
             await self.hear_fleet(self.fleet_recovery, took_over)
-        if self.recovery is not None:
-            await self.recovery.restore(
+        if self.persistence is not None:
+            await self.persistence.restore(
                 took_over, self.fleet_recovery is None or not self.fleet_recovery.verdict.old
             )
         if self.config.operator is not None:
@@ -373,9 +382,9 @@
         gc.collect()
         gc.freeze()  # what was loaded stays: no pause to look at it again
         log.info("%s serves at %s:%d", self.config.name, self.config.listen[0], port)
-        self.upgrade.serving()
-        if self.recovery is not None and took_over:
-            self.recovery.take_files()
+        self.upgrade.announce_serving()
+        if self.persistence is not None and took_over:
+            self.persistence.acquire()
         await self.upgrade.listen()
         await self.join()
         return port
@@ -417,12 +426,14 @@
             self.zone_coordinator = ZoneCoordinator(self.driver, random.Random(f"{self.config.seed} zones"))
             self.zone_coordinator.noted = self.note
         if self.audit is not None:
-            self.audit.follow(self.peers.node.order, life)
+            self.audit.join_fleet(self.peers.node.order, life)
         self.zone_coordinator.attach(self.peers)
-        if self.recovery is not None:
-            if not self.upgrade.told.is_set():  # else the other process knows better, and has told the others
-                self.zone_coordinator.recall(self.recovery.acts)
-            self.zone_coordinator.keep = self.recovery.keep_act
+        if self.persistence is not None:
+            if (
+                not self.upgrade.state_received.is_set()
+            ):  # else the other process knows better, and has told the others
+                self.zone_coordinator.recall(self.persistence.zone_decisions)
+            self.zone_coordinator.keep = self.persistence.save_zone_decision
         self.divergence = Divergence()
         self.peers.node.told = self.heard
         self.peers.node.learned = self.learn
@@ -432,7 +443,7 @@
     def look(self) -> None:
         """Called now and then, while there is a line."""
         if self.fleet_calls is not None:
-            self.fleet_calls.look()
+            self.fleet_calls.tick()
         if self.fleet_recovery is not None:
             self.fleet_recovery.look()
         if self.peers is not None and self.divergence is not None:
@@ -462,7 +473,7 @@
         if self.quarantine is None:
             self.quarantine = Quarantine(peers.line.shut_out_s, self.loop.time())
         was, one = self.quarantine.out, self.quarantine
-        spared, floors = (self.hands[kind].out if kind in self.hands else () for kind in (SPARE, FLOOR))
+        spared, floors = (self.hands[kind].active if kind in self.hands else () for kind in (SPARE, FLOOR))
         given = list_repair.own(), list_repair.is_behind, spared, floors_of(floors)
         out = one.look(peers.node, self.loop.time(), now_ms(), *given)
         self.lag(one.kind)
@@ -487,7 +498,7 @@
     def heard(self, entry: Entry) -> None:
         """A fact is new here."""
         if self.fleet_calls is not None:
-            self.fleet_calls.heard(entry)
+            self.fleet_calls.on_fact(entry)
         if self.zone_coordinator is not None:
             self.zone_coordinator.heard(entry)
 
@@ -527,14 +538,14 @@
         yield Word("list", "", str(self.discovery.version))
         yield Word("ready", "", "yes" if self.clients.takes_clients else "no")
         yield Word("index", "", str(self.config.settings.index))
-        if self.audit is not None and self.audit.on:
+        if self.audit is not None and self.audit.writing:
             yield Word("audit", "", f"{self.audit.head.n} {self.audit.head.sum}")
         if self.fleet_recovery is not None:
             yield from self.fleet_recovery.words()
         for kind, bans in self.hands.items():
-            for name, at in list(bans.out.items())[-MOST_TOLD:]:
+            for name, at in list(bans.active.items())[-MOST_TOLD:]:
                 yield Word(kind, name, "down", at)
-            for name, at in list(bans.back.items())[-MOST_TOLD:]:
+            for name, at in list(bans.cleared.items())[-MOST_TOLD:]:
                 yield Word(kind, name, "up", at)
 
     async def hear_discovery(self) -> None:
@@ -550,7 +561,7 @@
     # ---- beside another process of this gateway, in an upgrade ----
 
     def tell(self, said: list[Any]) -> None:
-        self.upgrade.tell(said)
+        self.upgrade.send(said)
 
     def hand_over(self) -> None:
         """The new process takes clients: what is open here ends, and then this process does."""
@@ -558,15 +569,15 @@
         self.clients.hand_over()
         self.budget.hand_over()
         self.part(leave=False)  # the new process has this name now
-        if self.recovery is not None:
-            self.recovery.hand_over()
+        if self.persistence is not None:
+            self.persistence.release()
         if self.emptying is None:
             self.emptying = self.loop.create_task(self.empty())
 
     async def empty(self) -> None:
         """Tell how many descriptors are held, until nothing is left to do here."""
         while self.clients.holds_clients or self.driver.requests:
-            self.upgrade.tell([HOLDS, self.budget.total])
+            self.upgrade.report_descriptors(self.budget.total)
             await asyncio.sleep(HOLDS_S)
         self.stop.set()
 
@@ -578,8 +589,8 @@
             self.emptying = None
             self.budget.take_back()
             self.clients.take_back()
-            if self.recovery is not None:
-                self.recovery.take_files()
+            if self.persistence is not None:
+                self.persistence.acquire()
             self.joining = self.loop.create_task(self.join())
 
     def share(self, held: int) -> None:
@@ -647,8 +658,8 @@
         self.guard.call("closing backends' connections", self.backends.close)
         if self.counter is not None:
             self.guard.call("closing the counter's connections", self.counter.close)
-        if self.recovery is not None:
-            self.guard.call("closing the state on disk", self.recovery.close)
+        if self.persistence is not None:
+            self.guard.call("closing the state on disk", self.persistence.close)
         if self.audit is not None:
             self.guard.call("closing the audit", self.audit.close)
         self.guard.call("closing the spare descriptor", self.budget.close)
--- /dev/null
+++ b/switchline/state/metrics.py
@@ -0,0 +1,57 @@
+"""The metrics of the state on disk, over all stores of a process."""
+
+from __future__ import annotations
+
+import time
+
+from switchline.state.restore import StateRestorer
+from switchline.state.store import StateStore
+
+
+class StateMetrics:
+    """Owns the counters, and measures for how long nothing was kept on disk."""
+
+    def __init__(self) -> None:
+        self.failures = 0
+        self.restore_ms = 0  # by which the start took longer
+        self._past_commits = 0  # of stores that are over
+        self._outage_since_s: float | None = None  # by the monotonic clock
+        self._past_outages_s = 0.0
+
+    def count_past_store(self, store: StateStore) -> None:
+        """Keep the counts of a store that is over."""
+        self._past_commits += store.commits
+
+    def begin_outage(self) -> None:
+        """Begin an outage, unless one goes on."""
+        if self._outage_since_s is None:
+            self._outage_since_s = time.monotonic()
+
+    def end_outage(self) -> float | None:
+        """End the outage; return how many seconds it took, None if there was none."""
+        if self._outage_since_s is None:
+            return None
+        outage_s = time.monotonic() - self._outage_since_s
+        self._outage_since_s = None
+        self._past_outages_s += outage_s
+        return outage_s
+
+    def gauges(self, store: StateStore | None) -> dict[str, int]:
+        """Return the gauges by name, with the store in use."""
+        age_s = time.monotonic() - store.committed_at_s if store is not None else 0.0
+        outage_s = time.monotonic() - self._outage_since_s if self._outage_since_s is not None else 0.0
+        return {
+            "state.on": int(store is not None),
+            "state.age_ms": round(age_s * 1000),
+            "state.restore_ms": self.restore_ms,
+            "state.off_ms": round((self._past_outages_s + outage_s) * 1000),
+        }
+
+    def counts(self, store: StateStore | None, restorer: StateRestorer) -> dict[str, int]:
+        """Return the counters by name, with the store in use."""
+        return {
+            "state.commits": self._past_commits + (store.commits if store is not None else 0),
+            "state.failures": self.failures,
+            "state.restored": restorer.restored,
+            "state.dropped": restorer.dropped,
+        }
--- a/switchline/upgrade/__init__.py
+++ b/switchline/upgrade/__init__.py
@@ -1,1 +1,1 @@
-"""The hand-over between two processes of one gateway."""
+"""The hand-over from an old process of a gateway to the new one that replaces it."""
--- a/switchline/upgrade/handover.py
+++ b/switchline/upgrade/handover.py
@@ -1,180 +1,153 @@
-"""The line to another process of the same gateway, while one takes over from the other."""
+"""The hand-over of a gateway from an old process to a new one, which the platform started to replace it.
+
+The new process connects to the old one's Unix socket. The old one sends all its state, ending with
+`StateSent`; from then on both share buckets and ceilings by messages. Once the new one accepts clients it
+sends `Serving`: the old one finishes its open requests, reports how many descriptors it still uses, and ends.
+If the new process is lost before that, the old one goes on as if nothing had happened.
+"""
 
 from __future__ import annotations
 
 import asyncio
-import json
 import logging
-import os
 import socket
 from collections.abc import Callable
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Any, cast
+from typing import Any
 
 from switchline.net.accept import close_socket
+from switchline.upgrade.connection import HandoverConnection, short_socket_path
+from switchline.upgrade.messages import DescriptorsInUse, Message, PolicyRecord, Serving, StateSent
 
 log = logging.getLogger(__name__)
 
-ASK_S = 1.0  # for the old process to tell all it knows; without that, this one starts as any other
-LONGEST_LINE = 64 * 1024  # bytes; the longest tells of one customer or backend
-TOLD, SERVING, HOLDS = "told", "serving", "holds"  # all is told; clients are taken; descriptors held
-
-Hear = Callable[[list[Any]], None]
+STATE_TIMEOUT_S = 1.0  # for the old process to send its state; without it this one starts from disk or empty
 
 
-class Line(asyncio.Protocol):
-    """JSON lines, both ways."""
+@dataclass(frozen=True, slots=True)
+class HandoverEvents:
+    """What the hand-over calls for events of the peer process.
 
-    def __init__(self, opened: Callable[[Line], None], heard: Hear, lost: Callable[[Line], None]) -> None:
-        self.opened, self.heard, self.lost = opened, heard, lost
-        self.transport: asyncio.Transport | None = None
-        self.rest = b""
-        self.waiting: list[list[Any]] = []  # to be written at the end of this turn of the event loop
+    Attributes:
+        joined: a new process connected: the policy is to send all its state.
+        record_received: a record for the policy; raises ValueError for a malformed one.
+        serving: the new process accepts clients.
+        left: the peer process is gone.
+        descriptors_reported: how many descriptors the old process has open.
+    """
 
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
-        self.opened(self)
+    joined: Callable[[], None]
+    record_received: Callable[[list[Any]], None]
+    serving: Callable[[], None]
+    left: Callable[[], None]
+    descriptors_reported: Callable[[int], None]
 
-    def data_received(self, data: bytes) -> None:
-        *lines, self.rest = (self.rest + data).split(b"\n")
-        try:
-            for line in lines:
-                said = json.loads(line)
-                if not isinstance(said, list) or not said:
-                    raise ValueError("not a list")
-                self.heard(said)
-            if len(self.rest) > LONGEST_LINE:
-                raise ValueError("an endless line")
-        except (ValueError, RecursionError) as error:
-            log.warning("the process beside this one can't be understood: %s", error)
-            self.close()
-
-    def connection_lost(self, error: Exception | None) -> None:
-        self.transport = None
-        self.lost(self)
-
-    def tell(self, said: list[Any]) -> None:
-        if not self.waiting:
-            asyncio.get_running_loop().call_soon(self._flush)
-        self.waiting.append(said)
-
-    def _flush(self) -> None:
-        lines = b"".join(json.dumps(said, separators=(",", ":")).encode() + b"\n" for said in self.waiting)
-        self.waiting.clear()
-        if self.transport is not None:
-            self.transport.write(lines)
 
-    def close(self) -> None:
-        if self.transport is not None:
-            self.transport.close()
+class UpgradeHandover:
+    """Owns the socket for the next process and the connection to the peer process, one at a time.
 
+    Args:
+        path: the socket, alike for all processes of one gateway.
+        events: the receiver of the peer's events.
+    """
 
-class UpgradeHandover:
-    """Owns the line; tells who serves and hands on what the module says to the other process."""
-
-    def __init__(
-        self,
-        path: Path,
-        came: Callable[[], None],
-        heard: Hear,
-        handed: Callable[[], None],
-        left: Callable[[], None],
-        holds: Callable[[int], None],
-    ) -> None:
+    def __init__(self, path: Path, events: HandoverEvents) -> None:
         self.path = path
-        self.came, self.hear = came, heard  # a new process asks for all; the module is told something
-        self.handed, self.left = handed, left  # the new process takes clients; the other one is gone
-        self.holds = holds  # how many descriptors the old one holds
-        self.line: Line | None = None
-        self.told = asyncio.Event()
+        self.events = events
+        self.peer: HandoverConnection | None = None
+        self.state_received = asyncio.Event()  # this process took over from an older one
         self.listener: asyncio.Server | None = None
 
-    def tell(self, said: list[Any]) -> None:
-        if self.line is not None:
-            self.line.tell(said)
+    def send(self, record: list[Any]) -> None:
+        """Send a record of the policy to the peer process, if there is one."""
+        self._send(PolicyRecord(record))
+
+    def announce_serving(self) -> None:
+        """Let the old process know that this one accepts clients."""
+        self._send(Serving())
+
+    def report_descriptors(self, count: int) -> None:
+        """Let the new process know how many descriptors this one still has open."""
+        self._send(DescriptorsInUse(count))
+
+    def _send(self, message: Message) -> None:
+        if self.peer is not None:
+            self.peer.send(message)
 
     async def take_over(self) -> None:
-        """Learn what an older process of this gateway knows, if there is one."""
-        loop = asyncio.get_running_loop()
+        """Receive the state of an older process of this gateway, if there is one.
+
+        Returns within `STATE_TIMEOUT_S`; `state_received` is set if all of it came.
+        """
         try:
-            async with asyncio.timeout(ASK_S):
-                with opened_directory(self.path) as place:
-                    line = Line(self._opened, self._heard, self._lost)
-                    await loop.create_unix_connection(lambda: line, place)
-                await self.told.wait()
+            async with asyncio.timeout(STATE_TIMEOUT_S):
+                await self._connect()
+                await self.state_received.wait()
             log.info("this process takes over from another")
         except FileNotFoundError:
-            pass  # the first of its name
+            pass  # no process of this gateway has listened yet
         except OSError as error:  # time-outs are among these
             log.info("nothing is taken over: %s", " ".join(str(error).split()) or type(error).__name__)
-            if self.line is not None:
-                self.line.close()
+            if self.peer is not None:
+                self.peer.close()
+
+    async def _connect(self) -> None:
+        with short_socket_path(self.path) as address:
+            connection = HandoverConnection(self._connected, self._on_message, self._on_lost)
+            await asyncio.get_running_loop().create_unix_connection(lambda: connection, address)
 
     async def listen(self) -> None:
-        """Be found by the next process."""
+        """Listen for the next process; a failure is logged, and the next process then starts from disk."""
         try:
             await self._listen()
         except OSError as error:
             log.warning("the next process will not find this one: %s", error)
 
     async def _listen(self) -> None:
-        made = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+        listening = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
-            with opened_directory(self.path) as place:
+            with short_socket_path(self.path) as address:
                 self.path.unlink(missing_ok=True)
-                made.bind(place)
+                listening.bind(address)
             self.listener = await asyncio.get_running_loop().create_unix_server(
-                lambda: Line(self._asked, self._heard, self._lost), sock=made
+                lambda: HandoverConnection(self._accepted, self._on_message, self._on_lost), sock=listening
             )
         except OSError:
-            close_socket(made)
+            close_socket(listening)
             raise
 
-    def serving(self) -> None:
-        self.tell([SERVING])
-
-    def _opened(self, line: Line) -> None:
-        self.line = line
+    def _connected(self, connection: HandoverConnection) -> None:
+        self.peer = connection
 
-    def _asked(self, line: Line) -> None:
-        if self.line is not None:
-            return line.close()  # one at a time
+    def _accepted(self, connection: HandoverConnection) -> None:
+        if self.peer is not None:
+            connection.close()
+            return
         log.info("another process asks to take over")
-        self.line = line
-        self.came()
-        line.tell([TOLD])
-
-    def _heard(self, said: list[Any]) -> None:
-        if said[0] == TOLD:
-            self.told.set()
-        elif said[0] == SERVING:
-            self.handed()
-        elif said[0] == HOLDS and len(said) > 1 and isinstance(said[1], int):
-            self.holds(said[1])
-        else:
-            self.hear(said)
-
-    def _lost(self, line: Line) -> None:
-        if line is self.line:
-            self.line = None
-            self.left()
+        self.peer = connection
+        self.events.joined()
+        connection.send(StateSent())
+
+    def _on_message(self, message: Message) -> None:
+        match message:
+            case StateSent():
+                self.state_received.set()
+            case Serving():
+                self.events.serving()
+            case DescriptorsInUse(count):
+                self.events.descriptors_reported(count)
+            case PolicyRecord(fields):
+                self.events.record_received(fields)
+
+    def _on_lost(self, connection: HandoverConnection) -> None:
+        if connection is self.peer:
+            self.peer = None
+            self.events.left()
 
     def close(self) -> None:
+        """Stop listening, and close the connection to the peer process."""
         if self.listener is not None:
             self.listener.close()
-        if self.line is not None:
-            self.line.close()
-
-
-class opened_directory:
-    """A short name for a socket's path, which may hold 107 bytes at most whatever `$TMPDIR` is."""
-
-    def __init__(self, path: Path) -> None:
-        self.path = path
-
-    def __enter__(self) -> str:
-        self.fd = os.open(self.path.parent, os.O_PATH | os.O_DIRECTORY)
-        return f"/proc/self/fd/{self.fd}/{self.path.name}"
-
-    def __exit__(self, *_: object) -> None:
-        os.close(self.fd)
+        if self.peer is not None:
+            self.peer.close()
--- a/switchline/zones/coordination.py
+++ b/switchline/zones/coordination.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from switchline.audit.recorder import Noted
+from switchline.audit.recorder import AuditCallback
 from switchline.clock import now_ms
 from switchline.fleet.facts import ZONE_ACT
 from switchline.fleet.messages import Entry
@@ -47,7 +47,7 @@
         self.words: dict[str, Word] = {}
         self.versions: dict[str, int] = {}
         self.over_said = False
-        self.noted: Noted = lambda kind, of, version, cause: None  # of the audit
+        self.noted: AuditCallback = lambda kind, of, version, cause: None  # of the audit
         self.keep: Callable[[str, list[Any]], None] | None = None  # on disk
 
     def attach(self, peers: Peers) -> None:
--- a/tests/audit/test_audit.py
+++ b/tests/audit/test_audit.py
@@ -16,10 +16,11 @@
 from hypothesis import strategies as st
 
 from switchline import ctl
-from switchline.audit import ctl as ctl_audit
 from switchline.audit import queries as audit_queries
-from switchline.audit.recorder import MOST_HELD, Audit
-from switchline.audit.segments import MOST_SEGMENTS, AuditError, Segments, Writer, lines, paths
+from switchline.audit import sources as audit_sources
+from switchline.audit.recorder import MAX_RECENT_RECORDS, Audit
+from switchline.audit.segments import MAX_SEGMENTS, AuditError, Segments, segment_paths, text_lines
+from switchline.audit.writer import AuditWriter
 from switchline.config import ConfigError, parse_audit, parse_config
 from switchline.fleet.chain import FIRST, GAP, Head, Record, read, verify, write
 from switchline.fleet.hybrid_clock import AHEAD_MS, HybridClock
@@ -119,25 +120,25 @@
 
 
 def found(folder: Path, head: Head | None = None) -> tuple[list[Record], list[Any]]:
-    return verify(((path.name, lines(path)) for path in paths(folder)), head)[:2]
+    return verify(((path.name, text_lines(path)) for path in segment_paths(folder)), head)[:2]
 
 
 def test_a_chain_goes_on_after_a_start_and_a_torn_end_is_cut(tmp_path: Path) -> None:
     filled(tmp_path, 3)
-    whole = paths(tmp_path)[0].read_bytes()
+    whole = segment_paths(tmp_path)[0].read_bytes()
     for torn in (whole[:-1], whole[: len(whole) - 40], whole + b"\xff{half a rec"):
-        paths(tmp_path)[0].write_bytes(torn)
+        segment_paths(tmp_path)[0].write_bytes(torn)
         segments = Segments(tmp_path, "g0")
-        assert segments.cut and segments.head.n in (2, 3)
+        assert segments.bytes_cut and segments.head.n in (2, 3)
         segments.add(record(0))
         segments.close()
         assert not found(tmp_path)[1]
-        paths(tmp_path)[0].write_bytes(whole)
+        segment_paths(tmp_path)[0].write_bytes(whole)
 
 
 def test_a_torn_end_after_a_line_that_is_no_text_is_cut_where_it_begins(tmp_path: Path) -> None:
     filled(tmp_path, 4)
-    path = paths(tmp_path)[0]
+    path = segment_paths(tmp_path)[0]
     made = path.read_bytes().splitlines(keepends=True)
     path.write_bytes(made[0] + b"\xff\xfe\xfd\n" + b"".join(made[1:]) + b"torn off here, longer than that")
     Segments(tmp_path, "g0").close()
@@ -145,12 +146,15 @@
 
 
 def test_segments_rotate_and_the_oldest_give_way(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("switchline.audit.segments.SEGMENT_BYTES", 2_000)
+    monkeypatch.setattr("switchline.audit.segments.MAX_SEGMENT_BYTES", 2_000)
     filled(tmp_path, 400)
-    assert len(paths(tmp_path)) == MOST_SEGMENTS and sum(p.stat().st_size for p in paths(tmp_path)) < 40_000
+    assert (
+        len(segment_paths(tmp_path)) == MAX_SEGMENTS
+        and sum(p.stat().st_size for p in segment_paths(tmp_path)) < 40_000
+    )
     records, wrong = found(tmp_path)
     assert not wrong and records[-1].n == 400 and records[0].n > 1
-    paths(tmp_path)[7].unlink()
+    segment_paths(tmp_path)[7].unlink()
     assert found(tmp_path)[1]
 
 
@@ -171,8 +175,8 @@
 ) -> None:
     folder = tmp_path_factory.mktemp("spoilt")
     filled(folder, 4)
-    data = paths(folder)[0].read_bytes()
-    paths(folder)[0].write_bytes(data[:place] + noise + data[place + len(noise) :])
+    data = segment_paths(folder)[0].read_bytes()
+    segment_paths(folder)[0].write_bytes(data[:place] + noise + data[place + len(noise) :])
     try:
         segments = Segments(folder, "g0")
         segments.add(record(0))
@@ -192,8 +196,8 @@
 def test_a_disk_that_fails_is_counted_and_told_by_a_record(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("switchline.audit.segments.SYNC_S", 0.01)
-    monkeypatch.setattr("switchline.audit.segments.RETRY_S", 0.01)
+    monkeypatch.setattr("switchline.audit.writer.SYNC_INTERVAL_S", 0.01)
+    monkeypatch.setattr("switchline.audit.writer.RETRY_INTERVAL_S", 0.01)
     heads: list[tuple[Head, bool]] = []
     folder = tmp_path / "audit"
     folder.write_text("no folder")
@@ -201,12 +205,12 @@
     def gap(why: str, lost: int) -> Record:
         return record(0, kind=GAP, version="", cause=why, counts={"lost": lost})
 
-    monkeypatch.setattr("switchline.audit.segments.MOST_WAITING", 5)
-    writer = Writer(folder, "g0", gap, lambda head, on: heads.append((head, on)))
+    monkeypatch.setattr("switchline.audit.writer.MAX_WAITING", 5)
+    writer = AuditWriter(folder, "g0", gap, lambda head, on: heads.append((head, on)))
     for n in range(20):
         writer.add(record(n))
         assert waited(lambda: writer.queue.qsize() < 5)
-    assert waited(lambda: writer.faults > 1 and writer.lost + writer.over > 0)
+    assert waited(lambda: writer.faults > 1 and writer.lost + writer.overflowed > 0)
     folder.unlink()
     assert waited(lambda: any(on for _, on in heads))
     writer.add(record(99))
@@ -221,22 +225,22 @@
 def test_a_version_is_recorded_when_it_changes_with_the_acts_under_the_one_before() -> None:
     acts = {"forwards": 0}
     audit = Audit("g0", LIFE, None, lambda: acts)
-    audit.note("list", "", "1", "start")
+    audit.record("list", "", "1", "start")
     acts["forwards"] = 12
-    audit.note("list", "", "1")
-    audit.note("list", "", "2", "discovery")
-    audit.note("ban", "b1", "down 5")
-    audit.note("behind", "list", "", "most have 3")
-    told = json.loads(audit.shown())
+    audit.record("list", "", "1")
+    audit.record("list", "", "2", "discovery")
+    audit.record("ban", "b1", "down 5")
+    audit.record("behind", "list", "", "most have 3")
+    told = json.loads(audit.to_json())
     assert [(r["kind"], r.get("version", "")) for r in told["records"]] == [
         *(("list", "1"), ("list", "2"), ("ban", "down 5"), ("behind", ""))
     ]
     assert told["records"][1]["before"] == "1" and told["records"][1]["counts"] == {"forwards": 12}
     assert {(r["kind"], r["version"]) for r in told["versions"]} == {("list", "2"), ("ban", "down 5")}
-    for n in range(2 * MOST_HELD):
-        audit.note("ban", f"b{n}", "down 1" * 200)
-    assert len(audit.held) == MOST_HELD == len(audit.versions)
-    assert audit.gauges() == {"audit.records": 4 + 2 * MOST_HELD}
+    for n in range(2 * MAX_RECENT_RECORDS):
+        audit.record("ban", f"b{n}", "down 1" * 200)
+    assert len(audit.recent) == MAX_RECENT_RECORDS == len(audit.versions)
+    assert audit.gauges() == {"audit.records": 4 + 2 * MAX_RECENT_RECORDS}
 
 
 # ---- questions ----
@@ -257,13 +261,13 @@
 
 def test_who_is_behind_when_each_took_it_and_what_each_acted_on() -> None:
     audits = three()
-    held = {one.name: one.behind_s for one in audit_queries.who(audits, "list", 12_500.0)}
+    held = {one.name: one.behind_s for one in audit_queries.holdings(audits, "list", 12_500.0)}
     assert held == {"g0": None, "g1": None, "g2": 10.0}
-    took = audit_queries.when(audits, "list", "2")
+    took = audit_queries.adoptions(audits, "list", "2")
     assert [(one.name, one.after_s) for one in took] == [("g0", 0.0), ("g1", 0.5)]
-    assert audit_queries.at_time(audits["g1"], 2_400.0)["list", ""].version == "1 aa"
+    assert audit_queries.versions_at(audits["g1"], 2_400.0)["list", ""].version == "1 aa"
     assert [one.of for one in audit_queries.trace(audits, "b")] == ["a>b"]
-    assert [one.name for one in audit_queries.in_order(audits)] == ["g0", "g1", "g2", "g0", "g1", "g1"]
+    assert [one.name for one in audit_queries.in_causal_order(audits)] == ["g0", "g1", "g2", "g0", "g1", "g1"]
 
 
 def test_ctl_audit_answers_from_folders_and_names_what_it_could_not_reach(tmp_path: Path) -> None:
@@ -288,7 +292,7 @@
     code, told = asked("trace", "b", *folders, str(tmp_path / "nowhere"))
     assert code == 1 and "a>b" in told and "nowhere" in told
     assert asked("verify", *folders)[0] == 0
-    path = paths(tmp_path / "g1")[0]
+    path = segment_paths(tmp_path / "g1")[0]
     path.write_text(path.read_text().replace("failing", "passing"))
     code, told = asked("verify", *folders)
     assert code == 1 and "not as it was written" in told
@@ -299,10 +303,10 @@
 
 def test_a_chain_that_ends_before_what_others_were_told_of_is_found(tmp_path: Path) -> None:
     head = filled(tmp_path, 4)
-    assert not ctl_audit.of_folder(tmp_path, {"g0": head}).findings
-    whole = paths(tmp_path)[0].read_text().splitlines(keepends=True)
-    paths(tmp_path)[0].write_text("".join(whole[:-1]))
-    assert ctl_audit.of_folder(tmp_path, {"g0": head}).findings
+    assert not audit_sources.read_folder(tmp_path, {"g0": head}).findings
+    whole = segment_paths(tmp_path)[0].read_text().splitlines(keepends=True)
+    segment_paths(tmp_path)[0].write_text("".join(whole[:-1]))
+    assert audit_sources.read_folder(tmp_path, {"g0": head}).findings
 
 
 @pytest.mark.parametrize("given", [3, "", "a\0b", ["x"], "x" * 2_000])
@@ -340,14 +344,14 @@
     folders = {name: played.folder / "gateways" / name / "audit" for name in (f"g{n}" for n in range(6))}
     audits = {}
     for name, folder in folders.items():
-        source = ctl_audit.of_folder(folder)
+        source = audit_sources.read_folder(folder)
         assert source.name == name and not source.findings
         audits[name] = source.records
         told = {e["seq"] for e in played.of("told", g=name)}
         took = {int(r.version.split()[0]) for r in source.records if r.kind == "list" and r.version[0] != "N"}
         assert told <= took, (name, told, took)
     lists = [e["seq"] for e in played.of("list", b="b1", health="draining")]
-    took_it = {one.name: one.after_s for one in audit_queries.when(audits, "list", str(lists[0]))}
+    took_it = {one.name: one.after_s for one in audit_queries.adoptions(audits, "list", str(lists[0]))}
     assert {"g0", "g1", "g2", "g5"} <= took_it.keys() and took_it.get("g3", 9.0) > 5.0  # healed
     kinds = [r.kind for r in audits["g3"]]
     assert "behind" in kinds and "brought up" in kinds
@@ -360,5 +364,5 @@
     # The one that was called comes before all others in the order: they heard of it from there.
     order = [r.name for r in audit_queries.trace(audits, "b2") if r.kind == "ban"]
     assert order[0] == "g2"
-    for one, other in itertools.pairwise(audit_queries.in_order({"g1": audits["g1"]})):
+    for one, other in itertools.pairwise(audit_queries.in_causal_order({"g1": audits["g1"]})):
         assert one.at < other.at
--- a/tests/clients/test_connections.py
+++ b/tests/clients/test_connections.py
@@ -31,7 +31,7 @@
 from switchline.net.accept import Acceptor, Pace
 from switchline.net.descriptors import FIXED, LEAST, OWN, Budget, Part, Shares
 from switchline.net.streams import BufferBudget
-from switchline.operators.metrics import Evicted, Metrics
+from switchline.operators.metrics import EvictionReason, Metrics
 from switchline.policy.fair_shares import FairShares
 from switchline.policy.interface import BackendState, Outcome
 from testbed.network.addresses import claimed_port
@@ -268,7 +268,7 @@
     proven = [place.idle() for _ in range(96)]
     silent = [place.connect("127.0.0.9") for _ in range(100)]
     assert not any(map(ended, proven)) and [bool(ended(c)) for c in silent] == [True] * 68 + [False] * 32
-    assert place.figures.evicted[Evicted.YOUNG] == 68
+    assert place.figures.evictions[EvictionReason.YOUNG] == 68
     place.settle()
     assert place.budget.held[Part.CLIENTS] == 128
     assert place.server.gauges() == {"clients.young": 32, "clients.in_use": 0, "clients.idle": 96}
@@ -338,7 +338,7 @@
         young = [c for c in place.server.young if before[c] == "young"]
         oldest = young[0] if young else None
         held = {peer: list(place.server.proven[peer]) for peer in place.server.proven}
-        evicted, crowded = dict(place.figures.evicted), place.handler.crowded
+        evicted, crowded = dict(place.figures.evictions), place.handler.crowded
         there = [c for c in known if before[c] != "gone"]
         chosen = there[number % len(there)] if there else None
         if what == "come":
@@ -357,7 +357,7 @@
             chosen.connection_lost(None)
         gone = [c for c in known[:-1] if before.get(c) != "gone" and state(c) == "gone"]
         gone = [c for c in gone if what != "leave" or c is not chosen]
-        if place.figures.evicted[Evicted.CROWDED] > evicted[Evicted.CROWDED]:
+        if place.figures.evictions[EvictionReason.CROWDED] > evicted[EvictionReason.CROWDED]:
             assert gone == [chosen] and gone[0].surplus and what != "come"
             gone = []
         assert len(gone) <= 1 and all(before[c] in ("young", "idle") for c in gone)
@@ -430,15 +430,15 @@
     assert isinstance(unread.transport, Wire)
     unread.transport.left = 50
     for connection, limit, reason in (
-        (idle, clients.UNUSED_S, Evicted.UNUSED),
-        (middle, clients.OWED_S, Evicted.OWING),
-        (unread, clients.UNREAD_S, Evicted.UNREAD),
+        (idle, clients.UNUSED_S, EvictionReason.UNUSED),
+        (middle, clients.OWED_S, EvictionReason.OWING),
+        (unread, clients.UNREAD_S, EvictionReason.UNREAD),
     ):
         connection.check(start)
         connection.check(start + limit - 0.1)
         assert not ended(connection), reason
         connection.check(start + limit + 0.1)
-        assert ended(connection) and place.figures.evicted[reason] == 1, reason
+        assert ended(connection) and place.figures.evictions[reason] == 1, reason
     place.settle()
     assert place.budget.held[Part.CLIENTS] == 0 and not place.server.shares.held and not place.server.proven
 
@@ -607,7 +607,11 @@
             tries = [Try(made) for _ in range(10)]
             assert made.gauges()["backends.opening"] == 4 and made.gauges()["backends.waiting"] == 10
             await until(lambda: len(server.got) == 10)
-            assert made.figures.begun == 10 and made.figures.waited == 10 and not made.figures.failed
+            assert (
+                made.figures.handshakes_begun == 10
+                and made.figures.handshake_waits == 10
+                and not made.figures.handshakes_failed
+            )
             assert not any(t.endings for t in tries)
 
     in_loop(scenario)
@@ -737,7 +741,7 @@
         scene.driver.on_client_gone("r0")
         assert scene.driver.shares.held == {"00000000b4d65521": 11, "00000000b4d65522": 1}
         scene.driver.end_all()
-        assert not scene.driver.shares.held and scene.figures.crowded == 8
+        assert not scene.driver.shares.held and scene.figures.rejected_for_capacity == 8
 
     in_loop(scenario)
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -35,9 +35,9 @@
 @pytest.fixture(autouse=True)
 def patient_store(monkeypatch: pytest.MonkeyPatch) -> None:
     """No test depends on the disk's speed, unless it sets these itself."""
-    monkeypatch.setattr("switchline.state.store.PATIENCE_S", 30.0)
-    for name in ("LOAD_S", "HAND_S", "LOCK_S"):
-        monkeypatch.setattr(f"switchline.state.recovery.{name}", 15.0)
+    monkeypatch.setattr("switchline.state.store.COMMIT_TIMEOUT_S", 30.0)
+    for name in ("LOAD_TIMEOUT_S", "OVERRIDE_COMMIT_TIMEOUT_S", "LOCK_TIMEOUT_S"):
+        monkeypatch.setattr(f"switchline.state.persistence.{name}", 15.0)
 
 
 def read_known_red(text: str) -> dict[str, str]:
--- a/tests/fleet/test_outage.py
+++ b/tests/fleet/test_outage.py
@@ -159,10 +159,10 @@
     def __init__(self, *hosts: str) -> None:
         self.hosts = [{"host": n, "dial": "127.0.0.1:1", "health": "up", "born_ms": 0.0} for n in hosts]
 
-    def down_s(self) -> float:
+    def downtime_s(self) -> float:
         return 2.0
 
-    def listed(self) -> list[dict[str, Any]]:
+    def saved_hosts(self) -> list[dict[str, Any]]:
         return self.hosts
 
 
@@ -361,7 +361,7 @@
         "b:1": view("g1", "spending", down_s=None, waiting_for=["g7"]),
         "c:1": {"name": "g2"},
     }
-    monkeypatch.setattr(ctl, "ask", answers.__getitem__)
+    monkeypatch.setattr(ctl, "fetch_view", answers.__getitem__)
     with pytest.raises(SystemExit) as ended:
         ctl.recovery.main(["a:1", "b:1", "c:1", "--json"], standalone_mode=False)
     told = json.loads(capsys.readouterr().out)
@@ -387,7 +387,7 @@
 def test_no_wait_for_one_that_never_answers_is_longer_than_its_bound(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(fleet_recovery, "SPENDING_S", 0.1)
     kept: Any = RecordsPersisted("h1")
-    kept.down_s, kept.restored = (lambda: math.nan), 0
+    kept.downtime_s, kept.restored = (lambda: math.nan), 0
     driver: Any = SimpleNamespace(settings=SimpleNamespace(gateways=2), withheld=0)
     one = FleetRecovery({}, kept, driver, kept, 0)
     one.attach(cast(Any, Neighbour()))
--- a/tests/operators/test_operators.py
+++ b/tests/operators/test_operators.py
@@ -100,7 +100,7 @@
 
 
 def test_a_stalled_call_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(operators, "CALL_S", 0.02)
+    monkeypatch.setattr(operators, "CALL_TIMEOUT_S", 0.02)
 
     async def scenario() -> None:
         async with running(World(Backend())) as world:
--- a/tests/operators/test_overrides.py
+++ b/tests/operators/test_overrides.py
@@ -84,11 +84,11 @@
         other.set("h1", True)
         other.set("h0", False)
         await until(lambda: len(heard) == 6)
-        assert one.out.keys() == other.out.keys() == {"h1"}
+        assert one.active.keys() == other.active.keys() == {"h1"}
         third = OperatorOverrides(
             tmp_path / "bans.json", timers, lambda host, out, since: heard.append((host, out))
         )
-        assert heard[6:] == [("h1", True), ("h0", False)] and third.out.keys() == {"h1"}
+        assert heard[6:] == [("h1", True), ("h0", False)] and third.active.keys() == {"h1"}
 
     in_loop(scenario)
 
--- a/tests/state/test_recovery.py
+++ b/tests/state/test_recovery.py
@@ -23,8 +23,10 @@
 
 from switchline.config import ConfigError, parse_config
 from switchline.net.descriptors import OF_STATE, OWN, Budget
-from switchline.state import recovery, store
-from switchline.state.store import FILE, Files
+from switchline.state import endpoint_list, persistence, store
+from switchline.state.folder import DATABASE_FILE
+from switchline.state.records import PendingRecord, RecordKey
+from switchline.state.storage import StateStorage
 from testbed.network.addresses import claimed_port
 from testbed.network.sockets import Peer
 from testbed.stand_ins.agents import host
@@ -169,13 +171,13 @@
 
     async def scenario() -> None:
         await play("41")
-        with sqlite3.connect(tmp_path / "s" / FILE) as database:
+        with sqlite3.connect(tmp_path / "s" / DATABASE_FILE) as database:
             database.execute("DELETE FROM rows WHERE kind='host'")
         database.close()
         await play("41")  # a host is missing, and would not be told again
         await play("50")
         shutil.rmtree(tmp_path / "s")
-        monkeypatch.setattr(recovery, "MOST_HOSTS", 1)
+        monkeypatch.setattr(endpoint_list, "MAX_HOSTS", 1)
         await play("41")
         await play("41")  # of two hosts one was kept
 
@@ -212,7 +214,7 @@
     async def scenario() -> None:
         folder = tmp_path / "s"
         folder.mkdir()
-        (folder / FILE).write_bytes(b"what" * 5_000)
+        (folder / DATABASE_FILE).write_bytes(b"what" * 5_000)
         async with running(RecordsPersisted(folder, Backend())) as world:
             assert await spend(world) >= 2
         assert (folder / "aside-1.db").exists()
@@ -242,7 +244,7 @@
 def test_a_fault_while_running_leaves_service_and_a_new_file_is_begun(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(recovery, "AGAIN_S", 0.2)
+    monkeypatch.setattr(persistence, "RETRY_INTERVAL_S", 0.2)
 
     async def scenario() -> None:
         async with running(RecordsPersisted(tmp_path / "s", Backend())) as world:
@@ -265,15 +267,15 @@
 
 
 def test_an_operator_s_yes_waits_for_the_commit(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    was = Files.commit
+    was = StateStorage.commit
     shut: list[bool] = []
 
-    def commit(self: Files, rows: dict[tuple[str, str], tuple[float, str | None]], whole: bool) -> None:
-        if shut and any(kind.startswith("held") for kind, _ in rows):
+    def commit(self: StateStorage, records: dict[RecordKey, PendingRecord], replace_all: bool) -> None:
+        if shut and any(kind.startswith("held") for kind, _ in records):
             raise sqlite3.OperationalError("disk I/O error")
-        was(self, rows, whole)
+        was(self, records, replace_all)
 
-    monkeypatch.setattr(Files, "commit", commit)
+    monkeypatch.setattr(StateStorage, "commit", commit)
 
     async def scenario() -> None:
         async with running(RecordsPersisted(tmp_path / "s", Backend(), Backend())) as world:
@@ -299,16 +301,16 @@
 def test_an_operator_s_call_that_the_disk_keeps_waiting_is_a_no(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(recovery, "HAND_S", 0.1)
-    monkeypatch.setattr(store, "PATIENCE_S", 30.0)
-    was, go_on = Files.commit, threading.Event()
+    monkeypatch.setattr(persistence, "OVERRIDE_COMMIT_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(store, "COMMIT_TIMEOUT_S", 30.0)
+    was, go_on = StateStorage.commit, threading.Event()
 
-    def commit(self: Files, rows: dict[tuple[str, str], tuple[float, str | None]], whole: bool) -> None:
-        if any(kind.startswith("held") for kind, _ in rows):
+    def commit(self: StateStorage, records: dict[RecordKey, PendingRecord], replace_all: bool) -> None:
+        if any(kind.startswith("held") for kind, _ in records):
             go_on.wait(15)
-        was(self, rows, whole)
+        was(self, records, replace_all)
 
-    monkeypatch.setattr(Files, "commit", commit)
+    monkeypatch.setattr(StateStorage, "commit", commit)
 
     async def scenario() -> None:
         async with running(RecordsPersisted(tmp_path / "s", Backend(), Backend())) as world:
@@ -345,7 +347,7 @@
         process.send_signal(signal.SIGTERM)  # it may come during a commit
         peer.close()
         assert await process.wait() == 0
-        assert (folder / FILE).exists() and not list(folder.glob("aside*"))
+        assert (folder / DATABASE_FILE).exists() and not list(folder.glob("aside*"))
         for server in (*world.backends, world.counter, world.discovery):
             await server.stop()
 
--- a/tests/state/test_store.py
+++ b/tests/state/test_store.py
@@ -17,8 +17,14 @@
 
 import pytest
 
-from switchline.state import store as module
-from switchline.state.store import FILE, MOST_ASIDE, MOST_STARTS, Files, Found, Held, Store
+from switchline.state import database as database_module
+from switchline.state import store as store_module
+from switchline.state.database import MAX_STARTS
+from switchline.state.errors import FolderLockedError
+from switchline.state.folder import DATABASE_FILE, MAX_ASIDE
+from switchline.state.records import MAX_BODY_CHARS, MAX_NAME_BYTES, PendingRecord, RecordKey, SavedState
+from switchline.state.storage import StateStorage
+from switchline.state.store import StateStore, StoreEvents
 from testbed.network.sockets import until
 from testbed.stand_ins.single_gateway import in_loop
 
@@ -26,54 +32,57 @@
 NAME = "n0"
 
 
-def life(folder: Path, rows: dict[tuple[str, str], object], now: float = 1.0) -> Found:
+def life(folder: Path, rows: dict[tuple[str, str], object], now: float = 1.0) -> SavedState:
     """One short life: read, write these rows as all there is, end."""
-    files = Files(folder, NAME, lambda: now)
+    files = StateStorage(folder, NAME, lambda: now)
     try:
-        files.hold(0)
+        files.lock(0)
         found = files.open(fresh=False)
-        files.start()
-        files.commit({key: (now, json.dumps(said)) for key, said in rows.items()}, whole=True)
+        files.record_start()
+        files.commit(
+            {RecordKey(*key): PendingRecord(now, json.dumps(said)) for key, said in rows.items()},
+            replace_all=True,
+        )
     finally:
         files.close()
     return found
 
 
-def peek(folder: Path, name: str = NAME, now: float = 9.0) -> Found:
-    files = Files(folder, name, lambda: now)
+def peek(folder: Path, name: str = NAME, now: float = 9.0) -> SavedState:
+    files = StateStorage(folder, name, lambda: now)
     try:
-        files.hold(0)
+        files.lock(0)
         return files.open(fresh=False)
     finally:
         files.close()
 
 
-def said(found: Found) -> dict[tuple[str, str], object]:
-    return {(row.kind, row.name): row.said for row in found.rows}
+def said(found: SavedState) -> dict[tuple[str, str], object]:
+    return {(row.kind, row.name): row.value for row in found.records}
 
 
 MANY = {("customer", f"{n:016x}"): ["customer", f"{n:016x}", "basic", 0, [n + 0.5] * 18] for n in range(300)}
 
 
 def test_what_is_written_is_found_with_its_time_and_its_lives(tmp_path: Path) -> None:
-    assert life(tmp_path, MANY, now=1.0) == Found([], 0.0, (), 0)
+    assert life(tmp_path, MANY, now=1.0) == SavedState([], 0.0, (), 0)
     found = life(tmp_path, {("host", "h"): {"x": 1}}, now=2.0)
-    assert said(found) == MANY and found.alive == 1.0 and found.restarts == (2.0,)
+    assert said(found) == MANY and found.last_alive_ms == 1.0 and found.restarts_ms == (2.0,)
     found = peek(tmp_path, now=3.0)
-    assert said(found) == {("host", "h"): {"x": 1}} and found.restarts == (2.0, 3.0)
+    assert said(found) == {("host", "h"): {"x": 1}} and found.restarts_ms == (2.0, 3.0)
     for number in range(20):
         life(tmp_path, {}, now=4.0 + number)
-    assert len(peek(tmp_path).restarts) == MOST_STARTS - 1
+    assert len(peek(tmp_path).restarts_ms) == MAX_STARTS - 1
 
 
 def test_a_second_process_is_kept_out_until_the_first_is_gone(tmp_path: Path) -> None:
-    one, two = Files(tmp_path, NAME, lambda: 1.0), Files(tmp_path, NAME, lambda: 1.0)
-    one.hold(0)
-    with pytest.raises(Held):
-        two.hold(0)
+    one, two = StateStorage(tmp_path, NAME, lambda: 1.0), StateStorage(tmp_path, NAME, lambda: 1.0)
+    one.lock(0)
+    with pytest.raises(FolderLockedError):
+        two.lock(0)
     two.close()
     one.close()
-    two.hold(0)
+    two.lock(0)
     two.close()
 
 
@@ -82,14 +91,14 @@
 
 @pytest.mark.parametrize("kind", SPOILT)
 def test_files_that_are_none_of_ours_are_set_aside(tmp_path: Path, kind: str) -> None:
-    path = tmp_path / FILE
+    path = tmp_path / DATABASE_FILE
     if kind == "random":
         path.write_bytes(random.Random(1).randbytes(3 * PAGE))
     elif kind == "empty":
         path.write_bytes(b"")
     elif kind == "large":
         with path.open("wb") as file:
-            file.truncate(module.LARGEST_FILE + 1)
+            file.truncate(database_module.MAX_FILE_BYTES + 1)
     elif kind == "folder":
         path.mkdir()
     elif kind == "other":
@@ -101,30 +110,30 @@
             database.execute(change.get(kind, "DELETE FROM rows WHERE kind='meta'"))
         database.close()
     found = peek(tmp_path, "n1" if kind == "other" else NAME)
-    assert found == Found([], 0.0, (), 0)
+    assert found == SavedState([], 0.0, (), 0)
     assert [place.name for place in tmp_path.glob("aside-*.db")] == ["aside-1.db"]
 
 
 def test_a_bounded_number_is_set_aside(tmp_path: Path) -> None:
-    for number in range(MOST_ASIDE + 3):
-        (tmp_path / FILE).write_bytes(b"%d" % number * 100)
-        (tmp_path / (FILE + "-wal")).write_bytes(b"w")
+    for number in range(MAX_ASIDE + 3):
+        (tmp_path / DATABASE_FILE).write_bytes(b"%d" % number * 100)
+        (tmp_path / (DATABASE_FILE + "-wal")).write_bytes(b"w")
         peek(tmp_path)
     aside = list(tmp_path.glob("aside-*.db"))
-    assert len(aside) == MOST_ASIDE
-    assert any(place.read_bytes()[:1] == b"%d" % (MOST_ASIDE + 2) for place in aside)
+    assert len(aside) == MAX_ASIDE
+    assert any(place.read_bytes()[:1] == b"%d" % (MAX_ASIDE + 2) for place in aside)
 
 
 def test_a_row_whose_checksum_is_wrong_is_dropped_alone(tmp_path: Path) -> None:
     life(tmp_path, MANY)
-    with sqlite3.connect(tmp_path / FILE) as database:
+    with sqlite3.connect(tmp_path / DATABASE_FILE) as database:
         database.execute("UPDATE rows SET body=replace(body, '5.5', '9.5') WHERE name=?", (f"{5:016x}",))
         database.execute("UPDATE rows SET at=0 WHERE name=?", (f"{6:016x}",))
         database.execute("UPDATE rows SET body=NULL WHERE name=?", (f"{7:016x}",))
         database.execute("UPDATE rows SET sum=x'00' WHERE name=?", (f"{8:016x}",))
     database.close()
     found = peek(tmp_path)
-    assert found.dropped == 4 and len(found.rows) == len(MANY) - 4
+    assert found.dropped == 4 and len(found.records) == len(MANY) - 4
     assert all(MANY[key] == body for key, body in said(found).items())
 
 
@@ -133,7 +142,7 @@
     found = peek(folder)
     whole = [rows for rows in lives if said(found) == rows]
     each = all(any(rows.get(key) == body for rows in lives) for key, body in said(found).items())
-    return bool(whole) or not found.rows or (each and found.dropped > 0)
+    return bool(whole) or not found.records or (each and found.dropped > 0)
 
 
 def spoil(folder: Path, copy: Path, file: str, change: Callable[[Path, int], None], place: int) -> Path:
@@ -152,49 +161,51 @@
 def test_a_database_cut_or_flipped_anywhere_never_harms_a_start(tmp_path: Path) -> None:
     folder, copy = tmp_path / "state", tmp_path / "copy"
     life(folder, MANY)
-    size = (folder / FILE).stat().st_size
+    size = (folder / DATABASE_FILE).stat().st_size
     assert size > 10 * PAGE
     chance = random.Random(7)
     for place in (*range(0, size, PAGE), *(chance.randrange(size) for _ in range(60))):
         for change in (flip, os.truncate):
-            assert sound(spoil(folder, copy, FILE, change, place), MANY), (place, change)
+            assert sound(spoil(folder, copy, DATABASE_FILE, change, place), MANY), (place, change)
 
 
 def log_of(folder: Path) -> dict[tuple[str, str], object]:
     """A folder as a loss of power leaves it: two commits in the log, and none of it in the database."""
     work = folder.with_name("work")
-    files = Files(work, NAME, lambda: 1.0)
-    files.hold(0)
+    files = StateStorage(work, NAME, lambda: 1.0)
+    files.lock(0)
     files.open(fresh=False)
-    files.start()
-    rows = {key: (1.0, json.dumps(body)) for key, body in MANY.items()}
-    files.commit(dict(list(rows.items())[:100]), whole=True)
-    files.commit(rows, whole=False)
+    files.record_start()
+    rows = {RecordKey(*key): PendingRecord(1.0, json.dumps(body)) for key, body in MANY.items()}
+    files.commit(dict(list(rows.items())[:100]), replace_all=True)
+    files.commit(rows, replace_all=False)
     shutil.copytree(work, folder)
     files.close()
-    (folder / (FILE + "-shm")).unlink(missing_ok=True)
+    (folder / (DATABASE_FILE + "-shm")).unlink(missing_ok=True)
     return dict(list(MANY.items())[:100])
 
 
 def test_a_log_cut_or_garbled_at_any_place_leaves_a_whole_commit(tmp_path: Path) -> None:
     folder, copy = tmp_path / "state", tmp_path / "copy"
     first = log_of(folder)
-    size = (folder / (FILE + "-wal")).stat().st_size
-    assert said(peek(spoil(folder, copy, FILE, lambda *_: None, 0))) == MANY
+    size = (folder / (DATABASE_FILE + "-wal")).stat().st_size
+    assert said(peek(spoil(folder, copy, DATABASE_FILE, lambda *_: None, 0))) == MANY
     chance, seen = random.Random(8), set[int]()
     frames = *range(0, size, PAGE + 24), *range(32, size, PAGE + 24)
     for place in (*frames, *(chance.randrange(size) for _ in range(60))):
         for change in (os.truncate, flip):
-            found = peek(spoil(folder, copy, FILE + "-wal", change, place))
+            found = peek(spoil(folder, copy, DATABASE_FILE + "-wal", change, place))
             assert found.dropped == 0 and said(found) in ({}, first, MANY), (place, change)
-            seen.add(len(found.rows))
+            seen.add(len(found.records))
     assert seen == {0, len(first)}  # whatever the place, the last commit is not whole
 
 
 CHILD = """
 import os, random, signal, sys, json
 from pathlib import Path
-from switchline.state import store
+from switchline.state.database import StateDatabase
+from switchline.state.records import PendingRecord, RecordKey
+from switchline.state.storage import StateStorage
 
 folder, name, limit = Path(sys.argv[1]), "n0", int(sys.argv[2])
 steps = 0
@@ -205,11 +216,12 @@
     if steps == limit:
         os.kill(os.getpid(), signal.SIGKILL)
 
-class Traced(store.Files):
-    def connect(self):
-        made = super().connect()
-        made.set_trace_callback(step)
-        return made
+def traced(self, was=StateDatabase.connect):
+    made = was(self)
+    made.set_trace_callback(step)
+    return made
+
+StateDatabase.connect = traced
 
 for what in ("mkdir", "fsync", "rename", "open"):
     def wrapped(*given, was=getattr(os, what), **named):
@@ -218,13 +230,14 @@
     setattr(os, what, wrapped)
 
 for life in range(3):
-    files = Traced(folder, name, lambda: float(life + 1))
-    files.hold(0)
+    files = StateStorage(folder, name, lambda: float(life + 1))
+    files.lock(0)
     files.open(fresh=life == 2)
-    files.start()
+    files.record_start()
     for batch in range(4):
-        rows = {("customer", f"{life}-{batch}-{n}"): (1.0, json.dumps([life, batch])) for n in range(20)}
-        files.commit(rows, whole=not batch)
+        keys = [RecordKey("customer", f"{life}-{batch}-{n}") for n in range(20)]
+        rows = {key: PendingRecord(1.0, json.dumps([life, batch])) for key in keys}
+        files.commit(rows, replace_all=not batch)
         print(life, batch, flush=True)
     files.close()
 """
@@ -254,7 +267,7 @@
 
 def check_after_kill(folder: Path, told: list[tuple[int, ...]], limit: int) -> None:
     found = peek(folder)
-    kept = {tuple(row.said) for row in found.rows}
+    kept = {tuple(row.value) for row in found.records}
     life, batch = told[-1] if told else (0, -1)
     if life == 1 and batch == 3:  # the next life begins a new file: one of the two stands at any moment
         assert kept >= {(1, 3)} or kept == {(2, 0)}, (limit, kept)
@@ -262,7 +275,7 @@
         following = (life, batch + 1) if batch < 3 else (life + 1, 0)
         expected = {(life, n) for n in range(batch + 1)}
         assert kept in (expected, expected | {following}, {following}), (limit, kept)
-    assert found.dropped == 0 and len(found.rows) == 20 * len(kept)
+    assert found.dropped == 0 and len(found.records) == 20 * len(kept)
 
 
 # ---- the thread ----
@@ -274,17 +287,18 @@
     def __init__(self, folder: Path) -> None:
         self.numbers: list[int] = []
         self.faults: list[str] = []
-        self.store = Store(folder, NAME, lambda: 1.0, self.numbers.append, self.faults.append)
+        events = StoreEvents(self.numbers.append, lambda error: self.faults.append(str(error)))
+        self.store = StateStore(folder, NAME, lambda: 1.0, events)
 
-    async def begin(self) -> Found:
-        found = await self.store.found
+    async def begin(self) -> SavedState:
+        found = await self.store.loaded
         self.store.begin()
         return found
 
     async def end(self) -> None:
         self.store.close()
         await asyncio.to_thread(self.store.join)
-        assert not self.store.thread.is_alive()
+        assert not self.store.writer.thread.is_alive()
 
 
 def with_store(folder: Path, scenario: Callable[[RecordsPersisted], Awaitable[None]]) -> None:
@@ -303,7 +317,7 @@
     async def scenario(kept: RecordsPersisted) -> None:
         for number in range(1, 101):
             kept.store.put("customer", "c", [number], number)
-        assert await kept.store.committed(kept.store.put("host", "h", {"x": 1}))
+        assert await kept.store.wait_committed(kept.store.put("host", "h", {"x": 1}))
         assert kept.numbers and kept.numbers[-1] == 100
         kept.store.put("host", "h", None)
         kept.store.put("customer", "late", [1], 101)  # a close commits what waits
@@ -317,7 +331,7 @@
 
     async def scenario() -> None:
         kept = RecordsPersisted(tmp_path)
-        assert said(await kept.store.found) == MANY
+        assert said(await kept.store.loaded) == MANY
         kept.store.put("customer", "c", [1], 1)
         await kept.end()
         assert not kept.numbers
@@ -339,7 +353,9 @@
 
 def connect_by(monkeypatch: pytest.MonkeyPatch) -> None:
     was = sqlite3.connect
-    monkeypatch.setattr(module.sqlite3, "connect", lambda path, **given: was(path, factory=Failing, **given))
+    monkeypatch.setattr(
+        database_module.sqlite3, "connect", lambda path, **given: was(path, factory=Failing, **given)
+    )
     monkeypatch.setattr(Failing, "failing", "")
 
 
@@ -350,14 +366,14 @@
     connect_by(monkeypatch)
 
     async def scenario(kept: RecordsPersisted) -> None:
-        assert await kept.store.committed(kept.store.put("customer", "c", [1], 1))
+        assert await kept.store.wait_committed(kept.store.put("customer", "c", [1], 1))
         Failing.failing = error
-        assert not await kept.store.committed(kept.store.put("customer", "c", [2], 2))
+        assert not await kept.store.wait_committed(kept.store.put("customer", "c", [2], 2))
         Failing.failing = ""
         assert kept.faults == [error] and kept.numbers == [1]
         await asyncio.to_thread(kept.store.join)
         assert kept.store.put("customer", "c", [3], 3) == 0
-        assert not await kept.store.committed(1)
+        assert not await kept.store.wait_committed(1)
 
     with_store(tmp_path, scenario)
     assert not (tmp_path / "aside-1.db").exists()
@@ -366,9 +382,9 @@
 
 def test_a_full_disk_turns_it_off(tmp_path: Path) -> None:
     async def scenario(kept: RecordsPersisted) -> None:
-        assert await kept.store.committed(kept.store.put("customer", "c", [1], 1))
-        assert kept.store.files.database is not None
-        kept.store.files.database.execute("PRAGMA max_page_count=10")
+        assert await kept.store.wait_committed(kept.store.put("customer", "c", [1], 1))
+        assert kept.store.writer.storage.database.connection is not None
+        kept.store.writer.storage.database.connection.execute("PRAGMA max_page_count=10")
         for number in range(200):
             kept.store.put("customer", f"c{number}", ["x" * 4_000], number + 2)
         await until(lambda: kept.faults)
@@ -379,9 +395,9 @@
 
 def test_a_folder_that_goes_turns_it_off(tmp_path: Path) -> None:
     async def scenario(kept: RecordsPersisted) -> None:
-        assert await kept.store.committed(kept.store.put("customer", "c", [1], 1))
+        assert await kept.store.wait_committed(kept.store.put("customer", "c", [1], 1))
         shutil.rmtree(tmp_path / "state")
-        assert not await kept.store.committed(kept.store.put("customer", "c", [2], 2))
+        assert not await kept.store.wait_committed(kept.store.put("customer", "c", [2], 2))
         assert len(kept.faults) == 1
 
     with_store(tmp_path / "state", scenario)
@@ -390,16 +406,16 @@
 @pytest.mark.parametrize("kind", ["file", "below a file", "held"])
 def test_a_folder_that_can_t_be_used_is_named(tmp_path: Path, kind: str) -> None:
     place = tmp_path / "state"
-    first = Files(place, NAME, lambda: 1.0)
+    first = StateStorage(place, NAME, lambda: 1.0)
     if kind == "held":
-        first.hold(0)
+        first.lock(0)
     else:
         place.write_text("what")
 
     async def scenario() -> None:
         kept = RecordsPersisted(place / "more" if kind == "below a file" else place)
         with pytest.raises(asyncio.CancelledError):
-            await kept.store.found
+            await kept.store.loaded
         assert len(kept.faults) == 1
         await kept.end()
 
@@ -410,23 +426,23 @@
 def test_a_disk_that_lags_is_left_and_its_last_commit_stands(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(module, "PATIENCE_S", 0.2)
+    monkeypatch.setattr(store_module, "COMMIT_TIMEOUT_S", 0.2)
     go_on = threading.Event()
-    was = Files.commit
+    was = StateStorage.commit
 
-    def slow(self: Files, rows: dict[tuple[str, str], tuple[float, str | None]], whole: bool) -> None:
-        if ("customer", "c") in rows:
+    def slow(self: StateStorage, records: dict[RecordKey, PendingRecord], replace_all: bool) -> None:
+        if ("customer", "c") in records:
             go_on.wait(15)
-        was(self, rows, whole)
+        was(self, records, replace_all)
 
-    monkeypatch.setattr(Files, "commit", slow)
+    monkeypatch.setattr(StateStorage, "commit", slow)
 
     async def scenario(kept: RecordsPersisted) -> None:
         kept.store.put("customer", "c", [1], 1)
         await until(lambda: kept.faults)
         assert kept.faults == ["the disk lags"] and not kept.numbers
         go_on.set()
-        await asyncio.to_thread(kept.store.thread.join)
+        await asyncio.to_thread(kept.store.writer.thread.join)
 
     with_store(tmp_path, scenario)
     assert not (tmp_path / "aside-1.db").exists()
@@ -435,10 +451,10 @@
 
 def test_a_row_that_can_t_be_kept_is_left_out_and_the_rest_is_kept(tmp_path: Path) -> None:
     async def scenario(kept: RecordsPersisted) -> None:
-        kept.store.put("host", "long", {"x": "y" * module.LONGEST_ROW})
-        kept.store.put("host", "h" * module.LONGEST_NAME + "h", 1)
+        kept.store.put("host", "long", {"x": "y" * MAX_BODY_CHARS})
+        kept.store.put("host", "h" * MAX_NAME_BYTES + "h", 1)
         kept.store.put("host", "\ud800", 1)  # JSON may hold such a name
-        assert await kept.store.committed(kept.store.put("host", "h", 1))
+        assert await kept.store.wait_committed(kept.store.put("host", "h", 1))
 
     with_store(tmp_path, scenario)
     assert said(peek(tmp_path)) == {("host", "h"): 1}
--- a/tests/testbed/test_fleet_plays.py
+++ b/tests/testbed/test_fleet_plays.py
@@ -12,7 +12,7 @@
 import pytest
 
 from switchline import ctl
-from switchline.audit import ctl as ctl_audit
+from switchline.audit import sources as audit_sources
 from testbed.fixture import Played, Plays
 
 ROOT = Path(__file__).parents[2]
@@ -231,7 +231,7 @@
         "b:1": view("g1", g0="alive", g1="self", g2="alive"),
         "c:1": "refused",
     }
-    monkeypatch.setattr(ctl, "ask", answers.__getitem__)
+    monkeypatch.setattr(ctl, "fetch_view", answers.__getitem__)
     with pytest.raises(SystemExit) as ended:
         ctl.members.main(["a:1", "b:1", "c:1"], standalone_mode=False)
     shown = capsys.readouterr().out
@@ -285,7 +285,7 @@
         assert not told["quiet"] and told["members"]["g3"] == "alive"
     lives = {e["life"] for e in played.of("life", g="g1", what="exit")}
     assert lives == {1}  # the first process served to the end of the play
-    audit = ctl_audit.of_folder(played.folder / "gateways/g0/audit")  # one chain, of both processes
+    audit = audit_sources.read_folder(played.folder / "gateways/g0/audit")  # one chain, of both processes
     assert not audit.findings and [r.kind for r in audit.records].count("program") == 2
     sent = {(e["g"], e["b"]) for e in played.of("got") if e["t"] > 2.0}
     assert not [g for g, b in sent if b == "b1" and kept(played, "b1", g)]
--- a/tests/zones/test_zone_agreement.py
+++ b/tests/zones/test_zone_agreement.py
@@ -21,7 +21,7 @@
 from switchline.fleet.messages import Entry, State
 from switchline.policy import Gateway
 from switchline.policy import interface as api
-from switchline.state.recovery import holds
+from switchline.state.restore import is_valid_zone_decision
 from switchline.zones.agreement import (
     ENDED_S,
     HOLD_S,
@@ -444,8 +444,14 @@
     row = row_of(left)
     for place, spoilt in ((1, "x"), (3, -1), (3, None), (4, "now"), (4, 1e30), (0, "g" * 999)):
         assert entry_of("a>b", [*row[:place], spoilt, *row[place + 1 :]]) is None
-    assert holds([*row[:4], now_ms(), row[5]]) and not holds(row)  # of years ago
-    assert not holds(row[:3]) and not holds([*row[:4], None, ""]) and not holds("spoilt")
+    assert is_valid_zone_decision([*row[:4], now_ms(), row[5]]) and not is_valid_zone_decision(
+        row
+    )  # of years ago
+    assert (
+        not is_valid_zone_decision(row[:3])
+        and not is_valid_zone_decision([*row[:4], None, ""])
+        and not is_valid_zone_decision("spoilt")
+    )
     assert entry_of("a>b", row[:3]) is None and entry_of("n" * 999, row) is None
     assert read_act((entry_of("a>b", [*row[:5], "no act"]) or left).value).state == "up"
 
@@ -478,7 +484,7 @@
         "127.0.0.1:4": "timed out",
     }
     monkeypatch.setenv("COLUMNS", "160")
-    monkeypatch.setattr(ctl, "ask", lambda address: views[address])
+    monkeypatch.setattr(ctl, "fetch_view", lambda address: views[address])
     for addresses, code in ((["127.0.0.1:1", "127.0.0.1:3"], 0), (list(views), 1), (["127.0.0.1:4"], 2)):
         with pytest.raises(SystemExit) as ended:
             ctl.cli(["zones", *addresses])
