--- a/switchline/operators/server.py
+++ b/switchline/operators/server.py
@@ -11,8 +11,9 @@
 import h11
 
 from switchline.config import Address
-from switchline.net.accept import Acceptor, ListenError, listening, listening_in_time
+from switchline.net.accept import Acceptor
 from switchline.net.descriptors import Budget, Part
+from switchline.net.listen import ListenError, listen, listen_with_retries
 from switchline.operators.calls import DeferredReply, OperatorCalls, Reply
 
 log = logging.getLogger(__name__)
@@ -144,26 +145,28 @@
     def listen_soon(self, address: Address) -> None:
         """Start to accept; where the address can't be had yet, retry while the gateway serves already."""
         try:
-            self.listen(listening(address, BACKLOG))
+            self.listen(listen(address, BACKLOG))
         except OSError as error:
             log.warning("operators can't call yet: %s", error)
             self.listen_task = asyncio.get_running_loop().create_task(self._retry_listening(address))
 
     async def _retry_listening(self, address: Address) -> None:
         try:
-            self.listen(await listening_in_time(address, BACKLOG, math.inf))
+            self.listen(await listen_with_retries(address, BACKLOG, math.inf))
         except ListenError as error:
             log.error("operators can't call: %s", error)  # noqa: TRY400 - its text says all
 
     def listen(self, listening_socket: socket.socket) -> int:
         """Start to accept on a listening socket; return its port."""
-        self.budget.keep_spare()
-        self.acceptor = Acceptor(listening_socket, lambda: OperatorConnection(self), self.budget, first=True)
+        self.budget.keep_reserve()
+        self.acceptor = Acceptor(
+            listening_socket, lambda: OperatorConnection(self), self.budget, may_use_reserve=True
+        )
         return self.acceptor.port
 
     def on_open(self, connection: OperatorConnection) -> None:
         """Count a new connection, and abort the oldest where there are too many."""
-        self.budget.take(Part.OPERATORS)
+        self.budget.acquire(Part.OPERATORS)
         self.connections[connection] = None
         if len(self.connections) > MAX_CONNECTIONS:
             oldest = next(iter(self.connections))
@@ -173,7 +176,7 @@
 
     def on_closed(self, connection: OperatorConnection) -> None:
         """Return the descriptor of a connection that has ended."""
-        self.budget.free(Part.OPERATORS)
+        self.budget.release(Part.OPERATORS)
         self.connections.pop(connection, None)
 
     def close(self) -> None:
--- a/switchline/service/driver.py
+++ b/switchline/service/driver.py
@@ -232,7 +232,9 @@
         if command.id in self.requests:
             raise ValueError("id in use")
         event = self.read(command)
-        self.shares.most = min(self.max_open, OPEN_PER_CONNECTION * self.backends.budget.most(Part.BACKENDS))
+        self.shares.most = min(
+            self.max_open, OPEN_PER_CONNECTION * self.backends.budget.limit_of(Part.BACKENDS)
+        )
         self.shares.pressed_at = int(self.shares.most * PRESSED)
         if self.ending or not self.shares.admits(event.customer):
             return self.crowd(event.request_class, slot)
@@ -501,9 +503,9 @@
     def leave_body(self, owner: Request) -> None:
         """Nobody needs the rest of a request's long value: nor can an attempt be finished without it."""
         body = owner.command.stream
-        if body is not None and not body.gone:
+        if body is not None and not body.dropped:
             body.drop()
-            if not body.whole or body.sent < body.length:
+            if not body.complete or body.sent < body.length:
                 self.give_up(owner, api.Outcome.CANCELLED)
 
     def settle(self, owner: Request) -> None:
--- a/switchline/upgrade/handover.py
+++ b/switchline/upgrade/handover.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from switchline.net.accept import close_socket
+from switchline.net.listen import close_socket
 from switchline.upgrade.connection import HandoverConnection, short_socket_path
 from switchline.upgrade.messages import DescriptorsInUse, Message, PolicyRecord, Serving, StateSent
 
