--- a/switchline/clients/connection.py
+++ b/switchline/clients/connection.py
@@ -18,7 +18,7 @@
 from switchline.net.resp import INCOMPLETE, ProtocolError, RespParser, StreamedStringStarted
 from switchline.net.socket_state import has_unread_bytes, peer_has_closed
 from switchline.net.streams import MAX_VALUE_BYTES, STREAMING_THRESHOLD_BYTES, StreamedRequestBody
-from switchline.operators.metrics import Evicted
+from switchline.operators.metrics import EvictionReason
 
 if TYPE_CHECKING:
     from switchline.clients.server import ClientServer
@@ -154,7 +154,7 @@
         if self.transport is not None and not self.slots and (self.closing or self._ends_by_drain()):
             self.shut()
         elif self.surplus and not self.proven and self.body is None:
-            self.server.places.evict(self, Evicted.CROWDED)
+            self.server.places.evict(self, EvictionReason.CROWDED)
         self._update_reading()
 
     def _ends_by_drain(self) -> bool:
@@ -394,14 +394,14 @@
         unsent = self.transport.get_write_buffer_size()
         if self.delivery.is_late(now_s, unsent, self._is_streaming()):
             log.warning("client left its answers unread for %.0f s", now_s - self.delivery.behind_since_s)
-            self.server.places.evict(self, Evicted.UNREAD)
+            self.server.places.evict(self, EvictionReason.UNREAD)
         elif self.state is ConnectionState.HALF_CLOSED:
             if now_s - self._half_closed_at_s > LINGER_S and not unsent:
                 self.close()
         elif self.closing or self.reading_paused:
             return  # its answers are due first, and it is read no further until then
         elif self._is_receiving_late(now_s):
-            self.server.metrics.evicted[Evicted.OWING] += 1
+            self.server.metrics.evictions[EvictionReason.OWING] += 1
             self.fail_protocol("no whole command in time")
             self.pump()
         elif not self.slots and not unsent:
@@ -411,7 +411,7 @@
         draining = self._ends_by_drain() and now_s > self.server.close_idle_from_s
         limit_s = DRAIN_IDLE_S if draining else UNUSED_S
         if now_s - self.last_used_s > limit_s and not self.has_unread_bytes:
-            self.server.places.evict(self, Evicted.PARTING if draining else Evicted.UNUSED)
+            self.server.places.evict(self, EvictionReason.PARTING if draining else EvictionReason.UNUSED)
 
     def _is_streaming(self) -> bool:
         """Whether a long answer is on its way: it may take as long as its bytes move."""
--- a/switchline/clients/places.py
+++ b/switchline/clients/places.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from switchline.net.descriptors import Budget, Part
-from switchline.operators.metrics import Evicted, Metrics
+from switchline.operators.metrics import EvictionReason, Metrics
 from switchline.policy.fair_shares import FairShares
 
 if TYPE_CHECKING:
@@ -21,7 +21,7 @@
 log = logging.getLogger(__name__)
 
 # Closed without a wait: descriptors are wanted, or the last answer was read long ago.
-CLOSED_AT_ONCE = {Evicted.YOUNG, Evicted.IDLE, Evicted.UNUSED}
+CLOSED_AT_ONCE = {EvictionReason.YOUNG, EvictionReason.IDLE, EvictionReason.UNUSED}
 
 
 class ConnectionPlaces:
@@ -116,7 +116,7 @@
         candidates = (one for one in self.young if one.may_be_evicted and one is not newcomer)
         oldest = next(candidates, None)
         if oldest is not None:
-            self.evict(oldest, Evicted.YOUNG)
+            self.evict(oldest, EvictionReason.YOUNG)
         return oldest is not None
 
     def evict_idle(self, min_held: int = 0) -> bool:
@@ -133,16 +133,16 @@
                 break
             longest_idle = next((one for one in of_peer if one.may_be_evicted), None)
             if longest_idle is not None:
-                self.evict(longest_idle, Evicted.IDLE)
+                self.evict(longest_idle, EvictionReason.IDLE)
                 return True
         return False
 
-    def evict(self, connection: ClientConnection, reason: Evicted) -> None:
+    def evict(self, connection: ClientConnection, reason: EvictionReason) -> None:
         """Close a connection and count the reason."""
-        self.metrics.evicted[reason] += 1
+        self.metrics.evictions[reason] += 1
         log.info("connection of %s is closed: %s", connection.peer, reason.value)
         self.forget(connection)
-        if reason is Evicted.UNREAD:
+        if reason is EvictionReason.UNREAD:
             connection.begin_closing()
             if connection.transport is not None:
                 connection.transport.abort()  # it reads nothing: no answer can reach it, whatever is open
--- a/tests/clients/test_connections.py
+++ b/tests/clients/test_connections.py
@@ -36,7 +36,7 @@
 from switchline.net.descriptors import FIXED_PARTS, MIN_CONNECTIONS, PROCESS_DESCRIPTORS, Budget, Part, Shares
 from switchline.net.listen import listen
 from switchline.net.streams import BufferBudget
-from switchline.operators.metrics import Evicted, Metrics
+from switchline.operators.metrics import EvictionReason, Metrics
 from switchline.policy.fair_shares import FairShares
 from switchline.policy.interface import BackendState, Outcome
 from testbed.network.addresses import claimed_port
@@ -278,7 +278,7 @@
     proven = [place.idle() for _ in range(96)]
     silent = [place.connect("127.0.0.9") for _ in range(100)]
     assert not any(map(ended, proven)) and [bool(ended(c)) for c in silent] == [True] * 68 + [False] * 32
-    assert place.figures.evicted[Evicted.YOUNG] == 68
+    assert place.figures.evictions[EvictionReason.YOUNG] == 68
     place.settle()
     assert place.budget.in_use[Part.CLIENTS] == 128
     assert place.server.gauges() == {"clients.young": 32, "clients.in_use": 0, "clients.idle": 96}
@@ -348,7 +348,7 @@
         young = [c for c in place.server.places.young if before[c] == "young"]
         oldest = young[0] if young else None
         held = {peer: list(place.server.places.proven[peer]) for peer in place.server.places.proven}
-        evicted, crowded = dict(place.figures.evicted), place.handler.crowded
+        evicted, crowded = dict(place.figures.evictions), place.handler.crowded
         there = [c for c in known if before[c] != "gone"]
         chosen = there[number % len(there)] if there else None
         if what == "come":
@@ -367,7 +367,7 @@
             chosen.connection_lost(None)
         gone = [c for c in known[:-1] if before.get(c) != "gone" and state(c) == "gone"]
         gone = [c for c in gone if what != "leave" or c is not chosen]
-        if place.figures.evicted[Evicted.CROWDED] > evicted[Evicted.CROWDED]:
+        if place.figures.evictions[EvictionReason.CROWDED] > evicted[EvictionReason.CROWDED]:
             assert gone == [chosen] and gone[0].surplus and what != "come"
             gone = []
         assert len(gone) <= 1 and all(before[c] in ("young", "idle") for c in gone)
@@ -442,15 +442,15 @@
     assert isinstance(unread.transport, Wire)
     unread.transport.left = 50
     for connection, limit, reason in (
-        (idle, connections.UNUSED_S, Evicted.UNUSED),
-        (middle, watchdog.COMMAND_TIMEOUT_S, Evicted.OWING),
-        (unread, watchdog.UNREAD_TIMEOUT_S, Evicted.UNREAD),
+        (idle, connections.UNUSED_S, EvictionReason.UNUSED),
+        (middle, watchdog.COMMAND_TIMEOUT_S, EvictionReason.OWING),
+        (unread, watchdog.UNREAD_TIMEOUT_S, EvictionReason.UNREAD),
     ):
         connection.check(start)
         connection.check(start + limit - 0.1)
         assert not ended(connection), reason
         connection.check(start + limit + 0.1)
-        assert ended(connection) and place.figures.evicted[reason] == 1, reason
+        assert ended(connection) and place.figures.evictions[reason] == 1, reason
     place.settle()
     assert (
         place.budget.in_use[Part.CLIENTS] == 0
@@ -759,7 +759,7 @@
         scene.driver.on_client_gone("r0")
         assert scene.driver.shares.held == {"00000000b4d65521": 11, "00000000b4d65522": 1}
         scene.driver.end_all()
-        assert not scene.driver.shares.held and scene.figures.crowded == 8
+        assert not scene.driver.shares.held and scene.figures.rejected_for_capacity == 8
 
     in_loop(scenario)
 
