--- a/switchline/state/persistence.py
+++ b/switchline/state/persistence.py
@@ -296,7 +296,7 @@
             self._opening.close()
         if self.store is not None:
             store = self.store
-            self.driver.give(api.PersistenceChanged(False, last=True))
+            self.driver.give(api.PersistenceChanged(False, final=True))
             store.close()
             store.join()
 
