--- a/tests/fleet/test_staleness.py
+++ b/tests/fleet/test_staleness.py
@@ -88,7 +88,7 @@
     def __init__(self) -> None:
         self.changes: list[tuple[str, ...]] = []
 
-    def listed(self) -> list[dict[str, Any]]:
+    def saved_hosts(self) -> list[dict[str, Any]]:
         return own()
 
     def members(self, scope: Any, members: tuple[Any, ...]) -> None:
