--- a/switchline/clients/connection.py
+++ b/switchline/clients/connection.py
@@ -10,7 +10,7 @@
 from enum import IntEnum, auto
 from typing import TYPE_CHECKING, cast
 
-from switchline.clients.dispatch import begins_request, dispatch, is_request_head
+from switchline.clients.dispatch import begins_request, dispatch
 from switchline.clients.slot import Slot
 from switchline.clients.watchdog import DeliveryWatch, ReceiveWatch
 from switchline.clock import now_ms
@@ -32,9 +32,6 @@
 MAX_ARGUMENTS = 16  # a request has five, and the commands of connection set-up few more
 READ_BYTES = 64 * 1024
 MAX_DISCARDED_BYTES = 256 * 1024  # that a peer may send after its last answer
-LINGER_S = 0.5  # after the last answer, for the peer to read it and to close: a reset would discard it
-DRAIN_IDLE_S = 0.25  # on a drain, a connection on which nothing arrives for this long is closed
-UNUSED_S = 60.0  # a connection without a command for this long is closed; clients open another
 
 
 class ConnectionState(IntEnum):
@@ -77,7 +74,7 @@
         self._has_unparsed = False  # bytes that may hold a command
         self._writing_paused = False
         self._pumping = False  # guards `pump` against itself
-        self._half_closed_at_s = 0.0
+        self.half_closed_at_s = 0.0
         self._discarded = 0  # bytes that arrived after what closes the connection
 
     @property
@@ -151,13 +148,13 @@
                 self._write_answers()
         finally:
             self._pumping = False
-        if self.transport is not None and not self.slots and (self.closing or self._ends_by_drain()):
+        if self.transport is not None and not self.slots and (self.closing or self.ends_by_drain()):
             self.shut()
         elif self.surplus and not self.proven and self.body is None:
             self.server.places.evict(self, EvictionReason.CROWDED)
         self._update_reading()
 
-    def _ends_by_drain(self) -> bool:
+    def ends_by_drain(self) -> bool:
         """Whether a drain ends this connection: not while a request is arriving."""
         return self.server.closing_connections and not self.parser.has_partial_value()
 
@@ -327,7 +324,7 @@
             self.close()
             return
         self.state = ConnectionState.HALF_CLOSED
-        self._half_closed_at_s = time.monotonic()
+        self.half_closed_at_s = time.monotonic()
         self.server.half_closed(self)
         self._update_reading()
         self.transport.write_eof()
@@ -385,45 +382,6 @@
             return unknown
         return sock is not None and sock.fileno() >= 0 and question(sock.fileno())
 
-    # ---- supervision ----
-
-    def check(self, now_s: float) -> None:
-        """End what a peer has left hanging, so that it holds neither memory nor a descriptor for ever."""
-        if self.transport is None:
-            return
-        unsent = self.transport.get_write_buffer_size()
-        if self.delivery.is_late(now_s, unsent, self._is_streaming()):
-            log.warning("client left its answers unread for %.0f s", now_s - self.delivery.behind_since_s)
-            self.server.places.evict(self, EvictionReason.UNREAD)
-        elif self.state is ConnectionState.HALF_CLOSED:
-            if now_s - self._half_closed_at_s > LINGER_S and not unsent:
-                self.close()
-        elif self.closing or self.reading_paused:
-            return  # its answers are due first, and it is read no further until then
-        elif self._is_receiving_late(now_s):
-            self.server.metrics.evictions[EvictionReason.OWING] += 1
-            self.fail_protocol("no whole command in time")
-            self.pump()
-        elif not self.slots and not unsent:
-            self._check_unused(now_s)
-
-    def _check_unused(self, now_s: float) -> None:
-        draining = self._ends_by_drain() and now_s > self.server.close_idle_from_s
-        limit_s = DRAIN_IDLE_S if draining else UNUSED_S
-        if now_s - self.last_used_s > limit_s and not self.has_unread_bytes:
-            self.server.places.evict(self, EvictionReason.PARTING if draining else EvictionReason.UNUSED)
-
-    def _is_streaming(self) -> bool:
-        """Whether a long answer is on its way: it may take as long as its bytes move."""
-        return bool(self.slots) and self.slots[0].response is not None
-
-    def _is_receiving_late(self, now_s: float) -> bool:
-        if self.body is not None:
-            return self.receiving.is_stream_late(now_s)
-        items = self.parser.array_items or []
-        in_value = self.parser.bulk_length >= 0 and is_request_head(items)
-        return self.receiving.is_command_late(now_s, in_value)
-
     @property
     def idle(self) -> bool:
         """Whether nothing is open on it, partly read or still to be written: it may be closed at any time."""
--- a/switchline/clients/server.py
+++ b/switchline/clients/server.py
@@ -8,9 +8,10 @@
 from typing import Protocol
 
 from switchline.clients.commands import Command
-from switchline.clients.connection import LINGER_S, READ_BYTES, ClientConnection
+from switchline.clients.connection import READ_BYTES, ClientConnection
 from switchline.clients.places import ConnectionPlaces
 from switchline.clients.slot import Slot
+from switchline.clients.supervision import LINGER_S, check
 from switchline.guard import Guard
 from switchline.net.accept import Acceptor
 from switchline.net.descriptors import Budget, Part
@@ -165,7 +166,7 @@
         self._sweep_timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self.sweep)
         now_s = time.monotonic()
         for connection in list(self.connections):
-            self.guard.call("a client's connection", connection.check, now_s)
+            self.guard.call("a client's connection", check, connection, now_s)
         # The budget may have shrunk: by SIGHUP, or by what the other process of an upgrade holds.
         self.places.make_room(self.places.live - self.places.limit)
         self.budget.keep_reserve()
--- a/tests/clients/test_clients.py
+++ b/tests/clients/test_clients.py
@@ -14,7 +14,7 @@
 
 from switchline.clients import connection as connections
 from switchline.clients import server as clients
-from switchline.clients import watchdog
+from switchline.clients import supervision, watchdog
 from switchline.clients.commands import Command, parse_command
 from switchline.clients.slot import Slot
 from switchline.net.descriptors import Budget
@@ -401,9 +401,9 @@
         connection, wire = connections.ClientConnection(server), Wire()
         connection.connection_made(wire)
         connection.data_received(encode(b"PING"))
-        connection.check(connection.last_used_s + connections.UNUSED_S - 1)
+        supervision.check(connection, connection.last_used_s + supervision.UNUSED_S - 1)
         assert wire.ended == ""
-        connection.check(connection.last_used_s + connections.UNUSED_S + 1)
+        supervision.check(connection, connection.last_used_s + supervision.UNUSED_S + 1)
         assert wire.ended == "close"
 
         connection, wire = connections.ClientConnection(server), Wire()
@@ -411,13 +411,13 @@
         connection.data_received(encode(b"PING"))
         wire.left = 100  # of an answer, and nobody reads
         start = connection.last_used_s
-        connection.check(start)
-        connection.check(start + watchdog.UNREAD_TIMEOUT_S - 1)
+        supervision.check(connection, start)
+        supervision.check(connection, start + watchdog.UNREAD_TIMEOUT_S - 1)
         wire.left = 90  # slow, but alive
-        connection.check(start + watchdog.UNREAD_TIMEOUT_S)
-        connection.check(start + 2 * watchdog.UNREAD_TIMEOUT_S - 1)
+        supervision.check(connection, start + watchdog.UNREAD_TIMEOUT_S)
+        supervision.check(connection, start + 2 * watchdog.UNREAD_TIMEOUT_S - 1)
         assert wire.ended == ""
-        connection.check(start + 2 * watchdog.UNREAD_TIMEOUT_S + 1)
+        supervision.check(connection, start + 2 * watchdog.UNREAD_TIMEOUT_S + 1)
         assert wire.ended == "abort"
 
     in_loop(scenario)
@@ -485,7 +485,7 @@
 
 
 def test_a_peer_that_never_closes_after_the_end_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connections, "LINGER_S", 0.05)
+    monkeypatch.setattr(supervision, "LINGER_S", 0.05)
     monkeypatch.setattr(clients, "LINGER_S", 0.05)
     monkeypatch.setattr(clients, "SWEEP_INTERVAL_S", 0.02)
 
--- a/tests/clients/test_connections.py
+++ b/tests/clients/test_connections.py
@@ -23,9 +23,8 @@
 from test_process import connect, start
 from test_streams import Cutting
 
-from switchline.clients import connection as connections
 from switchline.clients import server as clients
-from switchline.clients import watchdog
+from switchline.clients import supervision, watchdog
 from switchline.clients.commands import Command, parse_command
 from switchline.clients.connection import ClientConnection
 from switchline.clients.server import ClientServer
@@ -442,14 +441,14 @@
     assert isinstance(unread.transport, Wire)
     unread.transport.left = 50
     for connection, limit, reason in (
-        (idle, connections.UNUSED_S, EvictionReason.UNUSED),
+        (idle, supervision.UNUSED_S, EvictionReason.UNUSED),
         (middle, watchdog.COMMAND_TIMEOUT_S, EvictionReason.OWING),
         (unread, watchdog.UNREAD_TIMEOUT_S, EvictionReason.UNREAD),
     ):
-        connection.check(start)
-        connection.check(start + limit - 0.1)
+        supervision.check(connection, start)
+        supervision.check(connection, start + limit - 0.1)
         assert not ended(connection), reason
-        connection.check(start + limit + 0.1)
+        supervision.check(connection, start + limit + 0.1)
         assert ended(connection) and place.figures.evictions[reason] == 1, reason
     place.settle()
     assert (
@@ -466,9 +465,9 @@
     at = 1_000_000.0  # whole seconds: of other times, at + 60 - at may come to a little over 60
     for second in range(int(watchdog.MAX_UNREAD_S) + 1):
         slow.transport.left = 1_000 - second
-        slow.check(at + second)
+        supervision.check(slow, at + second)
         assert not ended(slow)
-    slow.check(at + watchdog.MAX_UNREAD_S + 1)
+    supervision.check(slow, at + watchdog.MAX_UNREAD_S + 1)
     assert ended(slow) == "abort"
 
 
@@ -479,12 +478,12 @@
     slow.data_received(head)
     assert slow.body is not None and not slow.idle
     slow.receiving.last_bytes_s = slow.receiving.stream_started_s + watchdog.MAX_STREAMED_VALUE_S - 1
-    slow.check(slow.receiving.stream_started_s + watchdog.MAX_STREAMED_VALUE_S - 1)
+    supervision.check(slow, slow.receiving.stream_started_s + watchdog.MAX_STREAMED_VALUE_S - 1)
     assert not ended(slow)
     slow.receiving.last_bytes_s = (
         slow.receiving.stream_started_s + watchdog.MAX_STREAMED_VALUE_S + 1
     )  # a byte just now
-    slow.check(slow.receiving.stream_started_s + watchdog.MAX_STREAMED_VALUE_S + 1)
+    supervision.check(slow, slow.receiving.stream_started_s + watchdog.MAX_STREAMED_VALUE_S + 1)
     assert ended(slow) and place.server.buffer_budget.values == 0
 
 
@@ -496,9 +495,9 @@
     for second in (0, 2):
         slow.data_received(whole[second : second + 1])
         slow.receiving.last_bytes_s = came + second
-        slow.check(came + second)
+        supervision.check(slow, came + second)
         assert not ended(slow)
-    slow.check(came + watchdog.COMMAND_TIMEOUT_S + 0.1)
+    supervision.check(slow, came + watchdog.COMMAND_TIMEOUT_S + 0.1)
     assert ended(slow) and wrote(slow) == [b"-ERR protocol error\r\n"]
 
 
