--- a/switchline/audit/recorder.py
+++ b/switchline/audit/recorder.py
@@ -14,10 +14,10 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from pathlib import Path
-from typing import NamedTuple
 
 import msgspec
 
+from switchline.audit.queries import Subject
 from switchline.audit.writer import AuditWriter
 from switchline.clock import now_ms
 from switchline.fleet.chain import GAP, LONGEST_TEXT, MOST_COUNTS, Head, Record
@@ -33,13 +33,6 @@
 KINDS_WITH_COUNTS = frozenset({"list", "config"})  # outcomes of requests are counted under their versions
 
 
-class Subject(NamedTuple):
-    """What has a version: a kind, and the backend, zone or gateway of that kind, empty where there is one."""
-
-    kind: str
-    name: str
-
-
 @dataclass(slots=True)
 class Change:
     """A change to be recorded."""
--- a/switchline/operators/overrides.py
+++ b/switchline/operators/overrides.py
@@ -128,6 +128,14 @@
         """Return when operators last called for a name; minus infinity where no call is known."""
         return self._times.last_changed_ms(name)
 
+    def changes(self) -> Iterator[tuple[str, OverrideChange]]:
+        """Yield the last call for each name: the active ones, then those that were cleared of late."""
+        for name, at_ms in self.active.items():
+            yield name, OverrideChange(True, at_ms)
+        for name, at_ms in self.cleared.items():
+            if now_ms() - at_ms < CLEARED_RETENTION_MS:
+                yield name, OverrideChange(False, at_ms)
+
     def set(self, name: str, active: bool) -> None:
         """Set or clear an override; a repeated call changes nothing.
 
--- a/switchline/state/persistence.py
+++ b/switchline/state/persistence.py
@@ -1,8 +1,9 @@
 """Persistence of a gateway's state: from the restore at a start, through faults and upgrades, to the end.
 
 When the disk fails, service goes on without state: `state.on` is 0, a crash then forgets what follows, and
-operators' calls are refused with 503. A second later a new database is begun beside the failed one, with all
-that the gateway knows; `state.on` is 1 again once that is possible.
+calls that change operators' overrides are refused with 503, as a loss of power would undo them. A second
+later a new database is begun beside the failed one, with all that the gateway knows; `state.on` is 1 once
+that succeeds.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 from switchline.clock import now_ms
 from switchline.discovery.client import Discovery
-from switchline.operators.overrides import CLEARED_RETENTION_MS, OperatorOverrides
+from switchline.operators.overrides import OperatorOverrides, OverrideChange
 from switchline.policy import interface as api
 from switchline.service.driver import Driver
 from switchline.state.endpoint_list import Host, SavedEndpointList
@@ -31,6 +32,7 @@
     StateRestorer,
     ZoneDecision,
     downtime_s,
+    encode_override,
 )
 from switchline.state.store import NOT_STORED, StateStore, StoreEvents
 from switchline.state.writer import OpenOptions
@@ -168,11 +170,8 @@
         if self.discovery.version is not None:
             store.put(KIND_LIST, LIST_VERSION_NAME, self.saved_list.version_record(self.discovery.version))
         for kind, overrides in self.overrides.items():
-            for name, at_ms in overrides.active.items():
-                store.put(kind, name, override_record(True, at_ms))
-            for name, at_ms in overrides.cleared.items():
-                if now_ms() - at_ms < CLEARED_RETENTION_MS:
-                    store.put(kind, name, override_record(False, at_ms))
+            for name, change in overrides.changes():
+                store.put(kind, name, encode_override(change))
         for name, decision in self.zone_decisions.items():
             store.put(KIND_ZONE_DECISION, name, decision)
         self.driver.give(api.PersistenceChanged(True))
@@ -249,7 +248,7 @@
         """Save an operator's call; return the store's serial number of it."""
         if self.store is None:
             return NOT_STORED
-        return self.store.put(kind, name, override_record(active, at_ms))
+        return self.store.put(kind, name, encode_override(OverrideChange(active, at_ms)))
 
     async def commit_override(self, kind: str, name: str, active: bool) -> bool:
         """Save an operator's call, and wait for its commit.
@@ -307,8 +306,3 @@
     def counts(self) -> dict[str, int]:
         """Return the counters of the state by metric name."""
         return self._metrics.counts(self.store, self.restorer)
-
-
-def override_record(active: bool, at_ms: float) -> dict[str, Any]:
-    """Return the record of an operator override, as it is stored."""
-    return {"out": active, "at": at_ms}
--- a/switchline/state/restore.py
+++ b/switchline/state/restore.py
@@ -53,6 +53,16 @@
     return max(0.0, now_ms() - saved.last_alive_ms) / 1000
 
 
+def encode_override(change: OverrideChange) -> dict[str, Any]:
+    """Return the record of an operator's call."""
+    return {"out": change.active, "at": change.at_ms}
+
+
+def decode_override(value: Any) -> OverrideChange:
+    """Return the operator's call of a record; raises KeyError, TypeError or ValueError for any other."""
+    return OverrideChange(bool(value["out"]), float(value["at"]))
+
+
 class StateRestorer:
     """Gives the parts of a saved state to their owners, and counts them.
 
@@ -114,11 +124,9 @@
         changes: dict[str, OverrideChange] = {}
         for record in saved.of_kind(kind):
             try:
-                change = OverrideChange(bool(record.value["out"]), float(record.value["at"]))
+                changes[record.name] = decode_override(record.value)
             except (KeyError, TypeError, ValueError):
                 self.dropped += 1
-            else:
-                changes[record.name] = change
         return changes
 
     def zone_decisions(self, saved: SavedState) -> dict[str, ZoneDecision] | None:
