--- a/tests/recordings/test_recorded_decisions.py
+++ b/tests/recordings/test_recorded_decisions.py
@@ -23,6 +23,8 @@
 
 RECORDED = Path(__file__).parents[1] / "recorded"
 SCENES = ["zones", "quotas", "durable_state", "upgrade", "power_loss", "streamed_requests"]
+# Records of `tests/recorded/stored/`, given to a new gateway.
+STORED_SCENES = ["stored_state_after_drain", "stored_state_after_kill", "stored_handover"]
 # What the driver expects of the module for a record that no such program wrote.
 REFUSAL = (ValueError, TypeError, OverflowError)
 
@@ -61,7 +63,7 @@
     return {"actions": [neutral_form.encode_action(action) for action in actions]}
 
 
-@pytest.mark.parametrize("scene", SCENES)
+@pytest.mark.parametrize("scene", SCENES + STORED_SCENES)
 def test_each_event_of_a_recording_gives_the_recorded_actions(scene: str) -> None:
     gateways: dict[str, Gateway] = {}
     for number, line in enumerate(lines(scene), 1):
