--- a/switchline/fleet_runtime/recovery.py
+++ b/switchline/fleet_runtime/recovery.py
@@ -3,7 +3,7 @@
 Before clients: what operators took out by hand, the newest list, and where its own disk is lost or old what
 is spent of customers' quotas. Then it may turn out that the whole fleet lost power: service returns in
 stages. Each wait is bounded. Only with both `fleet` and `state`; each alone does what it did. The table of
-what is trusted is in docs/power-loss.md.
+what is trusted is in docs/recovery.md.
 """
 
 from __future__ import annotations
