--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -22,6 +22,7 @@
 PAGES = [ROOT / "README.md", *sorted((ROOT / "docs").glob("*.md"))]
 MODULE = re.compile(r"[\w./-]*\w\.py\b")
 PAGE = re.compile(r"docs/[\w./-]*\.md")
+TEST = re.compile(r"`(test_\w+)`")
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
@@ -32,6 +33,13 @@
     assert not missing, f"{page.name} names what is not there: {missing}"
 
 
+@pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
+def test_each_test_that_a_page_names_exists(page: Path) -> None:
+    tests = "\n".join(path.read_text() for path in (ROOT / "tests").rglob("test_*.py"))
+    missing = [name for name in TEST.findall(page.read_text()) if f"def {name}(" not in tests]
+    assert not missing, f"{page.name} names what is not there: {missing}"
+
+
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
 def test_each_page_says_at_its_top_whom_it_is_for(page: Path) -> None:
     title, blank, audience, *_ = page.read_text().splitlines()
