--- a/switchline/service/driver.py
+++ b/switchline/service/driver.py
@@ -14,7 +14,7 @@
 from switchline.backends.attempt import Attempt
 from switchline.backends.pool import BackendPool
 from switchline.clients.commands import Command, bulk
-from switchline.clients.server import Slot
+from switchline.clients.slot import Slot
 from switchline.clock import Timer, Timers, now_ms
 from switchline.counter.client import Counter
 from switchline.discovery.client import Member, host_number
@@ -263,8 +263,8 @@
 
     def crowd(self, kind: str, slot: Slot) -> None:
         """Refuse a request before the module is told of it."""
-        self.figures.ended(kind, OutcomeKind.DECLINED)
-        self.figures.crowded += 1
+        self.figures.count_outcome(kind, OutcomeKind.DECLINED)
+        self.figures.rejected_for_capacity += 1
         self.seen["refused for room"] += 1
         slot.answer(b"-BUSY %d\r\n" % FULL_MS)
 
@@ -300,7 +300,7 @@
             raise ValueError("malformed units or gateways")
         return event
 
-    def on_whole(self, request: str) -> None:
+    def on_body_received(self, request: str) -> None:
         """A long value has come in whole: from now on its request is one as any other.
 
         Its client may count the time from its first byte or from its last. One that still sends has not given
@@ -332,7 +332,7 @@
         owner = self.leave(request)
         if owner is None:
             return
-        self.figures.ended(owner.kind.name, OutcomeKind.ABORTED)
+        self.figures.count_outcome(owner.kind.name, OutcomeKind.ABORTED)
         if owner.value is not None:
             owner.value.drop()
         self.leave_body(owner)
@@ -416,13 +416,13 @@
         if owner.timer is not None:
             owner.timer.cancel()
         value = owner.value = StreamedResponse(self.room, length, owner.slot.connection.pump)
-        owner.slot.begin(value, partial(self.on_passed, owner))
+        owner.slot.stream(value, partial(self.on_passed, owner))
         self.give(api.StreamedAnswerStarted(request, number))
         return value
 
     def on_passed(self, owner: Request) -> None:
         if self.leave(owner.command.id) is not None:
-            self.figures.ended(owner.kind.name, OutcomeKind.SUCCEEDED)
+            self.figures.count_outcome(owner.kind.name, OutcomeKind.SUCCEEDED)
         if owner.value is not None:
             owner.value.drop()
         self.leave_body(owner)
@@ -496,9 +496,9 @@
     def finish(self, request: str, reply: bytes, ended: OutcomeKind) -> None:
         """Give the one final answer; a second one is not sent."""
         if owner := self.leave(request):
-            self.figures.ended(owner.kind.name, ended)
+            self.figures.count_outcome(owner.kind.name, ended)
             if owner.value is not None:  # begun, and not to be finished
-                owner.slot.cut(reply)
+                owner.slot.abort_stream(reply)
                 owner.value.drop()
             else:
                 owner.slot.answer(reply)
--- a/tests/service/test_driver.py
+++ b/tests/service/test_driver.py
@@ -11,7 +11,9 @@
 
 from switchline.backends.pool import BackendPool
 from switchline.clients.commands import parse_command
-from switchline.clients.server import ClientConnection, ClientServer, Slot
+from switchline.clients.connection import ClientConnection
+from switchline.clients.server import ClientServer
+from switchline.clients.slot import Slot
 from switchline.clock import Timers
 from switchline.net.descriptors import Budget
 from switchline.net.streams import BufferBudget
@@ -147,7 +149,7 @@
 def test_a_report_tells_what_became_of_the_requests(caplog: pytest.LogCaptureFixture) -> None:
     async def scenario() -> None:
         scene = Scene()
-        scene.module.answers[api.RequestArrived] = [api.Reject("r1", 30.0, "quota")]
+        scene.module.answers[api.RequestArrived] = [api.Reject("r1", 30.0, api.RejectionCause.QUOTA)]
         scene.driver.states = lambda: {"clients.idle": 2, "clients.young": 0}
         scene.ask()
         with caplog.at_level("INFO"):
