--- /dev/null
+++ b/switchline/fleet_runtime/exchange.py
@@ -0,0 +1,110 @@
+"""Exchanges of the whole known state between two gateways, by TCP: one frame each way.
+
+A frame is its length in `LENGTH_BYTES` bytes, big-endian, and then the sealed message.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from switchline.clock import now_ms
+from switchline.config import Address
+from switchline.fleet.messages import MOST_EXCHANGE
+from switchline.fleet.node import Node
+
+TIMEOUT_S = 2.0  # for an exchange, from its connection to its end
+MAX_INCOMING = 4
+MAX_OUTGOING = 2
+BACKLOG = 16
+LENGTH_BYTES = 4
+
+
+class ExchangeError(Exception):
+    """The other side of an exchange sent what it must not."""
+
+
+class ExchangePeer:
+    """Owns the TCP socket for exchanges, and those that are under way."""
+
+    def __init__(self, node: Node, listen: Address, on_merged: Callable[[], None]) -> None:
+        """`on_merged` is called once an exchange has been merged into the node."""
+        self.loop = asyncio.get_running_loop()
+        self.node = node
+        self.address = listen
+        self.on_merged = on_merged
+        self._server: asyncio.Server | None = None
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._incoming = 0
+        self._outgoing = 0
+
+    async def listen(self) -> None:
+        """Accept exchanges; raises OSError where the address can't be had."""
+        host, port = self.address
+        self._server = await asyncio.start_server(self._serve, host, port, backlog=BACKLOG)
+
+    def stop_listening(self) -> None:
+        """Close the listening socket."""
+        if self._server is not None:
+            self._server.close()
+            self._server = None
+
+    def close(self) -> None:
+        """Close the listening socket, and end the exchanges that this gateway began."""
+        for task in self._tasks:
+            task.cancel()
+        self.stop_listening()
+
+    def begin(self, address: Address) -> None:
+        """Begin an exchange with another gateway, unless too many are under way."""
+        if self._outgoing >= MAX_OUTGOING:
+            return
+        self._outgoing += 1
+        task = self.loop.create_task(self._exchange(address))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    async def _exchange(self, address: Address) -> None:
+        writer = None
+        try:
+            async with asyncio.timeout(TIMEOUT_S):
+                reader, writer = await asyncio.open_connection(*address, local_addr=(self.address[0], 0))
+                _write_frame(writer, self.node.state(False))
+                frame = await _read_frame(reader)
+            if self.node.exchanged(self.loop.time(), now_ms(), frame, True):
+                self.on_merged()
+        except (OSError, ValueError, EOFError, ExchangeError):
+            self.node.refuse("exchange")
+        finally:
+            self._outgoing -= 1
+            if writer is not None:
+                writer.close()
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if self._incoming >= MAX_INCOMING:
+            writer.close()
+            return
+        self._incoming += 1
+        try:
+            async with asyncio.timeout(TIMEOUT_S):
+                frame = await _read_frame(reader)
+                if self.node.exchanged(self.loop.time(), now_ms(), frame, False):
+                    _write_frame(writer, self.node.state(True))
+                    await writer.drain()
+                    self.on_merged()
+        except (OSError, ValueError, EOFError, ExchangeError):
+            self.node.refuse("exchange")
+        finally:
+            self._incoming -= 1
+            writer.close()
+
+
+async def _read_frame(reader: asyncio.StreamReader) -> bytes:
+    length = int.from_bytes(await reader.readexactly(LENGTH_BYTES), "big")
+    if length > MOST_EXCHANGE:
+        raise ExchangeError("too long")
+    return await reader.readexactly(length)
+
+
+def _write_frame(writer: asyncio.StreamWriter, frame: bytes) -> None:
+    writer.write(len(frame).to_bytes(LENGTH_BYTES, "big") + frame)
--- a/switchline/fleet_runtime/list_repair.py
+++ b/switchline/fleet_runtime/list_repair.py
@@ -1,7 +1,7 @@
-"""A running gateway whose discovery agent is stuck: it is brought up by the others' newer list.
+"""Repair of the backend list of a running gateway whose discovery agent is stuck.
 
-Drains and removals that two others tell alike bind at once; nothing is added on their word. Its own agent's
-word holds again as soon as it comes. Only with both `fleet` and `state`.
+Drains and removals that two other gateways' newer lists agree on apply at once; nothing is added by them. The
+own agent's list holds again as soon as it is level. Only with both `fleet` and `state`.
 """
 
 from __future__ import annotations
@@ -10,92 +10,126 @@
 import random
 import time
 
-from switchline.audit.recorder import Noted
-from switchline.discovery.client import Discovery, DiscoveryError, read_list
+from switchline.discovery.client import Discovery, DiscoveryError, MemberList, read_list
 from switchline.fleet.messages import LIST, Exchange, Listed
+from switchline.fleet.node import Node
 from switchline.fleet.staleness import StaleList, agreed, leaves_none, number, seq_of
-from switchline.fleet_runtime.transport import Peers
 from switchline.policy import interface as api
+from switchline.service.audit_trail import RecordVersion, record_nothing
 from switchline.service.driver import Driver
 from switchline.state.recovery import Recovery
 
 log = logging.getLogger(__name__)
 
-ASK_S, ASKED = 0.5, 3  # between two asks, and of how many, while it is behind
-MOST_LISTS = 8  # of others that are held at once
+REQUEST_INTERVAL_S = 0.5
+GATEWAYS_ASKED = 3  # at once
+MAX_LISTS = 8  # of other gateways that are stored at once
+MAX_LOGGED_HOSTS = 8
+
+Host = dict[str, object]  # in discovery's form
 
 
 class ListRepair:
-    """Owns whether this gateway is behind, and the newer lists that others have told it since."""
+    """Owns whether the list here is behind, and the newer lists that others have sent since."""
 
-    def __init__(
-        self, driver: Driver, discovery: Discovery, recovery: Recovery, chance: random.Random
-    ) -> None:
-        self.driver, self.discovery, self.recovery, self.chance = driver, discovery, recovery, chance
-        self.behind = StaleList()
-        self.lists: dict[str, Listed] = {}  # by their gateways
-        self.seq = -1  # of the newest list that it was brought up to
-        self.taken: set[tuple[str, str]] = set()  # hosts and what became of them, by others' word
-        self.ask_at = 0.0
+    def __init__(self, driver: Driver, discovery: Discovery, state: Recovery, rng: random.Random) -> None:
+        self.driver = driver
+        self.discovery = discovery
+        self.state = state
+        self.rng = rng
         self.is_behind = False
-        self.hosts = 0
-        self.noted: Noted = lambda kind, of, version, cause: None  # of the audit
+        self.lists: dict[str, Listed] = {}  # by their gateways
+        self.repaired_to = -1  # the number of the newest list that two others have reached
+        self.hosts = 0  # changed by others' lists
+        self.record: RecordVersion = record_nothing
+        self._stale = StaleList()
+        self._applied: set[tuple[str, str]] = set()  # hosts and their health, by others' lists
+        self._ask_at_s = 0.0
 
-    def own(self) -> int:
+    def own_number(self) -> int:
+        """The number of the own agent's list; -1 where there is none."""
         return seq_of(self.discovery.version)
 
-    def look(self, peers: Peers) -> None:
-        """Called now and then."""
-        now, node = time.monotonic(), peers.node
-        if self.own() >= self.seq and self.taken:
-            self.taken.clear()  # its agent tells as much as the others did
-        told = {name: number(node.facts.value("list", "", name)) for name in node.members.present}
-        behind = self.behind.look(now, self.own(), told.values()) and not node.members.minority
-        if behind and not self.is_behind:
-            newest = max((seq for seq in told.values() if seq is not None), default=-1)
-            log.warning("the list here is behind: %d, most have a newer one, up to %d", self.own(), newest)
-            self.noted("behind", "list", str(self.own()), f"most have a newer one, up to {newest}")
-        if self.is_behind and not behind:
-            log.info("the list here is level again: %d", self.own())
-            self.noted("level", "list", str(self.own()), "its agent tells as much as the others'")
+    def look(self, node: Node) -> None:
+        """Called now and then: compare the own list with the others', and ask for newer ones."""
+        now_s = time.monotonic()
+        if self.own_number() >= self.repaired_to and self._applied:
+            self._applied.clear()  # the own agent is level
+        numbers = {name: number(node.facts.value("list", "", name)) for name in node.members.present}
+        is_behind = self._stale.look(now_s, self.own_number(), numbers.values())
+        self._set_behind(is_behind and not node.members.minority, numbers, node)
+        if self.is_behind and now_s >= self._ask_at_s:
+            self._ask(node, numbers, now_s)
+
+    def _set_behind(self, is_behind: bool, numbers: dict[str, int | None], node: Node) -> None:
+        own = self.own_number()
+        if is_behind and not self.is_behind:
+            newest = max((seq for seq in numbers.values() if seq is not None), default=-1)
+            log.warning("the list here is behind: %d, most have a newer one, up to %d", own, newest)
+            self.record("behind", "list", str(own), f"most have a newer one, up to {newest}")
+        if self.is_behind and not is_behind:
+            log.info("the list here is level again: %d", own)
+            self.record("level", "list", str(own), "its agent tells as much as the others'")
             self.lists.clear()
             node.wants &= ~LIST
-        self.is_behind = behind
-        if not behind or now < self.ask_at:
-            return
-        newer = [n for n, seq in told.items() if seq is not None and seq > max(self.own(), self.seq)]
+        self.is_behind = is_behind
+
+    def _ask(self, node: Node, numbers: dict[str, int | None], now_s: float) -> None:
+        """Ask some of the gateways that have a newer list for it."""
+        level = max(self.own_number(), self.repaired_to)
+        newer = [name for name, seq in numbers.items() if seq is not None and seq > level]
         if newer:
-            self.ask_at = now + ASK_S
-            node.wants, node.list_seq = node.wants | LIST, self.own()
-            some = self.chance.sample(sorted(newer), min(ASKED, len(newer)))
+            self._ask_at_s = now_s + REQUEST_INTERVAL_S
+            node.wants |= LIST
+            node.list_seq = self.own_number()
+            some = self.rng.sample(sorted(newer), min(GATEWAYS_ASKED, len(newer)))
             node.ask_of([node.members.present[name].address for name in some])
 
-    def learn(self, told: Exchange) -> None:
-        """Another's list; what two tell alike binds."""
-        own = self.recovery.listed()
-        if not self.is_behind or told.listed is None or own is None or told.listed.seq <= self.own():
+    def on_exchange(self, exchange: Exchange) -> None:
+        """Another gateway sent its list; what two lists agree on is applied."""
+        own = self.state.listed()
+        if not self.is_behind or exchange.listed is None or own is None:
             return
-        self.lists.pop(told.sender, None)
-        while len(self.lists) >= MOST_LISTS:
-            del self.lists[next(iter(self.lists))]
-        self.lists[told.sender] = told.listed
-        newer = [listed for listed in self.lists.values() if listed.seq > self.own()]
+        if exchange.listed.seq <= self.own_number():
+            return
+        self._store(exchange.sender, exchange.listed)
+        newer = [listed for listed in self.lists.values() if listed.seq > self.own_number()]
         found = agreed(own, newer)
-        changes = [host for host in found if (str(host["host"]), str(host["health"])) not in self.taken]
+        changes = [host for host in found if _key(host) not in self._applied]
         if len(newer) > 1:
-            self.seq = max(self.seq, sorted(listed.seq for listed in newer)[-2])
-        if not changes or leaves_none(own, found):
+            self.repaired_to = max(self.repaired_to, sorted(listed.seq for listed in newer)[-2])
+        if changes and not leaves_none(own, found):
+            self._apply(changes)
+
+    def _store(self, sender: str, listed: Listed) -> None:
+        self.lists.pop(sender, None)
+        while len(self.lists) >= MAX_LISTS:
+            del self.lists[next(iter(self.lists))]
+        self.lists[sender] = listed
+
+    def _apply(self, changes: list[Host]) -> None:
+        found = self._read(changes)
+        if found is None:
             return
+        self._applied |= {_key(host) for host in changes}
+        self.hosts += len(changes)
+        named = ", ".join(f"{host['host']} {host['health']}" for host in changes[:MAX_LOGGED_HOSTS])
+        senders = ", ".join(sorted(self.lists))
+        log.warning("brought up to list %d by %s: %s", self.repaired_to, senders, named)
+        self.record("brought up", "list", str(self.repaired_to), f"by {senders}: {named}")
+        self.driver.apply_list(api.ListScope.CHANGES, found.members)
+
+    def _read(self, changes: list[Host]) -> MemberList | None:
         try:
-            members = read_list({"seq": self.seq, "whole": False, "hosts": changes}).members
+            return read_list({"seq": self.repaired_to, "whole": False, "hosts": changes})
         except DiscoveryError as error:
-            return log.warning("others' list is left out: %s", error)
-        self.taken |= {(str(host["host"]), str(host["health"])) for host in changes}
-        self.hosts += len(changes)
-        named = ", ".join(f"{host['host']} {host['health']}" for host in changes[:8])
-        log.warning("brought up to list %d by %s: %s", self.seq, ", ".join(sorted(self.lists)), named)
-        self.noted("brought up", "list", str(self.seq), f"by {', '.join(sorted(self.lists))}: {named}")
-        self.driver.members(api.ListScope.CHANGES, members)
+            log.warning("others' list is left out: %s", error)
+            return None
 
     def gauges(self) -> dict[str, int]:
+        """Whether the list here is behind, and how many hosts were changed by others' lists."""
         return {"fleet.behind": int(self.is_behind), "fleet.brought_up": self.hosts}
+
+
+def _key(host: Host) -> tuple[str, str]:
+    return str(host["host"]), str(host["health"])
--- /dev/null
+++ b/switchline/fleet_runtime/membership.py
@@ -0,0 +1,213 @@
+"""This gateway as a member of its fleet: joins the gossip to all that takes part in it."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable, Iterator
+from typing import TYPE_CHECKING
+
+from switchline.clock import now_ms
+from switchline.config import FleetLink
+from switchline.fleet.facts import FOR_ALL
+from switchline.fleet.messages import Entry, Exchange
+from switchline.fleet_runtime.incarnation import next_incarnation
+from switchline.fleet_runtime.own_facts import OwnFacts
+from switchline.fleet_runtime.status import describe_fleet, gossip_gauges
+from switchline.fleet_runtime.transport import GossipTransport, PublishedFact
+from switchline.fleet_runtime.version_watch import DivergenceWatch, QuarantineControl
+from switchline.operators.fleet_calls import FleetCalls
+from switchline.service.audit_trail import AuditTrail
+from switchline.service.calls.overrides import OverrideSet
+from switchline.service.drain import ClientIntake
+from switchline.service.parts import GatewayParts
+from switchline.zones.coordination import ZoneCoordinator
+
+if TYPE_CHECKING:
+    from switchline.fleet_runtime.list_repair import ListRepair
+    from switchline.fleet_runtime.recovery.coordinator import FleetRecovery
+    from switchline.state.recovery import Recovery
+
+
+class MembershipParts:
+    """What exists only while this gateway is a member."""
+
+    def __init__(
+        self,
+        transport: GossipTransport,
+        calls: FleetCalls,
+        zones: ZoneCoordinator,
+        divergence: DivergenceWatch,
+        quarantine: QuarantineControl,
+    ) -> None:
+        self.transport = transport
+        self.calls = calls
+        self.zones = zones
+        self.divergence = divergence
+        self.quarantine = quarantine
+
+
+class FleetMembership:
+    """Owns the gossip transport, and the parts that take part in the gossip."""
+
+    def __init__(
+        self,
+        parts: GatewayParts,
+        trail: AuditTrail,
+        overrides: OverrideSet,
+        intake: ClientIntake,
+        state: Recovery | None,
+        took_over: Callable[[], bool],
+    ) -> None:
+        """`state` is that on disk; `took_over`: whether this process has taken over from an older one."""
+        self.parts = parts
+        self.trail = trail
+        self.overrides = overrides
+        self.intake = intake
+        self.state = state
+        self.took_over = took_over
+        self.own_facts = OwnFacts(parts, trail, overrides)
+        self.member: MembershipParts | None = None
+        self.recovery: FleetRecovery | None = None
+        self.list_repair: ListRepair | None = None
+
+    @property
+    def calls(self) -> FleetCalls | None:
+        """Operators' calls for the whole fleet; None while this gateway is no member."""
+        return self.member.calls if self.member is not None else None
+
+    def prepare_recovery(self) -> None:
+        """Create what recovers from the other gateways; needs the state on disk."""
+        if self.state is None:
+            return
+        from switchline.fleet_runtime.list_repair import ListRepair
+        from switchline.fleet_runtime.recovery.coordinator import FleetRecovery
+
+        parts, settings = self.parts, self.parts.config.settings
+        self.recovery = FleetRecovery(
+            self.overrides.by_name, self.state, parts.driver, parts.discovery, settings.index
+        )
+        rng = random.Random(f"{parts.config.seed} level")
+        self.list_repair = ListRepair(parts.driver, parts.discovery, self.state, rng)
+        self.recovery.set_record(self.trail.record)
+        self.list_repair.record = self.trail.record
+
+    async def query_before_clients(self, took_over: bool) -> None:
+        """Ask the others for what a lost or an old disk lacks."""
+        if self.recovery is None:
+            return
+        if took_over:
+            self.recovery.settle()  # the older process still has this gateway's name in the fleet
+            return
+        await self.join()
+        if self.member is not None:
+            await self.recovery.query(self.member.transport)
+
+    async def join(self) -> None:
+        """Become a member of the configured fleet; nothing happens where this gateway is one already."""
+        link = self.parts.config.line
+        if link is None or self.member is not None:
+            return
+        self.member = self._make_member(link)
+        await self.member.transport.open()
+
+    def _make_member(self, link: FleetLink) -> MembershipParts:
+        config = self.parts.config
+        rng = random.Random(f"{config.seed} line")
+        incarnation = next_incarnation(config.state, rng)
+        transport = GossipTransport(config.name, link, incarnation, rng, self._facts)
+        node = transport.node
+        calls = FleetCalls({FOR_ALL[kind]: one for kind, one in self.overrides.by_name.items()})
+        calls.attach(transport)
+        if self.recovery is not None:
+            self.recovery.attach(transport)
+        zones = ZoneCoordinator(self.parts.driver, random.Random(f"{config.seed} zones"))
+        zones.noted = self.trail.record
+        if self.trail.audit is not None:
+            self.trail.audit.follow(node.order, incarnation)
+        zones.attach(transport)
+        if self.state is not None:
+            if not self.took_over():  # else the older process knows better, and has told the others
+                zones.recall(self.state.acts)
+            zones.keep = self.state.keep_act
+        node.told = self._on_fact
+        node.learned = self._on_exchange
+        transport.on_published = self._look
+        divergence = DivergenceWatch(self.parts, self.trail)
+        quarantine = QuarantineControl(self.parts, self.trail, self.overrides, self.intake, link.shut_out_s)
+        return MembershipParts(transport, calls, zones, divergence, quarantine)
+
+    def leave(self, announce: bool) -> None:
+        """Be a member no more. `announce`: this gateway ends, and not only this process."""
+        member, self.member = self.member, None
+        if member is None:
+            return
+        if announce:
+            member.transport.announce_leave()
+        member.transport.close()
+        member.zones.close()
+        member.quarantine.close()
+
+    def knows(self, name: str) -> bool:
+        """Whether a gateway of this name is, or was, a member."""
+        if self.member is None:
+            return False
+        return name in (self.parts.config.name, *self.member.transport.node.members.others)
+
+    def _facts(self) -> Iterator[PublishedFact]:
+        """What this gateway publishes now."""
+        yield from self.own_facts.about_gateway()
+        if self.recovery is not None:
+            yield from self.recovery.facts()
+        yield from self.own_facts.about_overrides()
+
+    def _look(self) -> None:
+        """Called each time after this gateway's facts have been published."""
+        member = self.member
+        if member is not None:
+            member.calls.look()
+        if self.recovery is not None:
+            self.recovery.look()
+        takes_clients = self.parts.clients.takes_clients
+        if member is not None:
+            node = member.transport.node
+            member.divergence.look(node)
+            if self.list_repair is not None and (takes_clients or member.quarantine.is_out):
+                self.list_repair.look(node)
+                member.quarantine.look(node, self.list_repair)
+        self.trail.record("ready", "", "yes" if self.parts.clients.takes_clients else "no")
+
+    def _on_fact(self, entry: Entry) -> None:
+        """A fact is new here."""
+        if self.member is not None:
+            self.member.calls.heard(entry)
+            self.member.zones.heard(entry)
+
+    def _on_exchange(self, exchange: Exchange) -> None:
+        """Another gateway sent what it was asked for."""
+        if self.recovery is not None:
+            self.recovery.on_exchange(exchange)
+        if self.list_repair is not None:
+            self.list_repair.on_exchange(exchange)
+
+    def gauges(self) -> dict[str, int]:
+        """Metrics of the gossip and of all that takes part in it."""
+        member = self.member
+        gauges = gossip_gauges(member.transport.node) if member is not None else {}
+        gauges |= self.recovery.gauges() if self.recovery is not None else {}
+        gauges |= self.list_repair.gauges() if self.list_repair is not None else {}
+        if member is not None:
+            gauges |= member.zones.gauges() | member.divergence.gauges() | member.quarantine.gauges()
+        return gauges
+
+    def shown(self) -> dict[str, object] | None:
+        """The fleet as this gateway sees it; None while it is no member."""
+        member = self.member
+        if member is None:
+            return None
+        transport = member.transport
+        now_s, wall_ms = self.parts.loop.time(), now_ms()
+        shown = describe_fleet(transport.node, transport.link.fleet, now_s, wall_ms)
+        if self.recovery is not None:
+            shown["recovery"] = self.recovery.shown()
+        shown["zones"] = member.zones.shown()
+        return shown
--- /dev/null
+++ b/switchline/fleet_runtime/recovery/backend_list.py
@@ -0,0 +1,121 @@
+"""The list of backends after a start: what of other gateways' and of a restarted discovery's list is applied.
+
+Of another gateway's newer list, drains, removals and later starts of backends apply at once; nothing is
+added. For `DOUBT_S` discovery may itself just be back: an empty or older list of it is withheld, but for its
+drains.
+"""
+
+from __future__ import annotations
+
+import logging
+import time
+from typing import Any
+
+from switchline.discovery.client import Discovery, DiscoveryError, MemberList, read_list
+from switchline.fleet.messages import MOST_HOSTS, HostRow, Listed
+from switchline.fleet.staleness import bound_by, leaves_none, seq_of
+from switchline.policy import interface as api
+from switchline.service.audit_trail import RecordVersion, record_nothing
+from switchline.service.driver import Driver
+from switchline.state.recovery import Recovery
+
+log = logging.getLogger(__name__)
+
+DOUBT_S = 30.0  # from the start
+
+
+class ListRecovery:
+    """Owns the newest list that another gateway has sent, and whether discovery's is withheld."""
+
+    def __init__(self, state: Recovery, driver: Driver, discovery: Discovery, began_s: float) -> None:
+        self.state = state
+        self.driver = driver
+        self.discovery = discovery
+        self.newest: Listed | None = None
+        self.doubt_until_s = began_s + DOUBT_S  # monotonic
+        self.is_withheld = False
+        self.hosts = 0  # changed by another gateway's list
+        self.rejected = 0  # lists of other gateways that could not be read
+        self.record: RecordVersion = record_nothing
+        discovery.weigh = self.filter_doubtful
+
+    def newer_than(self, number: int) -> Listed | None:
+        """The list here, for a gateway that asks with the number of its own; None where it is no newer."""
+        hosts, version = self.state.listed(), self.discovery.version
+        if hosts is None or version is None or version <= number or len(hosts) > MOST_HOSTS:
+            return None
+        return Listed(version, [_host_message(host) for host in hosts])
+
+    def offer(self, listed: Listed | None) -> None:
+        """Another gateway has sent its list; the newest is kept for `apply_newest`."""
+        if listed is not None and (self.newest is None or listed.seq > self.newest.seq):
+            self.newest = listed
+
+    def apply_newest(self) -> None:
+        """Apply the newest list of another gateway, where it is newer than the own.
+
+        Its addresses are those that the other gateway reaches backends by. Discovery is asked for its whole
+        list then, as its changes would not undo an error of the other gateway.
+        """
+        newer, own, number = self.newest, self.state.listed(), seq_of(self.discovery.version)
+        if newer is None or own is None or newer.seq <= number:
+            return
+        changes = list(bound_by(own, newer))
+        found = self._read(newer.seq, changes)
+        if found is None or leaves_none(own, changes):
+            return
+        log.info("recovery: another gateway's list is newer: %d, here %d", newer.seq, number)
+        self.record("brought up", "list", str(newer.seq), "at the start, by another gateway's list")
+        self.hosts = len(found.members)
+        self.driver.apply_list(api.ListScope.CHANGES, found.members)
+        self.discovery.anew()
+
+    def _read(self, number: int, changes: list[dict[str, Any]]) -> MemberList | None:
+        try:
+            return read_list({"seq": number, "whole": False, "hosts": changes})
+        except DiscoveryError as error:
+            self.rejected += 1
+            log.info("recovery: another gateway's list is left out: %s", error)
+            return None
+
+    def filter_doubtful(self, raw: dict[str, Any]) -> dict[str, Any] | None:
+        """What is applied of a whole list that discovery sends while it may just be back itself.
+
+        Of an older one its drains; an empty one is withheld where backends are known. After `DOUBT_S` both
+        apply.
+        """
+        hosts = raw.get("hosts") or []
+        known = max(seq_of(self.discovery.version), self.newest.seq if self.newest else -1)
+        own = self.state.listed()
+        behind = raw.get("whole") and (int(raw["seq"]) < known or not hosts)
+        if not behind or not own or time.monotonic() >= self.doubt_until_s:
+            return raw
+        if not self.is_withheld:
+            log.warning(
+                "discovery's list of %d hosts is held back: %s, here %s", len(hosts), raw["seq"], known
+            )
+        self.is_withheld = True
+        drained = {str(host["host"]) for host in hosts if host["health"] == "draining"}
+        changes = [host | {"health": "draining"} for host in own if host["host"] in drained]
+        return {"seq": known, "whole": False, "hosts": changes} if hosts else None
+
+    def look(self, now_s: float) -> None:
+        """Once the doubt is over, ask discovery anew for what was withheld."""
+        if self.is_withheld and now_s >= self.doubt_until_s:
+            self.is_withheld = False
+            self.discovery.anew()
+
+    def trust_discovery(self, since_s: float) -> None:
+        """Discovery's lists apply as they are, from `since_s` (monotonic) on."""
+        self.doubt_until_s = since_s
+
+
+def _host_message(host: dict[str, Any]) -> HostRow:
+    return HostRow(
+        str(host["host"]),
+        str(host["dial"]),
+        str(host.get("site") or ""),
+        int(host.get("block") or 0),
+        str(host["health"]),
+        float(host.get("born_ms") or 0),
+    )
--- /dev/null
+++ b/switchline/fleet_runtime/status.py
@@ -0,0 +1,72 @@
+"""The gossip's state as operators see it."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from switchline.fleet.messages import Entry, State
+from switchline.fleet.node import Node
+
+
+def gossip_gauges(node: Node) -> dict[str, int]:
+    """Metrics of the members, the facts and the messages."""
+    members = node.members
+    states = [member.state for member in members.others.values()]
+    return {
+        "fleet.members": members.size,
+        "fleet.suspect": sum(state is State.SUSPECT for state in states),
+        "fleet.dead": sum(state is State.DEAD for state in states),
+        "fleet.facts": len(node.facts.table),
+        "fleet.minority": int(members.minority),
+        "fleet.quiet": int(members.taken_over),
+        "fleet.sent": node.sent,
+        "fleet.received": node.taken,
+        "fleet.dropped": sum(node.refused.values()),
+    }
+
+
+def describe_fleet(node: Node, fleet: str, now_s: float, wall_ms: float) -> dict[str, Any]:
+    """For `GET /ops/fleet`: ages and times since are in seconds."""
+    members = node.members
+    facts = [_describe_fact(held.entry, wall_ms) for held in node.facts.table.values()]
+    facts.sort(key=lambda fact: (fact["kind"], fact["name"], fact["origin"]))
+    return {
+        "name": members.me.name,
+        "fleet": fleet,
+        "minority": members.minority,
+        "quiet": members.taken_over,
+        "health": members.health,
+        "counts": dict(members.counts),
+        "members": _describe_members(node, now_s),
+        "facts": facts,
+        "dropped": dict(node.refused),
+    }
+
+
+def _describe_members(node: Node, now_s: float) -> dict[str, dict[str, Any]]:
+    me = node.members.me
+    described: dict[str, dict[str, Any]] = {
+        me.name: {"state": "self", "life": list(me.life), "address": f"{me.host}:{me.port}"}
+    }
+    for name, member in sorted(node.members.others.items()):
+        described[name] = {
+            "state": member.state.name.lower(),
+            "life": list(member.rumor.life),
+            "address": "{}:{}".format(*member.address),
+            "heard_s": round(now_s - member.heard, 2),
+            "since_s": round(now_s - member.since, 2),
+        }
+    for (_, origin), held in node.facts.of_kind("zone").items():
+        if origin in described and held.entry.value is not None:
+            described[origin]["zone"] = held.entry.value
+    return described
+
+
+def _describe_fact(entry: Entry, wall_ms: float) -> dict[str, Any]:
+    return {
+        "kind": entry.kind,
+        "name": entry.name,
+        "origin": entry.origin,
+        "value": entry.value,
+        "age_s": round((wall_ms - entry.at) / 1000, 2),
+    }
--- a/switchline/fleet_runtime/transport.py
+++ b/switchline/fleet_runtime/transport.py
@@ -1,6 +1,6 @@
-"""The sockets of the line between gateways: datagrams by UDP, exchanges of all that is known by TCP.
+"""The sockets of the gossip between gateways: datagrams by UDP, exchanges of all that is known by TCP.
 
-`fleet.node` decides all that is said; this owns the sockets, the timer and the clock. Without the
+`fleet.node` decides all that is sent; this owns the sockets, the timer and the clock. Without the
 configuration's table `fleet` nothing here is imported.
 """
 
@@ -8,333 +8,232 @@
 
 import asyncio
 import logging
-import os
 import random
 from collections.abc import Callable, Iterator
-from pathlib import Path
-from typing import Any, NamedTuple, cast
+from dataclasses import dataclass
+from typing import Any, cast
 
 from switchline.clock import now_ms
-from switchline.config import Address, FleetLink
+from switchline.config import FleetLink
 from switchline.fleet.facts import TooMuch
-from switchline.fleet.messages import MOST_EXCHANGE, Entry, Incarnation, Seal, State
+from switchline.fleet.messages import Incarnation, Seal
 from switchline.fleet.node import Node
+from switchline.fleet_runtime.exchange import ExchangePeer
 
 log = logging.getLogger(__name__)
 
-FACTS_S = 0.25  # between two looks at what this gateway has to tell
-AGAIN_S = 1.0  # until the address is tried again that could not be had
-EXCHANGE_S = 2.0  # for an exchange, from its connection to its end
-MOST_IN, MOST_OUT = 4, 2  # exchanges at once, that others begin and that this one begins
-BACKLOG = 16
-REPORT_S = 10.0  # one line for all that was dropped in that time
-SPOILT_PER_S = 200  # frames of one host that are looked at once they are found spoilt so often in a second
-MOST_HOSTS = 256  # whose spoilt frames are counted
-LENGTH_BYTES = 4  # before each frame of an exchange
-LIFE = "life"  # the file in the folder of the state
+PUBLISH_INTERVAL_S = 0.25  # between two looks at what this gateway has to publish
+REOPEN_S = 1.0  # until an address that could not be had is tried again
+REPORT_INTERVAL_S = 10.0
+MAX_INVALID_PER_S = (
+    200  # frames of one host that are decoded once they are found invalid so often in a second
+)
+MAX_INVALID_HOSTS = 256  # whose invalid frames are counted
 
 
-class Word(NamedTuple):
-    """Something that this gateway has to tell; `at` is an operator's call, else 0."""
+@dataclass(frozen=True, slots=True)
+class PublishedFact:
+    """Something that this gateway publishes; `value` None withdraws it."""
 
     kind: str
     name: str
     value: str | None
-    at: float = 0.0
+    at_ms: float = 0.0  # when an operator called for it; 0: now
 
 
-def next_life(folder: Path | None, chance: random.Random) -> Incarnation:
-    """A life above all before it: by the wall clock, and by the last one on disk where there is a folder.
+class InvalidFrameLimit:
+    """Counts the invalid frames of each host in a second, so that a flood of them costs no decoding."""
 
-    The second number tells two processes apart that begin from copies of one folder, or at one moment.
-    """
-    life = int(now_ms())
-    if folder is not None:
-        path = folder / LIFE
-        try:
-            life = max(life, int(path.read_text()) + 1)
-        except (OSError, ValueError):
-            pass  # none is there yet, or none that can be read: the clock's is as good
-        try:
-            whole = path.with_suffix(f".{os.getpid()}")
-            with whole.open("w") as file:
-                file.write(str(life))
-                file.flush()
-                os.fsync(file.fileno())
-            whole.rename(path)
-        except OSError as error:
-            log.warning("the life of this process can't be kept: %s", error)
-    return life, chance.getrandbits(40)
+    def __init__(self) -> None:
+        self._counts: dict[str, int] = {}
+        self._since_s = 0.0
+
+    def is_exceeded(self, host: str, now_s: float) -> bool:
+        """Whether a frame of the host is to be dropped undecoded."""
+        if self._counts and now_s - self._since_s >= 1.0:
+            self._counts.clear()
+        return self._counts.get(host, 0) >= MAX_INVALID_PER_S
+
+    def count(self, host: str, now_s: float) -> None:
+        """A frame of the host was invalid."""
+        if not self._counts:
+            self._since_s = now_s
+        if host in self._counts or len(self._counts) < MAX_INVALID_HOSTS:
+            self._counts[host] = self._counts.get(host, 0) + 1
 
 
-class Peers(asyncio.DatagramProtocol):
-    """One gateway's end of the line, from its start to its end."""
+class GossipTransport(asyncio.DatagramProtocol):
+    """One gateway's sockets in the gossip of its fleet, from `open` to `close`."""
 
     def __init__(
         self,
         name: str,
-        line: FleetLink,
-        life: Incarnation,
-        chance: random.Random,
-        words: Callable[[], Iterator[Word]],
+        link: FleetLink,
+        incarnation: Incarnation,
+        rng: random.Random,
+        own_facts: Callable[[], Iterator[PublishedFact]],
     ) -> None:
+        """`own_facts` gives all that this gateway has to publish now."""
         self.loop = asyncio.get_running_loop()
-        self.line, self.words = line, words
-        seal = Seal(line.fleet, line.secret)
-        self.node = Node(name, life, line.advertise, line.seeds, seal, chance, self.loop.time(), now_ms())
-        self.transport: asyncio.DatagramTransport | None = None
-        self.server: asyncio.Server | None = None
-        self.timer: asyncio.TimerHandle | None = None
-        self.due = 0.0  # when it calls
-        self.tasks: set[asyncio.Task[None]] = set()
-        self.taken = self.begun = 0  # exchanges under way
-        self.words_at = 0.0
-        self.over_said: set[tuple[str, str]] = set()  # facts over a bound that the log has told of
-        self.spoilt: dict[str, int] = {}  # by host, in this second
-        self.spoilt_at = 0.0
-        self.reported: dict[str, int] = {}
-        self.report_at = self.loop.time() + REPORT_S
-        self.looked: Callable[[], None] = lambda: None  # called after each look at what is to be told
-        self.quiet = False  # another process has this name
-        self.closed = False
-
-    # ---- its life ----
+        self.link = link
+        self.own_facts = own_facts
+        seal = Seal(link.fleet, link.secret)
+        self.node = Node(name, incarnation, link.advertise, link.seeds, seal, rng, self.loop.time(), now_ms())
+        self.on_published: Callable[[], None] = lambda: None  # called after each look at `own_facts`
+        self._exchanges = ExchangePeer(self.node, link.listen, self._after_merge)
+        self._datagrams: asyncio.DatagramTransport | None = None
+        self._reopening: asyncio.Task[None] | None = None
+        self._timer: asyncio.TimerHandle | None = None
+        self._timer_due_s = 0.0
+        self._publish_at_s = 0.0
+        self._unpublished: set[tuple[str, str]] = set()  # facts over a bound that the log has named
+        self._invalid = InvalidFrameLimit()
+        self._report = DropReport(self.node, self.loop.time())
+        self._closed = False
 
     async def open(self) -> None:
-        """Take part; where the address can't be had it is tried again, and the gateway serves meanwhile."""
-        self._tell()  # before anyone can ask
+        """Open the sockets.
+
+        Where the address can't be had it is tried again, and the gateway serves meanwhile.
+        """
+        self._publish()  # before anyone can ask
+        host, port = self.link.listen
         try:
-            self.server = await asyncio.start_server(self._serve, *self.line.listen, backlog=BACKLOG)
-            await self.loop.create_datagram_endpoint(lambda: self, local_addr=self.line.listen)
+            await self._exchanges.listen()
+            await self.loop.create_datagram_endpoint(lambda: self, local_addr=self.link.listen)
         except OSError as error:
-            log.error("the line to other gateways can't listen at %s:%d: %s", *self.line.listen, error)
-            if self.server is not None:
-                self.server.close()
-                self.server = None
-            if not self.closed:
-                self.timer = self.loop.call_later(AGAIN_S, self._spawn, self.open())
+            log.error(  # noqa: TRY400
+                "the line to other gateways can't listen at %s:%d: %s", host, port, error
+            )
+            self._exchanges.stop_listening()
+            if not self._closed:
+                self._timer = self.loop.call_later(REOPEN_S, self._reopen)
+            return
+        if self._closed:
+            self.close()
             return
-        if self.closed:
-            return self.close()
-        log.info("the line to other gateways is open at %s:%d", *self.line.listen)
-        self._turn()
-
-    def leave(self) -> None:
-        """Tell the others that this gateway ends."""
-        if self.transport is not None:
+        log.info("the line to other gateways is open at %s:%d", host, port)
+        self._run_due()
+
+    def _reopen(self) -> None:
+        self._reopening = self.loop.create_task(self.open())
+
+    def announce_leave(self) -> None:
+        """Tell the other members that this gateway ends."""
+        if self._datagrams is not None:
             self.node.leave(self.loop.time())
-            self._flush()
+            self._send_pending()
 
     def close(self) -> None:
-        self.closed = True
-        for task in self.tasks:
-            task.cancel()
-        if self.timer is not None:
-            self.timer.cancel()
-        if self.server is not None:
-            self.server.close()
-        if self.transport is not None:
-            self.transport.close()
-
-    def _spawn(self, work: Any) -> None:
-        task = self.loop.create_task(work)
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
-
-    # ---- datagrams ----
+        """Close the sockets and end what is under way."""
+        self._closed = True
+        if self._reopening is not None:
+            self._reopening.cancel()
+        if self._timer is not None:
+            self._timer.cancel()
+        self._exchanges.close()
+        if self._datagrams is not None:
+            self._datagrams.close()
+
+    def publish(self, fact: PublishedFact) -> None:
+        """Publish one fact at once; raises TooMuch where a bound on facts does not allow it."""
+        self._put(fact)
+        self.flush()
+
+    def flush(self) -> None:
+        """Send what has been put into the node, and set the timer anew."""
+        if self._datagrams is not None:
+            self._after_merge()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.DatagramTransport, transport)
+        """The UDP socket is open."""
+        self._datagrams = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        now, host = self.loop.time(), str(addr[0])
-        if self.spoilt and now - self.spoilt_at >= 1.0:
-            self.spoilt.clear()
-        if self.spoilt.get(host, 0) >= SPOILT_PER_S:
+        """A frame has come from another gateway."""
+        now_s, host = self.loop.time(), str(addr[0])
+        if self._invalid.is_exceeded(host, now_s):
             self.node.refuse("flood")
-            return
-        if not self.node.receive(now, now_ms(), data):
-            if not self.spoilt:
-                self.spoilt_at = now
-            if host in self.spoilt or len(self.spoilt) < MOST_HOSTS:
-                self.spoilt[host] = self.spoilt.get(host, 0) + 1
-            return
-        self._flush()
-        self._arm()
+        elif self.node.receive(now_s, now_ms(), data):
+            self._after_merge()
+        else:
+            self._invalid.count(host, now_s)
 
     def error_received(self, exc: Exception) -> None:
-        self.node.refuse("unsent")  # the system could not send one: as lost on its way
-
-    def _flush(self) -> None:
-        for to, frame in self.node.take():
-            if self.transport is not None and not self.transport.is_closing():
-                self.transport.sendto(frame, to)
-        for to in self.node.exchanges():
-            if self.begun < MOST_OUT:
-                self.begun += 1
-                self._spawn(self._exchange(to))
-
-    # ---- time ----
-
-    def _turn(self) -> None:
+        """The system could not send a frame: as if it were lost on its way."""
+        self.node.refuse("unsent")
+
+    def _after_merge(self) -> None:
+        """What has been merged into the node may have to be passed on, and may move what is due."""
+        self._send_pending()
+        self._set_timer()
+
+    def _send_pending(self) -> None:
+        for address, frame in self.node.take():
+            if self._datagrams is not None and not self._datagrams.is_closing():
+                self._datagrams.sendto(frame, address)
+        for address in self.node.exchanges():
+            self._exchanges.begin(address)
+
+    def _run_due(self) -> None:
         """Do what is due, and wait for what is next. The timer may have called a little early."""
-        now, self.due = self.loop.time(), 0.0
-        if now >= self.words_at:
-            self.words_at = now + FACTS_S
-            self._tell()
-            self.looked()
-        self.node.tick(now, now_ms())
-        self._flush()
-        if now >= self.report_at:
-            self.report_at = now + REPORT_S
-            self._report()
-        self._arm()
-
-    def _arm(self) -> None:
-        now = self.loop.time()
-        due = min(self.node.due(now), self.words_at)
-        if self.timer is not None:
-            if now < self.due <= due:
+        now_s = self.loop.time()
+        self._timer_due_s = 0.0
+        if now_s >= self._publish_at_s:
+            self._publish_at_s = now_s + PUBLISH_INTERVAL_S
+            self._publish()
+            self.on_published()
+        self.node.tick(now_s, now_ms())
+        self._send_pending()
+        self._report.log_when_due(now_s)
+        self._set_timer()
+
+    def _set_timer(self) -> None:
+        now_s = self.loop.time()
+        due_s = min(self.node.due(now_s), self._publish_at_s)
+        if self._timer is not None:
+            if now_s < self._timer_due_s <= due_s:
                 return
-            self.timer.cancel()
-        self.due = due
-        self.timer = self.loop.call_at(due, self._turn)
+            self._timer.cancel()
+        self._timer_due_s = due_s
+        self._timer = self.loop.call_at(due_s, self._run_due)
 
-    def _tell(self) -> None:
-        """Tell what has changed of this gateway."""
-        for word in self.words():
+    def _publish(self) -> None:
+        """Publish what has changed of this gateway."""
+        for fact in self.own_facts():
             try:
-                self.node.tell(word.at or now_ms(), word.kind, word.name, word.value)
+                self._put(fact)
             except TooMuch as error:
-                if (word.kind, word.name) not in self.over_said:
-                    self.over_said.add((word.kind, word.name))
+                if (fact.kind, fact.name) not in self._unpublished:
+                    self._unpublished.add((fact.kind, fact.name))
                     log.warning("not told to the other gateways: %s", error)
 
-    def say(self, word: Word) -> None:
-        """Tell one fact at once; raises TooMuch."""
-        self.node.tell(word.at or now_ms(), word.kind, word.name, word.value)
-        self.spread()
+    def _put(self, fact: PublishedFact) -> None:
+        self.node.tell(fact.at_ms or now_ms(), fact.kind, fact.name, fact.value)
 
-    def spread(self) -> None:
-        """Send what others have put into the node."""
-        if self.transport is not None:
-            self._flush()
-            self._arm()
 
-    def _report(self) -> None:
-        refused, before = self.node.refused, self.reported
-        new = {why: number - before.get(why, 0) for why, number in refused.items()}
-        if any(new.values()):
-            told = ", ".join(f"{why} {number}" for why, number in sorted(new.items()) if number)
-            log.warning("line to other gateways: dropped in the last %d s: %s", REPORT_S, told)
-        self.reported = dict(refused)
-        if self.quiet is not self.node.members.taken_over:
-            self.quiet = self.node.members.taken_over
-            said = "another process has this name" if self.quiet else "this process has its name again"
-            log.warning("line to other gateways: %s", said)
-
-    # ---- exchanges ----
-
-    async def _read(self, reader: asyncio.StreamReader) -> bytes:
-        length = int.from_bytes(await reader.readexactly(LENGTH_BYTES), "big")
-        if length > MOST_EXCHANGE:
-            raise ValueError("too long")
-        return await reader.readexactly(length)
-
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.taken >= MOST_IN:
-            writer.close()
+class DropReport:
+    """Logs, in one line for `REPORT_INTERVAL_S`, which messages the node dropped and why."""
+
+    def __init__(self, node: Node, now_s: float) -> None:
+        self.node = node
+        self._due_s = now_s + REPORT_INTERVAL_S
+        self._reported: dict[str, int] = {}
+        self._name_taken = False  # another process has this name
+
+    def log_when_due(self, now_s: float) -> None:
+        """Log what is new since the last report."""
+        if now_s < self._due_s:
             return
-        self.taken += 1
-        try:
-            async with asyncio.timeout(EXCHANGE_S):
-                frame = await self._read(reader)
-                if self.node.exchanged(self.loop.time(), now_ms(), frame, False):
-                    self._write(writer, self.node.state(True))
-                    await writer.drain()
-                    self._flush()
-                    self._arm()
-        except (OSError, ValueError, EOFError):
-            self.node.refuse("exchange")
-        finally:
-            self.taken -= 1
-            writer.close()
-
-    def _write(self, writer: asyncio.StreamWriter, frame: bytes) -> None:
-        writer.write(len(frame).to_bytes(LENGTH_BYTES, "big") + frame)
-
-    async def _exchange(self, to: Address) -> None:
-        """Exchange all that is known with one other gateway."""
-        writer = None
-        try:
-            async with asyncio.timeout(EXCHANGE_S):
-                reader, writer = await asyncio.open_connection(*to, local_addr=(self.line.listen[0], 0))
-                self._write(writer, self.node.state(False))
-                frame = await self._read(reader)
-            if self.node.exchanged(self.loop.time(), now_ms(), frame, True):
-                self._flush()
-                self._arm()
-        except (OSError, ValueError, EOFError):
-            self.node.refuse("exchange")
-        finally:
-            self.begun -= 1
-            if writer is not None:
-                writer.close()
-
-    # ---- what staff see ----
-
-    def gauges(self) -> dict[str, int]:
-        members = self.node.members
-        states = [member.state for member in members.others.values()]
-        return {
-            "fleet.members": members.size,
-            "fleet.suspect": sum(state is State.SUSPECT for state in states),
-            "fleet.dead": sum(state is State.DEAD for state in states),
-            "fleet.facts": len(self.node.facts.table),
-            "fleet.minority": int(members.minority),
-            "fleet.quiet": int(members.taken_over),
-            "fleet.sent": self.node.sent,
-            "fleet.received": self.node.taken,
-            "fleet.dropped": sum(self.node.refused.values()),
-        }
-
-    def shown(self) -> dict[str, Any]:
-        """For `GET /ops/fleet`: ages and times since are in seconds."""
-        now, wall, members = self.loop.time(), now_ms(), self.node.members
-        me = members.me
-        rows: dict[str, dict[str, Any]] = {
-            me.name: {"state": "self", "life": list(me.life), "address": f"{me.host}:{me.port}"}
-        }
-        for name, member in sorted(members.others.items()):
-            rows[name] = {
-                "state": member.state.name.lower(),
-                "life": list(member.rumor.life),
-                "address": "{}:{}".format(*member.address),
-                "heard_s": round(now - member.heard, 2),
-                "since_s": round(now - member.since, 2),
-            }
-        for (_, origin), held in self.node.facts.of_kind("zone").items():
-            if origin in rows and held.entry.value is not None:
-                rows[origin]["zone"] = held.entry.value
-        facts = [self._fact(held.entry, wall) for held in self.node.facts.table.values()]
-        facts.sort(key=lambda fact: (fact["kind"], fact["name"], fact["origin"]))
-        return {
-            "name": me.name,
-            "fleet": self.line.fleet,
-            "minority": members.minority,
-            "quiet": members.taken_over,
-            "health": members.health,
-            "counts": dict(members.counts),
-            "members": rows,
-            "facts": facts,
-            "dropped": dict(self.node.refused),
-        }
-
-    def _fact(self, entry: Entry, wall: float) -> dict[str, Any]:
-        return {
-            "kind": entry.kind,
-            "name": entry.name,
-            "origin": entry.origin,
-            "value": entry.value,
-            "age_s": round((wall - entry.at) / 1000, 2),
-        }
+        self._due_s = now_s + REPORT_INTERVAL_S
+        refused = self.node.refused
+        new = {why: number - self._reported.get(why, 0) for why, number in refused.items()}
+        if any(new.values()):
+            reasons = ", ".join(f"{why} {number}" for why, number in sorted(new.items()) if number)
+            log.warning("line to other gateways: dropped in the last %d s: %s", REPORT_INTERVAL_S, reasons)
+        self._reported = dict(refused)
+        taken = self.node.members.taken_over
+        if self._name_taken is not taken:
+            self._name_taken = taken
+            what = "another process has this name" if taken else "this process has its name again"
+            log.warning("line to other gateways: %s", what)
--- /dev/null
+++ b/switchline/fleet_runtime/version_watch.py
@@ -0,0 +1,122 @@
+"""Watches whether this gateway acts on the versions that most others have.
+
+`DivergenceWatch` only reports another configuration or program. `QuarantineControl` takes this gateway out of
+service while its list, or a version under a floor, stays behind and most members grant it.
+"""
+
+from __future__ import annotations
+
+import logging
+
+from switchline.clock import now_ms
+from switchline.fleet.node import Node
+from switchline.fleet.quarantine import Quarantine
+from switchline.fleet.staleness import Divergence, floors_of
+from switchline.fleet_runtime.list_repair import ListRepair
+from switchline.policy import interface as api
+from switchline.service.audit_trail import LEASED_QUOTA, AuditTrail
+from switchline.service.calls.overrides import OverrideKind, OverrideSet
+from switchline.service.drain import ClientIntake
+from switchline.service.parts import GatewayParts
+
+log = logging.getLogger(__name__)
+
+
+class DivergenceWatch:
+    """Reports to staff where most other gateways have another configuration or program than this one."""
+
+    def __init__(self, parts: GatewayParts, trail: AuditTrail) -> None:
+        self.parts = parts
+        self.trail = trail
+        self.divergence = Divergence()
+
+    def look(self, node: Node) -> None:
+        """Compare the own versions with those that the others publish."""
+        config, diverged = self.parts.config, self.divergence
+        own_versions = {"config": config.digest, "release": config.release}
+        for kind, own in own_versions.items():
+            others = [node.facts.value(kind, "", name) for name in node.members.present]
+            if diverged.look(self.parts.loop.time(), kind, own, others):
+                theirs = diverged.told.get(kind)
+                what = f"most have {theirs}" if theirs else "most have the same now"
+                log.warning("the %s here is %s: %s", kind, own, what)
+                self.trail.record("differs" if theirs else "alike", kind, "", what)
+
+    def gauges(self) -> dict[str, int]:
+        """How many of the versions differ."""
+        return {"fleet.differs": len(self.divergence.told)}
+
+
+class QuarantineControl:
+    """Owns whether this gateway is in quarantine, and which of its versions is behind."""
+
+    def __init__(
+        self,
+        parts: GatewayParts,
+        trail: AuditTrail,
+        overrides: OverrideSet,
+        intake: ClientIntake,
+        patience_s: float,
+    ) -> None:
+        """`patience_s`: behind for so long before it asks for quarantine; 0: never."""
+        self.parts = parts
+        self.trail = trail
+        self.overrides = overrides
+        self.intake = intake
+        self.patience_s = patience_s
+        self.quarantine: Quarantine | None = None  # from the first look on
+        self.behind_kind = ""  # which version is behind; "" for none
+
+    @property
+    def is_out(self) -> bool:
+        """Whether this gateway is in quarantine."""
+        return self.quarantine is not None and self.quarantine.out
+
+    def look(self, node: Node, list_repair: ListRepair) -> None:
+        """Enter or leave quarantine, as the versions and the grants of the others are now."""
+        now_s = self.parts.loop.time()
+        if self.quarantine is None:
+            self.quarantine = Quarantine(self.patience_s, now_s)
+        quarantine, was_out = self.quarantine, self.quarantine.out
+        is_out = quarantine.look(
+            node,
+            now_s,
+            now_ms(),
+            list_repair.own_number(),
+            list_repair.is_behind,
+            self.overrides.names(OverrideKind.SPARED_GATEWAY),
+            floors_of(self.overrides.names(OverrideKind.VERSION_FLOOR)),
+        )
+        self._set_behind(quarantine.kind)
+        if is_out == was_out or self.parts.clients.ending:
+            return
+        log.warning("%s: %s", "shut out" if is_out else "no more shut out", quarantine.why)
+        self.trail.record("shut out" if is_out else "taken back", quarantine.kind, "", quarantine.why)
+        if is_out:
+            self.intake.begin_quarantine()
+        else:
+            self.intake.end_quarantine()
+
+    def _set_behind(self, kind: str) -> None:
+        """While a version is behind, quotas are divided by the even share and not by leases."""
+        if kind == self.behind_kind:
+            return
+        if bool(kind) != bool(self.behind_kind):
+            self.parts.driver.give(api.StalenessChanged(bool(kind)))
+        self.behind_kind = kind
+        if kind:
+            self.trail.record("quota", "", "even share", f"its {kind} is behind")
+        else:
+            self.trail.record("quota", "", LEASED_QUOTA, "level again")
+
+    def gauges(self) -> dict[str, int]:
+        """Whether this gateway is in quarantine; nothing before the first look."""
+        return {"fleet.shut_out": int(self.quarantine.out)} if self.quarantine is not None else {}
+
+    def close(self) -> None:
+        """The fleet is left: nobody grants a quarantine any more."""
+        if self.quarantine is not None:
+            if self.quarantine.out:
+                self.intake.end_quarantine()
+            self.quarantine = None
+            self._set_behind("")
--- a/switchline/guard.py
+++ b/switchline/guard.py
@@ -1,12 +1,14 @@
-"""Keeps a fault where it arose, and counts what must never happen.
+"""Containment of faults where they arose, and counts of violated invariants.
 
 One failed system call, one bad message or one defect may cost what it is about: a connection, a call, a
-request. It must not end the process, a periodic task or the work of others. Whatever the event loop calls by
-itself (timers, repeated work, background tasks) runs through a `Guard`; an error that still reaches the event
-loop is logged and counted there, and the loop goes on.
+request. It must not end the process, a periodic task or the work of others. So this module, and no other,
+catches every `Exception`: whatever the event loop calls by itself (timers, periodic work, background tasks),
+each event and action of the policy, and each step of a close runs through a `Guard`, which logs the error
+with its trace and counts it. An error that still reaches the event loop is logged and counted there, and the
+loop goes on.
 
 The invariants are checked where the program acts, at run time. A violation is counted, logged with the
-request that it concerns, and kept from happening where that is possible.
+request that it concerns, and prevented where that is possible.
 """
 
 from __future__ import annotations
@@ -16,10 +18,12 @@
 from collections import Counter as Counts
 from collections.abc import Awaitable, Callable
 from enum import Enum
-from typing import Any
+from typing import Any, TypeVar
 
 log = logging.getLogger(__name__)
 
+Result = TypeVar("Result")
+
 RESTART_S = 0.1  # before a background task that failed is started again
 
 
@@ -33,20 +37,37 @@
 
 
 class Guard:
-    """Owns the counts of contained faults, by place, and of violated invariants."""
+    """Contains faults; owns their counts, by place, and those of violated invariants."""
 
     def __init__(self) -> None:
         self.contained: Counts[str] = Counts()
         self.violations: Counts[Invariant] = Counts()
 
-    def call(self, place: str, callback: Callable[..., object], *given: Any) -> None:
-        """Call back; an error ends here."""
+    def call(self, place: str, callback: Callable[..., object], *given: Any) -> bool:
+        """Call back; an error is contained, under the name of its place. Whether there was none."""
         try:
             callback(*given)
         except Exception:
-            self.caught(place)
+            self._contain(place)
+            return False
+        return True
+
+    def evaluate(self, place: str, callback: Callable[..., Result], *given: Any) -> Result | None:
+        """What `callback` returns; None after an error, which is contained under the name of its place."""
+        try:
+            return callback(*given)
+        except Exception:
+            self._contain(place)
+            return None
+
+    async def await_call(self, place: str, callback: Callable[..., Awaitable[object]], *given: Any) -> None:
+        """Await what `callback` returns; an error is contained, under the name of its place."""
+        try:
+            await callback(*given)
+        except Exception:
+            self._contain(place)
 
-    def caught(self, place: str) -> None:
+    def _contain(self, place: str) -> None:
         """Count and log the exception that is being handled."""
         self.contained[place] += 1
         log.exception("%s could not be handled", place)
@@ -65,8 +86,8 @@
             log.warning("%s: %s", context.get("message"), error)
             return
         self.violated(Invariant.NO_ESCAPED_ERROR, str(context.get("message")))
-        told = (type(error), error, error.__traceback__) if error is not None else None
-        log.error("in the event loop: %s", context.get("message"), exc_info=told)
+        trace = (type(error), error, error.__traceback__) if error is not None else None
+        log.error("in the event loop: %s", context.get("message"), exc_info=trace)
 
     async def supervise(self, place: str, work: Callable[[], Awaitable[object]]) -> None:
         """Run work that is to go on for ever: after a fault it is started again."""
@@ -75,7 +96,7 @@
                 await work()
                 return
             except Exception:
-                self.caught(place)
+                self._contain(place)
             await asyncio.sleep(RESTART_S)
 
     def counts(self) -> dict[str, int]:
--- a/switchline/operators/fleet_calls.py
+++ b/switchline/operators/fleet_calls.py
@@ -15,7 +15,7 @@
 from switchline.clock import now_ms
 from switchline.fleet.facts import FLEET_FLOOR, FLEET_HOST, FLEET_SPARE, FLEET_ZONE, TooMuch
 from switchline.fleet.messages import Entry, State
-from switchline.fleet_runtime.transport import Peers, Word
+from switchline.fleet_runtime.transport import GossipTransport, PublishedFact
 from switchline.operators.overrides import OperatorOverrides
 from switchline.operators.server import Said
 
@@ -41,12 +41,12 @@
 
     def __init__(self, hands: Mapping[str, OperatorOverrides]) -> None:
         self.hands = hands  # by kind of fact
-        self.peers: Peers | None = None
+        self.peers: GossipTransport | None = None
         self.calls: dict[tuple[str, str], float] = {}  # made here, of those in `took`: the call's time
         self.again_at = 0.0
         self.took: dict[tuple[str, str], tuple[float, float]] = {}  # kind, name: the call's time, when here
 
-    def attach(self, peers: Peers) -> None:
+    def attach(self, peers: GossipTransport) -> None:
         """The line is open, or open anew."""
         self.peers = peers
 
@@ -80,7 +80,7 @@
     def say(self, kind: str, name: str, value: str | None) -> None:
         if self.peers is not None:
             try:
-                self.peers.say(Word(kind, name, value))
+                self.peers.publish(PublishedFact(kind, name, value))
             except TooMuch as error:
                 log.warning("not told to the other gateways: %s", error)
 
@@ -110,7 +110,7 @@
         bans = self.hands[kind]
         at = (bans.out if out else bans.back).get(name, now_ms())
         try:
-            self.peers.say(Word(kind, name, "down" if out else "up", at))
+            self.peers.publish(PublishedFact(kind, name, "down" if out else "up", at))
         except TooMuch as error:
             return Said(503, f"it holds here alone: {error}\n")
         self.take(kind, name, at)
--- /dev/null
+++ b/switchline/requests/arrivals.py
@@ -0,0 +1,59 @@
+"""Translation of a client's command into the policy's event; a malformed one is rejected here."""
+
+from __future__ import annotations
+
+from switchline.clients.commands import Command
+from switchline.policy import interface as api
+
+LONGEST_WAIT_MS = 60_000.0  # that a client can ask for; the longest deadlines are well under it
+LONGEST_BODY_MS = 120_000.0  # for a streamed body to come in; a client that stalls is dropped long before
+
+
+class MalformedCommandError(ValueError):
+    """A command that the settings do not allow, or whose attributes are out of range."""
+
+
+class CommandReader:
+    """Reads commands by the classes, plans and gateways of the settings."""
+
+    def __init__(self, settings: api.Settings) -> None:
+        self.classes = {kind.name: kind for kind in settings.classes}
+        self._plans = {plan.name for plan in settings.plans}
+        self._gateways = settings.gateways
+
+    def read(self, command: Command) -> api.RequestArrived:
+        """The event of a command; raises MalformedCommandError, or another ValueError for a number.
+
+        Forwarded, an unknown class would fail at each backend and make healthy ones count as failing, and an
+        unknown plan has no quota to meter.
+        """
+        given = command.attributes
+        event = api.RequestArrived(
+            request=command.id,
+            request_class=given[b"c"].decode(),
+            plan=given.get(b"t", b"").decode(),
+            customer=command.customer,
+            expires=command.came_at + self._patience_ms(command),
+            units=float(given.get(b"units", b"0")),
+            spread=int(given.get(b"spread", b"1")),
+            first=int(given.get(b"first", b"0")),
+            repeat=given.get(b"r") == b"1",
+            streamed=command.stream is not None,
+        )
+        self._check(event, command)
+        return event
+
+    def _patience_ms(self, command: Command) -> float:
+        return LONGEST_BODY_MS if command.stream is not None else min(command.wait, LONGEST_WAIT_MS)
+
+    def _check(self, event: api.RequestArrived, command: Command) -> None:
+        kind = self.classes.get(event.request_class)
+        if kind is None or event.plan not in self._plans:
+            raise MalformedCommandError("unknown class or plan")
+        if command.safe is not (kind.effect is api.Effect.SAFE):
+            raise MalformedCommandError("wrong command for the class")
+        if kind.effect is api.Effect.KEYED and not command.attributes.get(b"k"):
+            raise MalformedCommandError("idempotency key missing")
+        gateways = self._gateways
+        if not (event.units > 0 and 1 <= event.spread <= gateways and 0 <= event.first < gateways):
+            raise MalformedCommandError("malformed units or gateways")
--- /dev/null
+++ b/switchline/service/audit_trail.py
@@ -0,0 +1,81 @@
+"""The optional audit of versions, as the other parts see it: without one, nothing is recorded."""
+
+from __future__ import annotations
+
+import hashlib
+import random
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from switchline.clock import now_ms
+from switchline.operators.metrics import OutcomeKind
+from switchline.policy.leases import PERIOD_MS
+from switchline.service.parts import GatewayParts
+
+if TYPE_CHECKING:
+    from switchline.audit.recorder import Audit
+
+# Records a kind, its subject, the subject's new version ("" for an act), and the cause.
+RecordVersion = Callable[[str, str, str, str], None]
+
+LEASED_QUOTA = f"leased, periods of {PERIOD_MS / 1000:.0f} s"  # the version of the usual division of quotas
+
+
+def record_nothing(kind: str, subject: str, version: str, cause: str) -> None:
+    """Where there is no audit."""
+
+
+class AuditTrail:
+    """Owns the audit, which exists with `fleet` or `audit` in the configuration at the start."""
+
+    def __init__(self, parts: GatewayParts) -> None:
+        self.parts = parts
+        self.audit: Audit | None = None
+
+    def begin(self) -> None:
+        """Open the audit, if it is configured, and record the versions that this process starts with."""
+        config = self.parts.config
+        if config.line is None and config.audit is None:
+            return
+        from switchline.audit.recorder import Audit, build_digest
+        from switchline.fleet.messages import VERSION
+
+        incarnation = int(now_ms()), random.Random(f"{config.seed} audit").getrandbits(40)
+        self.audit = Audit(config.name, incarnation, config.audit, self.outcome_counts)
+        self.record("program", "", f"{config.release} {build_digest()}", "start")
+        self.record("format", "", str(VERSION), "start")
+        self.record("quota", "", LEASED_QUOTA, "start")
+        self.record_config("start")
+        self.record_backend_list()
+        self.parts.discovery.took = self.record_backend_list
+
+    def record(self, kind: str, subject: str = "", version: str = "", cause: str = "") -> None:
+        """Record that a subject has another version, or (without one) an act that follows from a version."""
+        if self.audit is not None:
+            self.audit.note(kind, subject, version, cause)
+
+    def record_config(self, cause: str) -> None:
+        """Record the configuration in force, by its digest."""
+        self.record("config", "", self.parts.config.digest, cause)
+
+    def record_backend_list(self) -> None:
+        """Record the list of backends in use, by its number and a digest of its backends."""
+        if self.audit is None:
+            return
+        backends = self.parts.driver.gateway.backends.values()
+        known = sorted((backend.id, backend.ready, backend.started) for backend in backends)
+        digest = hashlib.blake2b(repr(known).encode(), digest_size=4).hexdigest()
+        version = f"{self.parts.discovery.version} {digest}"
+        self.record("list", "", version, f"discovery: {len(known)} backends")
+
+    def outcome_counts(self) -> dict[str, int]:
+        """Requests by outcome, and attempts forwarded, since the start."""
+        metrics = self.parts.metrics
+        ended = metrics.requests.items()
+        found = {kind.value: sum(n for (one, _), n in ended if one is kind) for kind in OutcomeKind}
+        return found | {"forwards": metrics.forwards}
+
+    def close(self) -> None:
+        """Close the files of the audit."""
+        if self.audit is not None:
+            self.parts.guard.call("closing the audit", self.audit.close)
--- /dev/null
+++ b/switchline/service/calls/routes.py
@@ -0,0 +1,42 @@
+"""Which function answers each path of the operators' address."""
+
+from __future__ import annotations
+
+from functools import partial
+
+from switchline.operators.server import Calls, Said
+from switchline.service.calls.overrides import YES, OverrideCalls, OverrideKind
+from switchline.service.calls.status import ServiceStatus
+from switchline.service.drain import ClientIntake
+
+
+def operator_routes(status: ServiceStatus, overrides: OverrideCalls, intake: ClientIntake) -> Calls:
+    """The operators' calls by path."""
+
+    def start_drain() -> Said:
+        intake.start_drain()
+        return YES
+
+    def stop_drain() -> Said:
+        return YES if intake.stop_drain() else Said(503, "this process is about to end\n")
+
+    override = overrides.call
+    return Calls(
+        gets={
+            "/ops/readiness": status.readiness,
+            "/ops/stats": status.stats,
+            "/ops/fleet": status.show_fleet,
+            "/ops/audit": status.show_audit,
+        },
+        posts={"/ops/drain/start": start_drain, "/ops/drain/stop": stop_drain},
+        id_posts={
+            "/ops/backends/down": partial(override, OverrideKind.BACKEND, True),
+            "/ops/backends/up": partial(override, OverrideKind.BACKEND, False),
+            "/ops/zones/down": partial(override, OverrideKind.ZONE, True),
+            "/ops/zones/up": partial(override, OverrideKind.ZONE, False),
+            "/ops/fleet/spare": partial(override, OverrideKind.SPARED_GATEWAY, True),
+            "/ops/fleet/unspare": partial(override, OverrideKind.SPARED_GATEWAY, False),
+            "/ops/fleet/floor": partial(override, OverrideKind.VERSION_FLOOR, True),
+            "/ops/fleet/unfloor": partial(override, OverrideKind.VERSION_FLOOR, False),
+        },
+    )
--- /dev/null
+++ b/switchline/service/parts.py
@@ -0,0 +1,98 @@
+"""The parts that every gateway has, whatever its configuration names."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections.abc import Callable
+from typing import Any
+
+from switchline.backends.pool import Backends
+from switchline.clients.server import ClientServer
+from switchline.clock import Timers
+from switchline.config import Config
+from switchline.counter.client import Counter
+from switchline.discovery.client import Discovery, Member, asks_apart, read_list
+from switchline.guard import Guard
+from switchline.net.descriptors import FLEET_DESCRIPTORS, PROCESS_DESCRIPTORS, STATE_DESCRIPTORS, Budget
+from switchline.net.streams import BufferBudget
+from switchline.operators.metrics import Metrics
+from switchline.policy import interface as api
+from switchline.service.driver import Driver, DriverParts
+
+
+def own_descriptors(config: Config) -> int:
+    """Descriptors of the process itself, with those of the optional parts that are on."""
+    state = STATE_DESCRIPTORS if config.state else 0
+    fleet = FLEET_DESCRIPTORS if config.line else 0
+    return PROCESS_DESCRIPTORS + state + fleet
+
+
+class GatewayParts:
+    """Creates and closes the parts that every gateway has; `config` is the configuration in force."""
+
+    def __init__(self, config: Config, replicate: Callable[[list[Any]], None]) -> None:
+        """`replicate` sends a message of the policy to the peer process of an upgrade."""
+        self.config = config
+        self.loop = asyncio.get_running_loop()
+        self.guard = Guard()
+        self.timers = Timers(self.loop, self.guard)
+        self.metrics = Metrics([kind.name for kind in config.settings.classes])
+        self.buffers = BufferBudget(config.memory)
+        self.descriptors = Budget(config.sockets, config.shares, own_descriptors(config))
+        self.backends = Backends(
+            self.loop,
+            self.timers,
+            config.connect_timeout,
+            config.keepalive,
+            self.descriptors,
+            self.metrics,
+            self.buffers,
+        )
+        self.counter = self._make_counter()
+        driver_parts = DriverParts(
+            self.timers,
+            self.backends,
+            self.counter,
+            self.metrics,
+            self.buffers,
+            config.max_open,
+            replicate,
+        )
+        self.driver = Driver(config.settings, config.seed, driver_parts)
+        self.discovery = self._make_discovery()
+        self.clients = ClientServer(
+            self.driver.requests, self.descriptors, self.buffers, self.metrics, self.guard
+        )
+
+    def _make_counter(self) -> Counter | None:
+        config = self.config
+        if not config.counter:
+            return None
+        wait = config.settings.count_wait
+        return Counter(self.loop, self.timers, config.counter, wait, self.descriptors)
+
+    def _make_discovery(self) -> Discovery:
+        """Begin with the configured list, and give the policy each later change of it."""
+        config = self.config
+        version = None
+        if config.known:
+            known = read_list(config.known)
+            version = known.version
+            self.driver.apply_list(api.ListScope.SAVED, known.members)
+        spread_s = asks_apart(config.settings.gateways) if config.settings.must_ask_for_list else 0.0
+        rng = random.Random(config.seed)
+        return Discovery(config.discovery, version, self._on_list, rng, self.descriptors, spread_s)
+
+    def _on_list(self, scope: api.ListScope, members: tuple[Member, ...]) -> None:
+        self.driver.apply_list(scope, members, self.discovery.held_until)
+
+    def close_clients(self) -> None:
+        """Close the connections of clients; a fault in it is contained."""
+        self.guard.call("closing clients' connections", self.clients.close)
+
+    def close_upstreams(self) -> None:
+        """Close the connections to backends and counter, each whatever becomes of the other."""
+        self.guard.call("closing backends' connections", self.backends.close)
+        if self.counter is not None:
+            self.guard.call("closing the counter's connections", self.counter.close)
--- a/switchline/service/program.py
+++ b/switchline/service/program.py
@@ -1,37 +1,38 @@
-"""One gateway as a program: reads its configuration, serves until it is told to end, and drains."""
+"""One gateway as a program: reads its configuration, serves until SIGTERM, and drains.
+
+SIGHUP reads the file again; SIGTERM and SIGINT end the process. `service.py` has the steps of a start,
+`reload.py` what a changed configuration changes, and `drain.py` the end.
+"""
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import logging
 import signal
 import sys
 import time
-from collections import deque
-from collections.abc import Callable, Coroutine
-from typing import Any
-
-import uvloop
+from collections.abc import Callable
 
 from switchline.config import Config, ConfigError, load_config
 from switchline.discovery.client import DiscoveryError
 from switchline.net.listen import ListenError
+from switchline.service.event_loop import run_in_loop
 from switchline.service.service import Service
+from switchline.service.signals import Signals
 
 log = logging.getLogger("switchline")
 
-# The file may be half written, or no descriptor be left for it: at SIGHUP, the platform waits 4 s for its
-# news to be taken.
-CONFIG_TRIES, CONFIG_WAIT_S = 5, 0.2
-# A system call that fails for a moment must not end a start: the platform allows 30 s for one.
-START_WITHIN_S, START_AGAIN_S = 20.0, 0.1
-SIGNAL_LOOK_MS = 100.0  # between two looks at the signals that were noted
+# The file may be half written, or no descriptor be left for it: at SIGHUP, the platform waits 4 s for the
+# change to be applied.
+CONFIG_ATTEMPTS = 5
+CONFIG_RETRY_S = 0.2
+SIGNAL_POLL_INTERVAL_MS = 100.0
+
+EXIT_OK = 0
+EXIT_MACHINE = 1  # the machine does not let it serve
+EXIT_CONFIG = 2
 
 early_reloads: list[int] = []  # SIGHUP before the event loop runs
-# Event loops that could not run. They can't be closed, and their descriptors must not be closed by the
-# collector once other parts of the program have the same numbers.
-broken_loops: list[asyncio.AbstractEventLoop] = []
 
 
 async def serve(
@@ -41,68 +42,42 @@
     changes: asyncio.Queue[Config] | None = None,
     signals: Signals | None = None,
 ) -> None:
-    """Serve until `stop` is set, then drain. `ready` is told the port once clients may come."""
+    """Serve until `stop` is set, then drain. `ready` is called with the port once clients may come."""
     loop = asyncio.get_running_loop()
     service = Service(config, stop)
-    if signals is not None:  # beside the looks at what is out by hand, so that it costs no wake-up more
-        service.timers.every(SIGNAL_LOOK_MS, "signals", signals.take)
-    loop.set_exception_handler(service.guard.on_loop_error)
+    guard, discovery = service.parts.guard, service.parts.discovery
+    if signals is not None:  # in step with the looks at overrides, so that it costs no further wake-up
+        service.parts.timers.every(SIGNAL_POLL_INTERVAL_MS, "signals", signals.take)
+    loop.set_exception_handler(guard.on_loop_error)
     await service.load()
-    watch = loop.create_task(service.guard.supervise("discovery", service.discovery.run))
-    taken = changes or asyncio.Queue[Config]()
-    following = loop.create_task(service.follow(taken))
+    watching = loop.create_task(guard.supervise("discovery", discovery.run))
+    reloading = loop.create_task(service.reload.follow(changes or asyncio.Queue[Config]()))
     port = await service.open()
     if ready is not None:
         ready(port)
     await stop.wait()
     try:
-        await service.drain()
+        await service.drain.run()
     finally:
-        watch.cancel()
-        following.cancel()
+        watching.cancel()
+        reloading.cancel()
         service.close()
-        violated = {one.value: number for one, number in service.guard.violations.items()}
-        log.info(
-            "ended; faults contained %d, violated %s", service.guard.contained.total(), violated or "none"
-        )
-
-
-class Signals:
-    """Hears signals, also where the event loop's own way of telling of them fails.
-
-    A handler notes the signal and wakes the event loop up. What is noted is taken then, or when `take` is
-    called now and then: a wake-up may be lost as any system call may fail, and a lost SIGTERM would cost all
-    that is open.
-    """
-
-    def __init__(self, loop: asyncio.AbstractEventLoop, actions: dict[int, Callable[[], None]]) -> None:
-        self.loop, self.actions = loop, actions
-        self.noted: deque[int] = deque()
-        for number in actions:
-            signal.signal(number, self._note)
-
-    def _note(self, number: int, _: object) -> None:
-        self.noted.append(number)
-        with contextlib.suppress(OSError, RuntimeError):
-            self.loop.call_soon_threadsafe(self.take)
-
-    def take(self) -> None:
-        """Act on what has been noted."""
-        while self.noted:
-            self.actions[self.noted.popleft()]()
+        violated = {one.value: number for one, number in guard.violations.items()}
+        log.info("ended; faults contained %d, violated %s", guard.contained.total(), violated or "none")
 
 
 async def run(path: str, config: Config) -> None:
     """Serve with a configuration, whose file is read again at each SIGHUP, until SIGTERM or SIGINT."""
-    stop, changes = asyncio.Event(), asyncio.Queue[Config]()
+    stop = asyncio.Event()
+    changes = asyncio.Queue[Config]()
     loop = asyncio.get_running_loop()
 
-    def reload(more_tries: int = CONFIG_TRIES - 1) -> None:
+    def reload(attempts_left: int = CONFIG_ATTEMPTS - 1) -> None:
         try:
             changes.put_nowait(load_config(path))
         except ConfigError as error:
-            if more_tries:
-                loop.call_later(CONFIG_WAIT_S, reload, more_tries - 1)
+            if attempts_left:
+                loop.call_later(CONFIG_RETRY_S, reload, attempts_left - 1)
             else:
                 log.warning("the changed configuration is not taken: %s", error)  # the old one still holds
 
@@ -113,58 +88,19 @@
 
 
 def read_config(path: str) -> Config:
-    """The configuration at a start; raises ConfigError once it can't be had in several tries."""
-    for _ in range(CONFIG_TRIES - 1):
+    """The configuration at a start; raises ConfigError once it can't be had in several attempts."""
+    for _ in range(CONFIG_ATTEMPTS - 1):
         try:
             return load_config(path)
         except ConfigError:
-            time.sleep(CONFIG_WAIT_S)
+            time.sleep(CONFIG_RETRY_S)
     return load_config(path)
 
 
-def run_in_loop(main: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Run a program in an event loop; one whose descriptors can't be had for a moment is made again."""
-    until = time.monotonic() + START_WITHIN_S
-    begun = False
-
-    async def begin() -> None:
-        nonlocal begun
-        begun = True
-        await main()
-
-    while True:
-        runner = asyncio.Runner(loop_factory=working_loop)
-        try:
-            runner.get_loop()
-            return runner.run(begin())
-        except (OSError, RuntimeError) as error:  # the event loop raises the second over the first
-            if begun or time.monotonic() > until:
-                raise
-            log.warning("no event loop yet: %s", error)
-        finally:
-            with contextlib.suppress(OSError, RuntimeError):
-                runner.close()
-        time.sleep(START_AGAIN_S)
-
-
-def working_loop() -> asyncio.AbstractEventLoop:
-    """A new event loop that has run once; raises OSError or RuntimeError where it could not."""
-    loop = uvloop.new_event_loop()
-    done = loop.create_future()
-    done.set_result(None)
-    try:
-        loop.run_until_complete(done)
-    except (OSError, RuntimeError):
-        broken_loops.append(loop)
-        signal.set_wakeup_fd(-1)  # it may be a descriptor of the broken loop
-        raise
-    return loop
-
-
 def main(path: str) -> int:
-    """Serve with the configuration at `path`; gives the exit code.
+    """Serve with the configuration at `path`; returns the exit code.
 
-    SIGHUP before the event loop hears it is kept for then, and after it has ended there is nothing to reload.
+    SIGHUP before the event loop runs is remembered for then, and after its end there is nothing to reload.
     """
     signal.signal(signal.SIGHUP, lambda number, _: early_reloads.append(number))
     try:
@@ -172,10 +108,10 @@
         run_in_loop(lambda: run(path, config))
     except (ConfigError, DiscoveryError) as error:
         print(f"switchline: bad configuration: {error}", file=sys.stderr)
-        return 2
+        return EXIT_CONFIG
     except (ListenError, OSError) as error:
         print(f"switchline: this machine does not let it serve: {error}", file=sys.stderr)
-        return 1
+        return EXIT_MACHINE
     finally:
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    return 0
+    return EXIT_OK
--- a/switchline/state/recovery.py
+++ b/switchline/state/recovery.py
@@ -64,7 +64,7 @@
         self.off_s = 0.0  # for so long nothing was kept, in all gaps that are over
         self.failures = self.restored = self.dropped = self.commits = 0
         self.restore_ms = 0
-        driver.keep, discovery.keep = self.keep, self.keep_list
+        driver.persist, discovery.keep = self.keep, self.keep_list
 
     # ---- at a start ----
 
@@ -131,7 +131,7 @@
             self.dropped += 1
             return log.info("the list on disk is left out: %s", error)
         if self.discovery.version is None or known.version > self.discovery.version:
-            self.driver.members(api.ListScope.SAVED, known.members)
+            self.driver.apply_list(api.ListScope.SAVED, known.members)
             self.discovery.version = known.version
             self.hosts, self.partial = {str(host["host"]): host for host in hosts}, False
             self.restored += len(hosts)
@@ -168,7 +168,7 @@
             for row in found.rows:
                 if row.kind != kind or (kind == "gateway" and self.dropped):
                     continue
-                if self.driver.recover(row.said, row.at):
+                if self.driver.restore_record(row.said, row.at):
                     self.restored += 1
                 else:
                     self.dropped += 1
--- a/switchline/zones/coordination.py
+++ b/switchline/zones/coordination.py
@@ -19,10 +19,10 @@
 from switchline.clock import now_ms
 from switchline.fleet.facts import ZONE_ACT
 from switchline.fleet.messages import Entry
-from switchline.fleet_runtime.transport import Peers
+from switchline.fleet_runtime.transport import GossipTransport
 from switchline.policy import Gateway, gateway_status
 from switchline.policy import interface as api
-from switchline.service.driver import Driver, figure_name
+from switchline.service.driver import Driver, zone_metric_name
 from switchline.zones.agreement import ID_DIGITS, ON, Act, Seen, Word, Zonal, part_of, read_act
 
 log = logging.getLogger(__name__)
@@ -41,7 +41,7 @@
         self.zonal = Zonal(
             settings.zone, settings.index, gateways, rules.start_capacity, rules.warm_within / 1000, chance
         )
-        self.peers: Peers | None = None
+        self.peers: GossipTransport | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.losses, self.stirred, self.looked_at = 0, False, 0.0
         self.words: dict[str, Word] = {}
@@ -50,7 +50,7 @@
         self.noted: Noted = lambda kind, of, version, cause: None  # of the audit
         self.keep: Callable[[str, list[Any]], None] | None = None  # on disk
 
-    def attach(self, peers: Peers) -> None:
+    def attach(self, peers: GossipTransport) -> None:
         """The line is open, or open anew."""
         self.peers = peers
         if self.timer is None:
@@ -96,7 +96,7 @@
         if self.peers.node.facts.refused["own"] and not self.over_said:
             self.over_said = True
             log.warning("not all is told to the other gateways: the bound on facts is reached")
-        self.peers.spread()
+        self.peers.flush()
         self.follow(words)
         self.tell_log()
 
@@ -128,7 +128,7 @@
         """By zone: the fleet's state, version and step, and the own part of a return in thousandths."""
         found: dict[str, int] = {}
         for zone, row in self.shown().items():
-            name = f"fleet.zone.{figure_name(zone)}"
+            name = f"fleet.zone.{zone_metric_name(zone)}"
             found |= {
                 f"{name}.state": STATES[row["state"]],
                 f"{name}.version": row["version"],
--- a/testbed/launch.py
+++ b/testbed/launch.py
@@ -24,22 +24,22 @@
 
 def lose() -> None:
     """It ends every tenth connection in place of an answer."""
-    from switchline.service import driver
+    from switchline.requests import lifecycle
 
     def finish(self: Any, request: str, reply: bytes, ended: Any) -> None:
         self.lost = getattr(self, "lost", 0) + 1
-        owner = self.requests.get(request)
-        if self.lost % 10 == 0 and owner is not None and owner.made:
+        owner = self.open.get(request)
+        if self.lost % 10 == 0 and owner is not None and owner.attempts_made:
             owner.slot.connection.transport.close()
         else:
             before(self, request, reply, ended)
 
-    before = replace(driver.Driver, "finish", finish)
+    before = replace(lifecycle.RequestLifecycle, "finish", finish)
 
 
 def late() -> None:
     """Every tenth answer is never given."""
-    from switchline.service import driver
+    from switchline.requests import lifecycle
 
     def finish(self: Any, request: str, reply: bytes, ended: Any) -> None:
         seen.add(request)
@@ -51,14 +51,14 @@
     seen: set[str] = set()
     kept_back: set[str] = set()
 
-    before = replace(driver.Driver, "finish", finish)
+    before = replace(lifecycle.RequestLifecycle, "finish", finish)
 
 
 def made_up() -> None:
     """It answers with a value of its own."""
-    from switchline.service import driver
+    from switchline.requests import attempts
 
-    replace(driver, "bulk", lambda value: b"$5\r\nhello\r\n")
+    replace(attempts, "bulk", lambda value: b"$5\r\nhello\r\n")
 
 
 def twice() -> None:
@@ -77,9 +77,9 @@
 
 def denies() -> None:
     """It says of work that may have run that it has not."""
-    from switchline.service import driver
+    from switchline.requests import lifecycle
 
-    replace(driver, "FAILED", b"-BUSY 100\r\n")
+    replace(lifecycle, "FAILED", b"-BUSY 100\r\n")
 
 
 def deaf() -> None:
@@ -117,7 +117,7 @@
 
 def falls() -> None:
     """It ends by itself after some requests."""
-    from switchline.service import driver
+    from switchline.requests import lifecycle
 
     def finish(self: Any, request: str, reply: bytes, ended: Any) -> None:
         self.ended = getattr(self, "ended", 0) + 1
@@ -125,7 +125,7 @@
             sys.exit(7)
         before(self, request, reply, ended)
 
-    before = replace(driver.Driver, "finish", finish)
+    before = replace(lifecycle.RequestLifecycle, "finish", finish)
 
 
 def stays() -> None:
--- a/tests/clients/test_clients.py
+++ b/tests/clients/test_clients.py
@@ -575,7 +575,7 @@
     async def scenario() -> None:
         scene = Scene()
         command = clients.parse_command(list(request(b"r1", wait=3_000)), None, 5_000.0)
-        assert scene.driver.read(command).expires == 8_000.0
+        assert scene.driver.requests.reader.read(command).expires == 8_000.0
 
     in_loop(scenario)
 
--- a/tests/clients/test_connections.py
+++ b/tests/clients/test_connections.py
@@ -738,12 +738,12 @@
         small = Slot(scene.connection)
         words = list(request(b"small"))
         words[1] = b"00000000b4d65522"
-        scene.driver.on_command(parse_command(words), small)
-        assert small.reply is None and len(scene.driver.requests) == 13
-        scene.driver.on_client_gone("r0")
-        assert scene.driver.shares.held == {"00000000b4d65521": 11, "00000000b4d65522": 1}
-        scene.driver.end_all()
-        assert not scene.driver.shares.held and scene.figures.crowded == 8
+        scene.driver.requests.on_command(parse_command(words), small)
+        assert small.reply is None and len(scene.driver.requests.open) == 13
+        scene.driver.requests.on_client_gone("r0")
+        assert scene.driver.requests.shares.held == {"00000000b4d65521": 11, "00000000b4d65522": 1}
+        scene.driver.requests.end_all()
+        assert not scene.driver.requests.shares.held and scene.figures.crowded == 8
 
     in_loop(scenario)
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -22,8 +22,8 @@
 @pytest.fixture(autouse=True)
 def quick_drain(monkeypatch: pytest.MonkeyPatch) -> None:
     """Gateways in tests have no front that still sends them connections."""
-    monkeypatch.setattr("switchline.service.service.NOTICE_S", 0.01)
-    monkeypatch.setattr("switchline.service.service.NEWS_S", 0.01)
+    monkeypatch.setattr("switchline.service.drain.NOTICE_S", 0.01)
+    monkeypatch.setattr("switchline.service.service.FIRST_LIST_WAIT_S", 0.01)
 
 
 @pytest.fixture(autouse=True)
--- a/tests/fleet/test_outage.py
+++ b/tests/fleet/test_outage.py
@@ -18,8 +18,10 @@
 from switchline.fleet.messages import LIST, SPENDING, Entry, Exchange, HostRow, Listed, Spent
 from switchline.fleet.outage import OLD_S, judge, read_down
 from switchline.fleet.staleness import bound_by
-from switchline.fleet_runtime import recovery as fleet_recovery
-from switchline.fleet_runtime.recovery import DOUBT_S, FleetRecovery, Stage
+from switchline.fleet_runtime.recovery import spending
+from switchline.fleet_runtime.recovery.backend_list import DOUBT_S
+from switchline.fleet_runtime.recovery.coordinator import FleetRecovery
+from switchline.fleet_runtime.recovery.stages import Stage
 from switchline.policy import Gateway, gateway_status
 from switchline.policy import interface as api
 from testbed.network.fleet_link import WALL_MS, Net, fleet
@@ -171,7 +173,7 @@
 ) -> None:
     kept: Any = RecordsPersisted("h1", "h2")
     one = FleetRecovery({}, kept, cast(Any, None), kept, 0)
-    assert kept.weigh({"seq": 9, "whole": True, "hosts": []}) is None and one.held_back
+    assert kept.weigh({"seq": 9, "whole": True, "hosts": []}) is None and one.backend_list.is_withheld
     older = {"seq": 3, "whole": True, "hosts": [{"host": "h2", "health": "draining"}]}
     found = kept.weigh(older)
     assert found["seq"] == 7 and not found["whole"]
@@ -179,7 +181,7 @@
     assert (host["host"], host["health"], host["dial"]) == ("h2", "draining", "127.0.0.1:1")
     for holds in (older | {"seq": 7}, {"seq": 2, "whole": False, "hosts": []}):
         assert kept.weigh(holds) is holds
-    one.doubt_until -= DOUBT_S
+    one.backend_list.doubt_until_s -= DOUBT_S
     assert kept.weigh(older) is older  # it says so still: then it is so
 
 
@@ -385,7 +387,7 @@
 
 
 def test_no_wait_for_one_that_never_answers_is_longer_than_its_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(fleet_recovery, "SPENDING_S", 0.1)
+    monkeypatch.setattr(spending, "TIMEOUT_S", 0.1)
     kept: Any = RecordsPersisted("h1")
     kept.down_s, kept.restored = (lambda: math.nan), 0
     driver: Any = SimpleNamespace(settings=SimpleNamespace(gateways=2), withheld=0)
@@ -395,20 +397,26 @@
     async def begin() -> set[str]:
         task = asyncio.ensure_future(one.catch_up())
         await asyncio.sleep(0)
-        asked = set(one.asked)
+        asked = set(one.spending.waiting_for)
         await asyncio.wait_for(task, 20)
         return asked
 
     assert asyncio.run(begin()) == {"g1"}
-    assert one.stage is Stage.WHOLE and not one.asked and one.gauges()["recovery.waiting_for"] == 0
+    assert (
+        one.stages.stage is Stage.COMPLETE
+        and not one.spending.waiting_for
+        and one.gauges()["recovery.waiting_for"] == 0
+    )
 
 
 def test_a_process_that_takes_over_answers_and_begins_no_recovery() -> None:
     kept: Any = RecordsPersisted("h1")
     one = FleetRecovery({}, kept, cast(Any, SimpleNamespace(gateway=module(), withheld=0)), kept, 3)
-    assert one.spent() is None and [word.value for word in one.words()] == ["2.0"]
+    assert one.spending.known_here() is None and [word.value for word in one.facts()] == ["2.0"]
     one.settle()
-    assert one.spent() == [] and [word.value for word in one.words()] == [None]
-    assert one.listed(6) == Listed(7, [HostRow("h1", "127.0.0.1:1", "", 0, "up", 0.0)]) and not one.listed(7)
+    assert one.spending.known_here() == [] and [word.value for word in one.facts()] == [None]
+    assert one.backend_list.newer_than(6) == Listed(
+        7, [HostRow("h1", "127.0.0.1:1", "", 0, "up", 0.0)]
+    ) and not one.backend_list.newer_than(7)
     empty = {"seq": 9, "whole": True, "hosts": []}
     assert kept.weigh(empty) is empty
--- a/tests/fleet/test_staleness.py
+++ b/tests/fleet/test_staleness.py
@@ -91,7 +91,7 @@
     def listed(self) -> list[dict[str, Any]]:
         return own()
 
-    def members(self, scope: Any, members: tuple[Any, ...]) -> None:
+    def apply_list(self, scope: Any, members: tuple[Any, ...]) -> None:
         self.changes.append(tuple(f"{m.entry.state.value}" for m in members))
 
 
@@ -101,15 +101,15 @@
     one.is_behind = True
 
     def tell(sender: str, what: Listed) -> None:
-        one.learn(Exchange(sender, (1, 1), 1, True, [], [], listed=what))
+        one.on_exchange(Exchange(sender, (1, 1), 1, True, [], [], listed=what))
 
     for _ in range(3):
         tell("g1", listed(7, h1="gone", h2="draining"))
-    assert not stuck.changes and one.seq == -1
+    assert not stuck.changes and one.repaired_to == -1
     tell("g2", listed(6, h1="draining"))
-    assert stuck.changes == [("draining",)] and one.seq == 6
+    assert stuck.changes == [("draining",)] and one.repaired_to == 6
     tell("g2", listed(8, h1="gone", h2="gone"))
-    assert stuck.changes[1:] == [("gone", "draining")] and one.seq == 7
+    assert stuck.changes[1:] == [("gone", "draining")] and one.repaired_to == 7
     tell("g3", listed(8, h1="gone", h2="draining"))
     assert len(stuck.changes) == 2  # nothing new
     everything = dict.fromkeys(HOSTS, "gone")
@@ -117,7 +117,7 @@
     assert stuck.changes[2:] == [("gone",)]  # h2: that is two
     tell("g5", listed(9, **everything))
     assert len(stuck.changes) == 3  # nobody is left without any backend on others' word
-    assert len(one.lists) <= list_repair.MOST_LISTS
+    assert len(one.lists) <= list_repair.MAX_LISTS
 
 
 @pytest.mark.timeout(120)
--- a/tests/service/test_driver.py
+++ b/tests/service/test_driver.py
@@ -17,7 +17,9 @@
 from switchline.net.streams import BufferBudget
 from switchline.operators.metrics import Metrics
 from switchline.policy import interface as api
-from switchline.service.driver import FAILED, REPEAT_MARGIN_MS, Driver, Request
+from switchline.requests.lifecycle import FAILED
+from switchline.requests.request import REPEAT_MARGIN_MS, Request
+from switchline.service.driver import Driver, DriverParts
 from testbed.network.sockets import LOCAL, until
 from testbed.stand_ins.single_gateway import in_loop, request
 
@@ -48,16 +50,17 @@
         self.figures = Metrics([kind.name for kind in given.classes])
         room, budget = BufferBudget(2**26), Budget(256)
         self.backends = Backends(loop, timers, 250, 15_000, budget, self.figures, room)
-        self.driver = Driver(given, 1, timers, self.backends, None, max_open, self.figures, room, print)
+        parts = DriverParts(timers, self.backends, None, self.figures, room, max_open, print)
+        self.driver = Driver(given, 1, parts)
         self.module = Module()
         self.driver.gateway = self.module  # type: ignore[assignment]
-        self.connection = ClientConnection(ClientServer(self.driver, budget, room, self.figures))
+        self.connection = ClientConnection(ClientServer(self.driver.requests, budget, room, self.figures))
 
     def ask(self, id: bytes = b"r1", wait: int = 3000) -> Slot:
         slot = Slot(self.connection)
         slot.request = id.decode()
         self.connection.slots.append(slot)
-        self.driver.on_command(parse_command(list(request(id, wait=wait))), slot)
+        self.driver.requests.on_command(parse_command(list(request(id, wait=wait))), slot)
         return slot
 
 
@@ -81,7 +84,7 @@
         slot = scene.ask(wait=20)
         assert slot.reply is None
         await until(lambda: slot.answered)
-        assert slot.reply == FAILED and not scene.driver.requests
+        assert slot.reply == FAILED and not scene.driver.requests.open
         assert scene.module.of(api.RequestLapsed) == [api.RequestLapsed("r1")]
 
     in_loop(scenario)
@@ -148,11 +151,11 @@
     async def scenario() -> None:
         scene = Scene()
         scene.module.answers[api.RequestArrived] = [api.Reject("r1", 30.0, "quota")]
-        scene.driver.states = lambda: {"clients.idle": 2, "clients.young": 0}
+        scene.driver.report.states = lambda: {"clients.idle": 2, "clients.young": 0}
         scene.ask()
         with caplog.at_level("INFO"):
-            scene.driver.report()
-            scene.driver.report()  # nothing came since
+            scene.driver.report.log_counts()
+            scene.driver.report.log_counts()  # nothing came since
         (line,) = caplog.records
         assert line.getMessage() == "last 10 s: refused for quota 1, requests taken 1; now: clients.idle 2"
 
@@ -165,12 +168,12 @@
 def keyed_request(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> tuple[Request, list[float]]:
     """An open request of a keyed class, and the time that the driver is told."""
     now = [10_000.0]
-    monkeypatch.setattr("switchline.service.driver.now_ms", lambda: now[0])
+    monkeypatch.setattr("switchline.requests.attempts.now_ms", lambda: now[0])
     words = list(request(b"r1", name=b"order"))
     words[3] += b",k=5c0f6e1a2b3d4c59"
     slot = Slot(scene.connection)
-    scene.driver.on_command(parse_command(words), slot)
-    return scene.driver.requests["r1"], now
+    scene.driver.requests.on_command(parse_command(words), slot)
+    return scene.driver.requests.open["r1"], now
 
 
 def test_a_keyed_repeat_that_waited_out_the_window_does_not_begin(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -180,12 +183,17 @@
         scene = Scene()
         owner, now = keyed_request(scene, monkeypatch)
         attempt: Any = None
-        assert scene.driver.hindrance(owner, now[0] + 10 * KEYED_WINDOW_MS) is None  # the first attempt
-        scene.driver.on_written(owner, 0, attempt)
-        assert scene.driver.hindrance(owner, now[0] + KEYED_WINDOW_MS - REPEAT_MARGIN_MS - 1) is None
+        assert (
+            scene.driver.attempts.reason_not_to_send(owner, now[0] + 10 * KEYED_WINDOW_MS) is None
+        )  # the first attempt
+        scene.driver.attempts.on_sent(owner, 0, attempt)
+        assert (
+            scene.driver.attempts.reason_not_to_send(owner, now[0] + KEYED_WINDOW_MS - REPEAT_MARGIN_MS - 1)
+            is None
+        )
         late = now[0] + KEYED_WINDOW_MS - REPEAT_MARGIN_MS
-        assert scene.driver.hindrance(owner, late) is api.Outcome.IGNORED
-        scene.driver.end_all()
+        assert scene.driver.attempts.reason_not_to_send(owner, late) is api.Outcome.IGNORED
+        scene.driver.requests.end_all()
 
     in_loop(scenario)
 
@@ -194,13 +202,13 @@
     async def scenario() -> None:
         scene = Scene()
         owner, now = keyed_request(scene, monkeypatch)
-        scene.driver.send("r1", 7, 0.0)  # never listed, so it ends at once
+        scene.driver.attempts.send("r1", 7, 0.0)  # never listed, so it ends at once
         attempt: Any = None
-        scene.driver.on_written(owner, 1, attempt)
-        scene.driver.attempts["r1", 1] = owner.live[1] = SimpleNamespace(backend=7, cost=0.0)  # type: ignore
-        full = scene.driver.attempts["r1", 1]
-        scene.driver.on_ended(owner, 1, now[0], full, api.Outcome.FULL, b"")
-        assert scene.driver.hindrance(owner, now[0] + 10 * KEYED_WINDOW_MS) is None
-        scene.driver.end_all()
+        scene.driver.attempts.on_sent(owner, 1, attempt)
+        scene.driver.attempts.in_flight["r1", 1] = owner.in_flight[1] = SimpleNamespace(backend=7, cost=0.0)  # type: ignore
+        full = scene.driver.attempts.in_flight["r1", 1]
+        scene.driver.attempts.on_ended(owner, 1, now[0], full, api.Outcome.FULL, b"")
+        assert scene.driver.attempts.reason_not_to_send(owner, now[0] + 10 * KEYED_WINDOW_MS) is None
+        scene.driver.requests.end_all()
 
     in_loop(scenario)
--- a/tests/service/test_process.py
+++ b/tests/service/test_process.py
@@ -25,7 +25,8 @@
 from switchline.net.listen import listen
 from switchline.net.streams import BufferBudget
 from switchline.operators.metrics import Metrics
-from switchline.service.service import CLOSING_S, Service
+from switchline.service.drain import CLOSING_S
+from switchline.service.service import Service
 from testbed.network.addresses import claimed_port
 from testbed.network.sockets import LOCAL, Peer, Reply, encode, until
 from testbed.stand_ins.agents import host
@@ -120,7 +121,7 @@
 
 def test_what_is_open_at_the_end_is_failed_rather_than_lost(monkeypatch: pytest.MonkeyPatch) -> None:
     """SIGKILL would leave its client without an answer; whether it ran is not known, so it is no refusal."""
-    monkeypatch.setattr("switchline.service.service.Service.longest_drain", lambda _: 0.05)
+    monkeypatch.setattr("switchline.service.drain.FinalDrain.longest_drain_s", lambda _: 0.05)
 
     async def silent(command: list[bytes]) -> Reply:
         return None
@@ -146,7 +147,7 @@
         settings = {**config["settings"], "classes": classes}
         given = {**config, "settings": settings, "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1"}
         service = Service(parse_config(given), asyncio.Event())
-        assert killed_s - 0.35 <= service.longest_drain() + CLOSING_S < killed_s - 0.1
+        assert killed_s - 0.35 <= service.drain.longest_drain_s() + CLOSING_S < killed_s - 0.1
 
     in_loop(scenario)
 
@@ -154,8 +155,8 @@
 def test_at_the_end_what_never_left_is_refused_and_so_is_what_still_comes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("switchline.service.service.Service.longest_drain", lambda _: 0.05)
-    monkeypatch.setattr("switchline.service.service.CLOSING_S", 60.0)
+    monkeypatch.setattr("switchline.service.drain.FinalDrain.longest_drain_s", lambda _: 0.05)
+    monkeypatch.setattr("switchline.service.drain.CLOSING_S", 60.0)
 
     class Deaf(World):
         """Its backend's handshakes never come up: nobody accepts, and the backlog is full."""
