--- a/switchline/requests/attempts.py
+++ b/switchline/requests/attempts.py
@@ -5,7 +5,7 @@
 import logging
 from functools import partial
 
-from switchline.backends.pool import Attempt
+from switchline.backends.attempt import Attempt
 from switchline.clients.commands import bulk
 from switchline.clock import now_ms
 from switchline.guard import Invariant
@@ -51,15 +51,15 @@
             request.command.encode,
             request.expires,
             partial(self.on_ended, request, number, now),
-            partial(self.on_sent, request, number),
-            partial(self.on_response_started, request, number),
+            partial(self.on_written, request, number),
+            partial(self.on_streamed_answer, request, number),
             partial(self.reason_not_to_send, request),
             request.command.stream,
         )
         self.in_flight[request_id, number] = request.in_flight[number] = attempt
         if 0 < timeout_ms < request.expires - now:
             give_up = partial(self.backends.give_up, attempt, api.Outcome.TIMED_OUT)
-            attempt.timer = self.timers.at(now + timeout_ms, give_up)
+            attempt.timeout_timer = self.timers.at(now + timeout_ms, give_up)
         self.backends.send(attempt)
 
     def _ignore(self, request_id: str, backend: int, request: Request | None) -> None:
@@ -93,13 +93,13 @@
             return api.Outcome.CANCELLED
         return None
 
-    def on_sent(self, request: Request, number: int, attempt: Attempt) -> None:
+    def on_written(self, request: Request, number: int, attempt: Attempt) -> None:
         """An attempt's last byte has left."""
         request.sent_at[number] = now_ms()
         if request.command.stream is not None:
             self.give(api.RequestBodySent(request.id, number))
 
-    def on_response_started(
+    def on_streamed_answer(
         self, request: Request, number: int, attempt: Attempt, length: int
     ) -> StreamedResponse | None:
         """A long answer has begun: it is the final one, and is passed on as it comes.
@@ -112,11 +112,11 @@
         if request.expiry_timer is not None:
             request.expiry_timer.cancel()
         response = request.response = StreamedResponse(self.buffers, length, request.slot.connection.pump)
-        request.slot.begin(response, partial(self._on_response_passed, request))
+        request.slot.begin(response, partial(self._on_answer_passed, request))
         self.give(api.StreamedAnswerStarted(request.id, number))
         return response
 
-    def _on_response_passed(self, request: Request) -> None:
+    def _on_answer_passed(self, request: Request) -> None:
         """The client has been given the last byte of a long answer."""
         if self.requests.release(request.id) is not None:
             self.metrics.ended(request.kind.name, OutcomeKind.SUCCEEDED)
@@ -146,7 +146,7 @@
             self.requests.settle(request)
         spent = request.body_is_spent
         lag = now_ms() - started_at
-        cost = attempt.cost if outcome is api.Outcome.OK else 0.0
+        cost = attempt.true_units if outcome is api.Outcome.OK else 0.0
         self.give(api.AttemptEnded(request.id, number, attempt.backend, outcome, lag, finished, cost, spent))
 
     def _answer(self, request: Request, number: int, outcome: api.Outcome, value: bytes) -> None:
--- a/switchline/requests/context.py
+++ b/switchline/requests/context.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from switchline.backends.pool import Backends
+from switchline.backends.pool import BackendPool
 from switchline.clock import Timers
 from switchline.net.streams import BufferBudget
 from switchline.operators.metrics import Metrics
@@ -20,7 +20,7 @@
     settings: api.Settings
     max_open: int  # requests at once
     timers: Timers
-    backends: Backends
+    backends: BackendPool
     metrics: Metrics
     buffers: BufferBudget
     report: PeriodicReport
--- a/switchline/requests/lifecycle.py
+++ b/switchline/requests/lifecycle.py
@@ -90,7 +90,7 @@
             request.expiry_timer.cancel()
         request.expiry_timer = self.timers.at(request.expires, partial(self._on_expired, request))
         for attempt in request.in_flight.values():
-            attempt.expires = request.expires
+            attempt.expires_at_ms = request.expires
         self.give(api.RequestBodyReceived(request_id, request.expires))
 
     def _on_expired(self, request: Request) -> None:
--- a/switchline/requests/request.py
+++ b/switchline/requests/request.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass, field
 
-from switchline.backends.pool import Attempt
+from switchline.backends.attempt import Attempt
 from switchline.clients.commands import Command
 from switchline.clients.server import Slot
 from switchline.clock import Timer
--- a/switchline/service/driver.py
+++ b/switchline/service/driver.py
@@ -15,7 +15,7 @@
 from functools import partial
 from typing import Any, Generic, TypeVar
 
-from switchline.backends.pool import Backends
+from switchline.backends.pool import BackendPool
 from switchline.clock import Timers, now_ms
 from switchline.counter.client import Counter
 from switchline.discovery.client import Member, host_number
@@ -65,7 +65,7 @@
     """What the driver carries out actions with."""
 
     timers: Timers
-    backends: Backends
+    backends: BackendPool
     counter: Counter | None
     metrics: Metrics
     buffers: BufferBudget
@@ -221,7 +221,7 @@
             self.backends.update(entry.backend, member.address, entry.state, entry.zone)
         if scope is not api.ListScope.CHANGES:
             listed = {member.entry.backend for member in members}
-            for backend in set(self.backends.hosts) - listed:
+            for backend in set(self.backends.endpoints) - listed:
                 self.backends.retire(backend)
         for member in members:
             self._known_backends.add(member.entry.backend)
@@ -239,10 +239,10 @@
         """Operators disabled a backend, or enabled it again, at `since` (Unix milliseconds)."""
         log.info("%s is %s by hand", host, "taken out" if is_disabled else "put back")
         backend = host_number(host)
-        self.backends.hold(backend, is_disabled)
+        self.backends.override(backend, is_disabled)
         self.give(api.BackendOverridden(backend, is_disabled, since))
 
     def override_zone(self, zone: str, is_disabled: bool, since: float) -> None:
         """Operators disabled a zone, or enabled it again, at `since` (Unix milliseconds)."""
-        self.backends.hold_zone(zone, is_disabled)
+        self.backends.override_zone(zone, is_disabled)
         self.give(api.ZoneOverridden(zone, is_disabled, since))
--- a/switchline/service/parts.py
+++ b/switchline/service/parts.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from switchline.backends.pool import Backends
+from switchline.backends.pool import BackendPool
 from switchline.clients.server import ClientServer
 from switchline.clock import Timers
 from switchline.config import Config
@@ -40,7 +40,7 @@
         self.metrics = Metrics([kind.name for kind in config.settings.classes])
         self.buffers = BufferBudget(config.memory)
         self.descriptors = Budget(config.sockets, config.shares, own_descriptors(config))
-        self.backends = Backends(
+        self.backends = BackendPool(
             self.loop,
             self.timers,
             config.connect_timeout,
--- a/tests/service/test_driver.py
+++ b/tests/service/test_driver.py
@@ -9,7 +9,7 @@
 import pytest
 from helpers import settings
 
-from switchline.backends.pool import Backends
+from switchline.backends.pool import BackendPool
 from switchline.clients.commands import parse_command
 from switchline.clients.server import ClientConnection, ClientServer, Slot
 from switchline.clock import Timers
@@ -49,7 +49,7 @@
         given = settings(max_attempts=2, plans=(api.Plan("free"),))
         self.figures = Metrics([kind.name for kind in given.classes])
         room, budget = BufferBudget(2**26), Budget(256)
-        self.backends = Backends(loop, timers, 250, 15_000, budget, self.figures, room)
+        self.backends = BackendPool(loop, timers, 250, 15_000, budget, self.figures, room)
         parts = DriverParts(timers, self.backends, None, self.figures, room, max_open, print)
         self.driver = Driver(given, 1, parts)
         self.module = Module()
@@ -186,7 +186,7 @@
         assert (
             scene.driver.attempts.reason_not_to_send(owner, now[0] + 10 * KEYED_WINDOW_MS) is None
         )  # the first attempt
-        scene.driver.attempts.on_sent(owner, 0, attempt)
+        scene.driver.attempts.on_written(owner, 0, attempt)
         assert (
             scene.driver.attempts.reason_not_to_send(owner, now[0] + KEYED_WINDOW_MS - REPEAT_MARGIN_MS - 1)
             is None
@@ -204,8 +204,8 @@
         owner, now = keyed_request(scene, monkeypatch)
         scene.driver.attempts.send("r1", 7, 0.0)  # never listed, so it ends at once
         attempt: Any = None
-        scene.driver.attempts.on_sent(owner, 1, attempt)
-        scene.driver.attempts.in_flight["r1", 1] = owner.in_flight[1] = SimpleNamespace(backend=7, cost=0.0)  # type: ignore
+        scene.driver.attempts.on_written(owner, 1, attempt)
+        scene.driver.attempts.in_flight["r1", 1] = owner.in_flight[1] = SimpleNamespace(backend=7)  # type: ignore
         full = scene.driver.attempts.in_flight["r1", 1]
         scene.driver.attempts.on_ended(owner, 1, now[0], full, api.Outcome.FULL, b"")
         assert scene.driver.attempts.reason_not_to_send(owner, now[0] + 10 * KEYED_WINDOW_MS) is None
