--- a/switchline/__main__.py
+++ b/switchline/__main__.py
@@ -1,4 +1,7 @@
-"""Runs one gateway: `python -m switchline`, told by LB_CONFIG what to do."""
+"""Runs one gateway: `python -m switchline`, with the configuration file that `LB_CONFIG` names.
+
+Only the standard library is imported here; the rest of the program is imported with retries.
+"""
 
 from __future__ import annotations
 
@@ -9,8 +12,13 @@
 import time
 from types import ModuleType
 
-# Reading the program's files may fail for a moment as any other system call.
-IMPORT_TRIES, IMPORT_WAIT_S = 10, 0.1
+# Reading the program's files may fail for a moment, as any other system call.
+IMPORT_ATTEMPTS = 10
+IMPORT_RETRY_S = 0.1
+
+EXIT_OK = 0
+EXIT_USAGE = 2
+
 USAGE = """usage: LB_CONFIG=FILE python -m switchline
 
 Serves as one gateway with the JSON configuration in FILE (README.md says what it holds) until SIGTERM.
@@ -18,24 +26,25 @@
 
 
 def load(name: str) -> ModuleType:
-    """Import a module of this package, with more tries where its files can't be read for a moment."""
-    for _ in range(IMPORT_TRIES - 1):
+    """Import a module of this package; retried where its files can't be read for a moment."""
+    for _ in range(IMPORT_ATTEMPTS - 1):
         try:
             return importlib.import_module(name, __package__)
         except (ImportError, OSError):
             importlib.invalidate_caches()
-            time.sleep(IMPORT_WAIT_S)
+            time.sleep(IMPORT_RETRY_S)
     return importlib.import_module(name, __package__)
 
 
 def main() -> int:
+    """Serve as the environment says; returns the exit code."""
     if len(sys.argv) > 1:
         print(USAGE)
-        return 0 if sys.argv[1] in ("-h", "--help") else 2
+        return EXIT_OK if sys.argv[1] in ("-h", "--help") else EXIT_USAGE
     path = os.environ.get("LB_CONFIG")
     if not path:
         print(f"switchline: LB_CONFIG is not set\n\n{USAGE}", file=sys.stderr)
-        return 2
+        return EXIT_USAGE
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # there is no configuration to read again yet
     load(".logs").start()
     return int(load(".service.program").main(path))
--- a/switchline/discovery/client.py
+++ b/switchline/discovery/client.py
@@ -16,6 +16,7 @@
 
 from switchline.clock import now_ms
 from switchline.config import Address, parse_address
+from switchline.errors import SwitchlineError
 from switchline.net.descriptors import FIXED_PARTS, Budget, Part
 from switchline.net.json_stream import JsonStream, StreamError
 from switchline.policy.interface import BackendEntry, BackendState, ListScope
@@ -39,7 +40,7 @@
 STATES = {"up": BackendState.READY, "draining": BackendState.DRAINING, "removed": BackendState.GONE}
 
 
-class DiscoveryError(Exception):
+class DiscoveryError(SwitchlineError):
     """Discovery said what it should not."""
 
 
--- a/switchline/fleet_runtime/membership.py
+++ b/switchline/fleet_runtime/membership.py
@@ -104,7 +104,7 @@
 
     async def join(self) -> None:
         """Become a member of the configured fleet; nothing happens where this gateway is one already."""
-        link = self.parts.config.line
+        link = self.parts.config.fleet
         if link is None or self.member is not None:
             return
         self.member = self._make_member(link)
@@ -133,7 +133,9 @@
         node.learned = self._on_exchange
         transport.on_published = self._look
         divergence = DivergenceWatch(self.parts, self.trail)
-        quarantine = QuarantineControl(self.parts, self.trail, self.overrides, self.intake, link.shut_out_s)
+        quarantine = QuarantineControl(
+            self.parts, self.trail, self.overrides, self.intake, link.quarantine_after_s
+        )
         return MembershipParts(transport, calls, zones, divergence, quarantine)
 
     def leave(self, announce: bool) -> None:
--- a/switchline/logs.py
+++ b/switchline/logs.py
@@ -1,4 +1,4 @@
-"""The log, bounded in rate: a flood of bad peers must not become a flood of lines."""
+"""The log on standard error, bounded in rate: a flood of faulty peers must not become a flood of lines."""
 
 from __future__ import annotations
 
@@ -7,29 +7,35 @@
 import time
 
 PERIOD_S = 10.0
-MOST_LINES = 5  # of one kind in a period: enough to see what comes, whatever its rate
+MAX_LINES = 5  # of one kind in a period: enough to see what comes, whatever its rate
 
 
 class RateLimit(logging.Filter):
-    """Lets a few lines of each kind through in a period, and tells how many it kept back."""
+    """Passes a few lines of each kind in a period, and says with a later one how many it dropped.
+
+    A line's kind is its text without its values.
+    """
 
     def __init__(self) -> None:
         super().__init__()
-        self.periods: dict[str, tuple[float, int]] = {}  # by the text before its values: begin and lines
+        self.periods: dict[str, tuple[float, int]] = {}  # by kind: when the period began, and its lines
 
     def filter(self, record: logging.LogRecord) -> bool:
+        """Whether a line passes."""
         kind, now = str(record.msg), time.monotonic()  # the record's own time is of the wall clock
-        begin, lines = self.periods.get(kind, (now, 0))
-        if now - begin >= PERIOD_S:
-            if lines > MOST_LINES:
-                record.msg = f"{record.getMessage()} (and {lines - MOST_LINES} like it before)"
+        began, lines = self.periods.get(kind, (now, 0))
+        if now - began >= PERIOD_S:
+            if lines > MAX_LINES:
+                record.msg = f"{record.getMessage()} (and {lines - MAX_LINES} like it before)"
                 record.args = ()
-            begin, lines = now, 0
-        self.periods[kind] = begin, lines + 1
-        return lines < MOST_LINES
+            began = now
+            lines = 0
+        self.periods[kind] = began, lines + 1
+        return lines < MAX_LINES
 
 
 def start() -> None:
+    """Log to standard error, within the bound."""
     logging.basicConfig(
         level=logging.INFO, stream=sys.stderr, format="%(asctime)s %(levelname)s %(name)s: %(message)s"
     )
--- a/switchline/net/listen.py
+++ b/switchline/net/listen.py
@@ -9,6 +9,7 @@
 import socket
 
 from switchline.config import Address
+from switchline.errors import StartError
 
 log = logging.getLogger(__name__)
 
@@ -18,7 +19,7 @@
 PERMANENT_ERRORS = {errno.EACCES, errno.EPERM, errno.EINVAL, errno.EAFNOSUPPORT}  # of bind
 
 
-class ListenError(Exception):
+class ListenError(StartError):
     """The address can't be listened on, and waiting longer would not help."""
 
 
--- a/switchline/service/audit_trail.py
+++ b/switchline/service/audit_trail.py
@@ -35,7 +35,7 @@
     def begin(self) -> None:
         """Open the audit, if it is configured, and record the versions that this process starts with."""
         config = self.parts.config
-        if config.line is None and config.audit is None:
+        if config.fleet is None and config.audit is None:
             return
         from switchline.audit.recorder import Audit, build_digest
         from switchline.fleet.messages import VERSION
--- a/switchline/service/calls/overrides.py
+++ b/switchline/service/calls/overrides.py
@@ -65,7 +65,7 @@
         self.persist: Persist | None = None
         self.by_name: dict[str, OperatorOverrides] = {}
         for kind, form in FORMS.items():
-            if kind in LOCAL_KINDS or parts.config.line is not None:
+            if kind in LOCAL_KINDS or parts.config.fleet is not None:
                 path = private_file(parts.config.name, form.file_name)
                 changed = partial(self._on_changed, kind)
                 self.by_name[kind.value] = OperatorOverrides(path, parts.timers, changed)
--- a/switchline/service/optional_fleet.py
+++ b/switchline/service/optional_fleet.py
@@ -37,7 +37,7 @@
 
     def prepare_recovery(self) -> None:
         """Create what recovers from the other gateways, once the state on disk has been read."""
-        if self.parts.config.line is not None:
+        if self.parts.config.fleet is not None:
             self._membership().prepare_recovery()
 
     async def query_before_clients(self, took_over: bool) -> None:
@@ -47,7 +47,7 @@
 
     async def join(self) -> None:
         """Become a member, if the configuration names a fleet and this gateway is none yet."""
-        if self.parts.config.line is not None:
+        if self.parts.config.fleet is not None:
             await self._membership().join()
 
     def leave(self, announce: bool) -> None:
--- a/switchline/service/parts.py
+++ b/switchline/service/parts.py
@@ -24,7 +24,7 @@
 def own_descriptors(config: Config) -> int:
     """Descriptors of the process itself, with those of the optional parts that are on."""
     state = STATE_DESCRIPTORS if config.state else 0
-    fleet = FLEET_DESCRIPTORS if config.line else 0
+    fleet = FLEET_DESCRIPTORS if config.fleet else 0
     return PROCESS_DESCRIPTORS + state + fleet
 
 
@@ -38,13 +38,13 @@
         self.guard = Guard()
         self.timers = Timers(self.loop, self.guard)
         self.metrics = Metrics([kind.name for kind in config.settings.classes])
-        self.buffers = BufferBudget(config.memory)
-        self.descriptors = Budget(config.sockets, config.shares, own_descriptors(config))
+        self.buffers = BufferBudget(config.memory_bytes)
+        self.descriptors = Budget(config.descriptors, config.shares, own_descriptors(config))
         self.backends = BackendPool(
             self.loop,
             self.timers,
-            config.connect_timeout,
-            config.keepalive,
+            config.connect_timeout_ms,
+            config.keepalive_ms,
             self.descriptors,
             self.metrics,
             self.buffers,
--- a/switchline/service/reload.py
+++ b/switchline/service/reload.py
@@ -32,14 +32,14 @@
     async def apply(self, config: Config) -> None:
         """Act on a new configuration."""
         parts, before = self.parts, self.parts.config
-        parts.descriptors.configured_limit = config.sockets
+        parts.descriptors.configured_limit = config.descriptors
         parts.descriptors.shares = config.shares
         if config.settings.regions != before.settings.regions:
             parts.driver.give(api.RegionsChanged(config.settings.regions))
         parts.config = config
         self.trail.record_config("SIGHUP")
         parts.descriptors.process_descriptors = own_descriptors(config)
-        if config.line != before.line:
+        if config.fleet != before.fleet:
             self.fleet.leave(announce=True)
             await self.fleet.join()
         parts.discovery.move(config.discovery)
--- a/tests/fleet/test_fleet_protocol.py
+++ b/tests/fleet/test_fleet_protocol.py
@@ -396,10 +396,10 @@
 
 
 def test_a_good_table_is_read_and_none_is_none(tmp_path: Path) -> None:
-    line = parse_config(config(tmp_path)).line
+    line = parse_config(config(tmp_path)).fleet
     assert line is not None and line.advertise == line.listen == ("127.0.0.1", 7946)
     assert "secret that" not in repr(line)
-    assert parse_config({**config(tmp_path), "fleet": None}).line is None
+    assert parse_config({**config(tmp_path), "fleet": None}).fleet is None
 
 
 @pytest.mark.parametrize(
--- a/tests/fleet/test_quarantine.py
+++ b/tests/fleet/test_quarantine.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from switchline.config import parse_line
+from switchline.config import parse_fleet
 from switchline.fleet.members import Address, Members
 from switchline.fleet.quarantine import (
     GRANT,
@@ -215,9 +215,9 @@
     secret.write_text("long enough a secret")
     table = {"name": "lab", "listen": "127.0.0.1:7946", "secret": str(secret)}
     with pytest.raises(ValueError, match="shut_out_s"):
-        parse_line(table | {"shut_out_s": given})
-    line = parse_line(table | {"shut_out_s": 0})
-    assert line is not None and line.shut_out_s == 0.0
+        parse_fleet(table | {"shut_out_s": given})
+    line = parse_fleet(table | {"shut_out_s": 0})
+    assert line is not None and line.quarantine_after_s == 0.0
 
 
 @pytest.mark.timeout(120)
--- a/tests/service/test_driver.py
+++ b/tests/service/test_driver.py
@@ -205,8 +205,8 @@
         scene.driver.attempts.send("r1", 7, 0.0)  # never listed, so it ends at once
         attempt: Any = None
         scene.driver.attempts.on_written(owner, 1, attempt)
-        scene.driver.attempts.in_flight["r1", 1] = owner.in_flight[1] = SimpleNamespace(backend=7)  # type: ignore
-        full = scene.driver.attempts.in_flight["r1", 1]
+        full: Any = SimpleNamespace(backend=7, true_units=0.0)
+        scene.driver.attempts.in_flight["r1", 1] = owner.in_flight[1] = full
         scene.driver.attempts.on_ended(owner, 1, now[0], full, api.Outcome.FULL, b"")
         assert scene.driver.attempts.reason_not_to_send(owner, now[0] + 10 * KEYED_WINDOW_MS) is None
         scene.driver.requests.end_all()
--- a/tests/service/test_process.py
+++ b/tests/service/test_process.py
@@ -322,7 +322,7 @@
         }
     )
     assert config.settings.index == 2 and config.settings.max_attempts == 4
-    assert (config.keepalive, config.seed, config.counter) == (9000.0, 255, None)
+    assert (config.keepalive_ms, config.seed, config.counter) == (9000.0, 255, None)
     with pytest.raises(ConfigError):
         parse_config({"listen": "10.0.0.4:6379", "discovery": "x", "settings": {}})
 
