--- a/switchline/fleet_runtime/list_repair.py
+++ b/switchline/fleet_runtime/list_repair.py
@@ -17,7 +17,7 @@
 from switchline.policy import interface as api
 from switchline.service.audit_trail import RecordVersion, record_nothing
 from switchline.service.driver import Driver
-from switchline.state.recovery import Recovery
+from switchline.state.persistence import StatePersistence
 
 log = logging.getLogger(__name__)
 
@@ -32,7 +32,9 @@
 class ListRepair:
     """Owns whether the list here is behind, and the newer lists that others have sent since."""
 
-    def __init__(self, driver: Driver, discovery: Discovery, state: Recovery, rng: random.Random) -> None:
+    def __init__(
+        self, driver: Driver, discovery: Discovery, state: StatePersistence, rng: random.Random
+    ) -> None:
         self.driver = driver
         self.discovery = discovery
         self.state = state
@@ -87,7 +89,7 @@
 
     def on_exchange(self, exchange: Exchange) -> None:
         """Another gateway sent its list; what two lists agree on is applied."""
-        own = self.state.listed()
+        own = self.state.saved_hosts()
         if not self.is_behind or exchange.listed is None or own is None:
             return
         if exchange.listed.seq <= self.own_number():
--- a/switchline/fleet_runtime/membership.py
+++ b/switchline/fleet_runtime/membership.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from switchline.fleet_runtime.list_repair import ListRepair
     from switchline.fleet_runtime.recovery.coordinator import FleetRecovery
-    from switchline.state.recovery import Recovery
+    from switchline.state.persistence import StatePersistence
 
 
 class MembershipParts:
@@ -55,7 +55,7 @@
         trail: AuditTrail,
         overrides: OverrideSet,
         intake: ClientIntake,
-        state: Recovery | None,
+        state: StatePersistence | None,
         took_over: Callable[[], bool],
     ) -> None:
         """`state` is that on disk; `took_over`: whether this process has taken over from an older one."""
@@ -123,12 +123,12 @@
         zones = ZoneCoordinator(self.parts.driver, random.Random(f"{config.seed} zones"))
         zones.noted = self.trail.record
         if self.trail.audit is not None:
-            self.trail.audit.follow(node.order, incarnation)
+            self.trail.audit.join_fleet(node.order, incarnation)
         zones.attach(transport)
         if self.state is not None:
             if not self.took_over():  # else the older process knows better, and has told the others
-                zones.recall(self.state.acts)
-            zones.keep = self.state.keep_act
+                zones.recall(self.state.zone_decisions)
+            zones.keep = self.state.save_zone_decision
         node.told = self._on_fact
         node.learned = self._on_exchange
         transport.on_published = self._look
@@ -166,7 +166,7 @@
         """Called each time after this gateway's facts have been published."""
         member = self.member
         if member is not None:
-            member.calls.look()
+            member.calls.tick()
         if self.recovery is not None:
             self.recovery.look()
         takes_clients = self.parts.clients.takes_clients
@@ -181,7 +181,7 @@
     def _on_fact(self, entry: Entry) -> None:
         """A fact is new here."""
         if self.member is not None:
-            self.member.calls.heard(entry)
+            self.member.calls.on_fact(entry)
             self.member.zones.heard(entry)
 
     def _on_exchange(self, exchange: Exchange) -> None:
--- a/switchline/fleet_runtime/own_facts.py
+++ b/switchline/fleet_runtime/own_facts.py
@@ -33,13 +33,13 @@
         yield PublishedFact("ready", "", "yes" if self.parts.clients.takes_clients else "no")
         yield PublishedFact("index", "", str(settings.index))
         audit = self.trail.audit
-        if audit is not None and audit.on:
+        if audit is not None and audit.writing:
             yield PublishedFact("audit", "", f"{audit.head.n} {audit.head.sum}")
 
     def about_overrides(self) -> Iterator[PublishedFact]:
         """What is overridden by hand here, and what was until lately."""
         for kind, overrides in self.overrides.by_name.items():
-            for name, at_ms in list(overrides.out.items())[-MAX_PUBLISHED_OVERRIDES:]:
+            for name, at_ms in list(overrides.active.items())[-MAX_PUBLISHED_OVERRIDES:]:
                 yield PublishedFact(kind, name, "down", at_ms)
-            for name, at_ms in list(overrides.back.items())[-MAX_PUBLISHED_OVERRIDES:]:
+            for name, at_ms in list(overrides.cleared.items())[-MAX_PUBLISHED_OVERRIDES:]:
                 yield PublishedFact(kind, name, "up", at_ms)
--- a/switchline/fleet_runtime/recovery/backend_list.py
+++ b/switchline/fleet_runtime/recovery/backend_list.py
@@ -17,7 +17,7 @@
 from switchline.policy import interface as api
 from switchline.service.audit_trail import RecordVersion, record_nothing
 from switchline.service.driver import Driver
-from switchline.state.recovery import Recovery
+from switchline.state.persistence import StatePersistence
 
 log = logging.getLogger(__name__)
 
@@ -27,7 +27,7 @@
 class ListRecovery:
     """Owns the newest list that another gateway has sent, and whether discovery's is withheld."""
 
-    def __init__(self, state: Recovery, driver: Driver, discovery: Discovery, began_s: float) -> None:
+    def __init__(self, state: StatePersistence, driver: Driver, discovery: Discovery, began_s: float) -> None:
         self.state = state
         self.driver = driver
         self.discovery = discovery
@@ -41,7 +41,7 @@
 
     def newer_than(self, number: int) -> Listed | None:
         """The list here, for a gateway that asks with the number of its own; None where it is no newer."""
-        hosts, version = self.state.listed(), self.discovery.version
+        hosts, version = self.state.saved_hosts(), self.discovery.version
         if hosts is None or version is None or version <= number or len(hosts) > MOST_HOSTS:
             return None
         return Listed(version, [_host_message(host) for host in hosts])
@@ -57,7 +57,7 @@
         Its addresses are those that the other gateway reaches backends by. Discovery is asked for its whole
         list then, as its changes would not undo an error of the other gateway.
         """
-        newer, own, number = self.newest, self.state.listed(), seq_of(self.discovery.version)
+        newer, own, number = self.newest, self.state.saved_hosts(), seq_of(self.discovery.version)
         if newer is None or own is None or newer.seq <= number:
             return
         changes = list(bound_by(own, newer))
@@ -86,7 +86,7 @@
         """
         hosts = raw.get("hosts") or []
         known = max(seq_of(self.discovery.version), self.newest.seq if self.newest else -1)
-        own = self.state.listed()
+        own = self.state.saved_hosts()
         behind = raw.get("whole") and (int(raw["seq"]) < known or not hosts)
         if not behind or not own or time.monotonic() >= self.doubt_until_s:
             return raw
--- a/switchline/fleet_runtime/recovery/coordinator.py
+++ b/switchline/fleet_runtime/recovery/coordinator.py
@@ -29,7 +29,7 @@
 from switchline.policy import interface as api
 from switchline.service.audit_trail import RecordVersion
 from switchline.service.driver import Driver
-from switchline.state.recovery import Recovery
+from switchline.state.persistence import StatePersistence
 
 log = logging.getLogger(__name__)
 
@@ -47,7 +47,7 @@
     def __init__(
         self,
         overrides: Mapping[str, OperatorOverrides],
-        state: Recovery,
+        state: StatePersistence,
         driver: Driver,
         discovery: Discovery,
         index: int,
@@ -57,7 +57,7 @@
         self.driver = driver
         self.discovery = discovery
         self.began_s = time.monotonic()
-        self.down_s = state.down_s()
+        self.down_s = state.downtime_s()
         self.started_lately_until_s = self.began_s + RISEN_S
         self.verdict = Verdict(False, False, 0, 1, 0.0)
         self.stages = StageTracker(self.began_s)
--- a/switchline/fleet_runtime/recovery/overrides.py
+++ b/switchline/fleet_runtime/recovery/overrides.py
@@ -10,7 +10,7 @@
 from switchline.fleet.members import Members
 from switchline.fleet.node import Node
 from switchline.fleet.outage import RISEN_S
-from switchline.operators.overrides import OperatorOverrides
+from switchline.operators.overrides import OperatorOverrides, OverrideChange
 
 log = logging.getLogger(__name__)
 
@@ -41,22 +41,22 @@
                 continue
             self.taken |= {(kind, name) for name in newer}
             try:
-                overrides.recover(newer)
+                overrides.merge(newer)
             except OSError as error:
                 log.warning("what is out by hand, as others tell, can't be kept: %s", error)
 
     def _newer(
         self, kind: str, overrides: OperatorOverrides, facts: Facts, at_start: bool
-    ) -> dict[str, tuple[bool, float]]:
-        """By name: whether it is overridden, and since when (Unix milliseconds)."""
-        newer: dict[str, tuple[bool, float]] = {}
+    ) -> dict[str, OverrideChange]:
+        """The facts that are newer than what is known here, by name."""
+        newer: dict[str, OverrideChange] = {}
         now_s = time.monotonic()
         for (name, _), held in facts.of_kind(kind).items():
             is_set = held.entry.value == "down"
             is_due = at_start or self._came_late(held, now_s)
-            is_taken = is_due and (is_set or name in overrides.out)
-            if ((kind, name) in self.taken or is_taken) and held.entry.at > overrides.since(name):
-                newer[name] = is_set, held.entry.at
+            is_taken = is_due and (is_set or name in overrides.active)
+            if ((kind, name) in self.taken or is_taken) and held.entry.at > overrides.last_changed_ms(name):
+                newer[name] = OverrideChange(is_set, held.entry.at)
         return newer
 
     def _came_late(self, held: Held, now_s: float) -> bool:
--- a/switchline/fleet_runtime/recovery/spending.py
+++ b/switchline/fleet_runtime/recovery/spending.py
@@ -39,7 +39,7 @@
         if not self.can_answer:
             return None
         reports = gateway_status.spending(self.driver.gateway, now_ms(), MOST_SPENT)
-        return [Spent(one.key, one.plan, one.even, one.left) for one in reports]
+        return [Spent(one.customer, one.plan, one.even_share, one.remaining_units) for one in reports]
 
     async def ask_nearest(self, node: Node) -> None:
         """Ask the nearest gateways until all have answered, `TIMEOUT_S` at most."""
--- a/switchline/fleet_runtime/version_watch.py
+++ b/switchline/fleet_runtime/version_watch.py
@@ -88,7 +88,7 @@
             floors_of(self.overrides.names(OverrideKind.VERSION_FLOOR)),
         )
         self._set_behind(quarantine.kind)
-        if is_out == was_out or self.parts.clients.ending:
+        if is_out == was_out or self.parts.clients.shutting_down:
             return
         log.warning("%s: %s", "shut out" if is_out else "no more shut out", quarantine.why)
         self.trail.record("shut out" if is_out else "taken back", quarantine.kind, "", quarantine.why)
--- a/switchline/requests/arrivals.py
+++ b/switchline/requests/arrivals.py
@@ -33,7 +33,7 @@
             request_class=given[b"c"].decode(),
             plan=given.get(b"t", b"").decode(),
             customer=command.customer,
-            expires=command.came_at + self._patience_ms(command),
+            expires_ms=command.came_at + self._patience_ms(command),
             units=float(given.get(b"units", b"0")),
             spread=int(given.get(b"spread", b"1")),
             first=int(given.get(b"first", b"0")),
--- a/switchline/requests/attempts.py
+++ b/switchline/requests/attempts.py
@@ -67,7 +67,9 @@
         spent = request is not None and request.body_is_spent
         finished = request is None
         self.give(
-            api.AttemptEnded(request_id, number, backend, api.Outcome.IGNORED, 0.0, finished, spent=spent)
+            api.AttemptEnded(
+                request_id, number, backend, api.Outcome.IGNORED, 0.0, finished, body_discarded=spent
+            )
         )
 
     def cancel(self, request_id: str, number: int) -> None:
@@ -112,14 +114,14 @@
         if request.expiry_timer is not None:
             request.expiry_timer.cancel()
         response = request.response = StreamedResponse(self.buffers, length, request.slot.connection.pump)
-        request.slot.begin(response, partial(self._on_answer_passed, request))
+        request.slot.stream(response, partial(self._on_answer_passed, request))
         self.give(api.StreamedAnswerStarted(request.id, number))
         return response
 
     def _on_answer_passed(self, request: Request) -> None:
         """The client has been given the last byte of a long answer."""
         if self.requests.release(request.id) is not None:
-            self.metrics.ended(request.kind.name, OutcomeKind.SUCCEEDED)
+            self.metrics.count_outcome(request.kind.name, OutcomeKind.SUCCEEDED)
         if request.response is not None:
             request.response.drop()
         self.requests.drop_body(request)
--- a/switchline/requests/lifecycle.py
+++ b/switchline/requests/lifecycle.py
@@ -6,7 +6,7 @@
 from functools import partial
 
 from switchline.clients.commands import Command
-from switchline.clients.server import Slot
+from switchline.clients.slot import Slot
 from switchline.clock import now_ms
 from switchline.net.descriptors import Part
 from switchline.operators.metrics import OutcomeKind
@@ -54,7 +54,7 @@
         self.report.counts["requests taken"] += 1
         self.shares.take(event.customer)
         kind = self.reader.classes[event.request_class]
-        request = self.open[command.id] = Request(command, slot, kind, event.expires)
+        request = self.open[command.id] = Request(command, slot, kind, event.expires_ms)
         request.expiry_timer = self.timers.at(request.expires, partial(self._on_expired, request))
         self.give(event)
 
@@ -68,12 +68,12 @@
 
     def _refuse_crowded(self, kind: str, slot: Slot) -> None:
         """Refuse a request before the policy has seen it."""
-        self.metrics.ended(kind, OutcomeKind.DECLINED)
-        self.metrics.crowded += 1
+        self.metrics.count_outcome(kind, OutcomeKind.DECLINED)
+        self.metrics.rejected_for_capacity += 1
         self.report.counts["refused for room"] += 1
         slot.answer(b"-BUSY %d\r\n" % CROWDED_RETRY_AFTER_MS)
 
-    def on_whole(self, request_id: str) -> None:
+    def on_body_received(self, request_id: str) -> None:
         """A streamed body is complete: from now on its request is one as any other.
 
         Its client may count the time from its first byte or from its last. One that still sends has not given
@@ -107,7 +107,7 @@
         request = self.release(request_id)
         if request is None:
             return
-        self.metrics.ended(request.kind.name, OutcomeKind.ABORTED)
+        self.metrics.count_outcome(request.kind.name, OutcomeKind.ABORTED)
         if request.response is not None:
             request.response.drop()
         self.drop_body(request)
@@ -124,9 +124,9 @@
         request = self.release(request_id)
         if request is None:
             return
-        self.metrics.ended(request.kind.name, outcome)
+        self.metrics.count_outcome(request.kind.name, outcome)
         if request.response is not None:  # begun, and not to be finished
-            request.slot.cut(reply)
+            request.slot.abort_stream(reply)
             request.response.drop()
         else:
             request.slot.answer(reply)
--- a/switchline/requests/request.py
+++ b/switchline/requests/request.py
@@ -7,7 +7,7 @@
 
 from switchline.backends.attempt import Attempt
 from switchline.clients.commands import Command
-from switchline.clients.server import Slot
+from switchline.clients.slot import Slot
 from switchline.clock import Timer
 from switchline.net.streams import StreamedResponse
 from switchline.policy import interface as api
@@ -51,4 +51,4 @@
         """When a further attempt may begin at the latest: after a key's window it would run again."""
         if not self.sent_at or self.kind.effect is not api.Effect.KEYED:
             return math.inf
-        return min(self.sent_at.values()) + self.kind.repeat_window - REPEAT_MARGIN_MS
+        return min(self.sent_at.values()) + self.kind.repeat_window_ms - REPEAT_MARGIN_MS
--- a/switchline/service/audit_trail.py
+++ b/switchline/service/audit_trail.py
@@ -52,7 +52,7 @@
     def record(self, kind: str, subject: str = "", version: str = "", cause: str = "") -> None:
         """Record that a subject has another version, or (without one) an act that follows from a version."""
         if self.audit is not None:
-            self.audit.note(kind, subject, version, cause)
+            self.audit.record(kind, subject, version, cause)
 
     def record_config(self, cause: str) -> None:
         """Record the configuration in force, by its digest."""
--- a/switchline/service/calls/overrides.py
+++ b/switchline/service/calls/overrides.py
@@ -9,18 +9,18 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
+from switchline.operators.calls import DeferredReply, Reply
 from switchline.operators.overrides import OperatorOverrides, private_file
-from switchline.operators.server import Later, Said
 from switchline.service.audit_trail import AuditTrail
 from switchline.service.optional_fleet import OptionalFleet
 from switchline.service.parts import GatewayParts
 
 if TYPE_CHECKING:
-    from switchline.state.recovery import Recovery
+    from switchline.state.persistence import StatePersistence
 
 log = logging.getLogger(__name__)
 
-YES = Said(200, "yes\n")
+YES = Reply(200, "yes\n")
 
 Persist = Callable[[str, str, bool, float], object]  # kind, name, whether it is set, since when
 
@@ -77,7 +77,7 @@
     def names(self, kind: OverrideKind) -> dict[str, float]:
         """What is overridden now, and since when (Unix milliseconds)."""
         overrides = self.get(kind)
-        return overrides.out if overrides is not None else {}
+        return overrides.active if overrides is not None else {}
 
     def _on_changed(self, kind: OverrideKind, name: str, is_set: bool, since_ms: float) -> None:
         if kind is OverrideKind.BACKEND:
@@ -95,38 +95,42 @@
     """Answers operators' calls that set or clear an override, here or at all gateways of the fleet."""
 
     def __init__(
-        self, parts: GatewayParts, overrides: OverrideSet, recovery: Recovery | None, fleet: OptionalFleet
+        self,
+        parts: GatewayParts,
+        overrides: OverrideSet,
+        persistence: StatePersistence | None,
+        fleet: OptionalFleet,
     ) -> None:
         self.parts = parts
         self.overrides = overrides
-        self.recovery = recovery
+        self.persistence = persistence
         self.fleet = fleet
 
-    def call(self, kind: OverrideKind, is_set: bool, name: str, whole_fleet: bool) -> Said | Later:
+    def call(self, kind: OverrideKind, is_set: bool, name: str, whole_fleet: bool) -> Reply | DeferredReply:
         """Set or clear an override; where it is for the whole fleet, here first."""
         if whole_fleet and self.fleet.calls is None:
-            return Said(503, "there is no line to other gateways\n")
+            return Reply(503, "there is no line to other gateways\n")
         answer = self._call_here(kind, is_set, name)
         return self._call_everywhere(answer, kind, is_set, name) if whole_fleet else answer
 
     async def _call_everywhere(
-        self, answer: Said | Later, kind: OverrideKind, is_set: bool, name: str
-    ) -> Said:
-        here = answer if isinstance(answer, Said) else await answer
+        self, answer: Reply | DeferredReply, kind: OverrideKind, is_set: bool, name: str
+    ) -> Reply:
+        here = answer if isinstance(answer, Reply) else await answer
         if here is not YES or self.fleet.calls is None:
             return here
         from switchline.fleet.facts import FOR_ALL
 
-        return await self.fleet.calls.tell(FOR_ALL[kind.value], name, is_set)
+        return await self.fleet.calls.propagate(FOR_ALL[kind.value], name, is_set)
 
-    def _call_here(self, kind: OverrideKind, is_set: bool, name: str) -> Said | Later:
+    def _call_here(self, kind: OverrideKind, is_set: bool, name: str) -> Reply | DeferredReply:
         overrides = self.overrides.get(kind)
         if overrides is None:
-            return Said(404, "no such path\n")
-        if not (self._knows(kind, name) or name in overrides.out):
-            return Said(404, "no such name\n")
-        if self.recovery is not None:
-            return self._commit(self.recovery, kind, overrides, is_set, name)
+            return Reply(404, "no such path\n")
+        if not (self._knows(kind, name) or name in overrides.active):
+            return Reply(404, "no such name\n")
+        if self.persistence is not None:
+            return self._commit(self.persistence, kind, overrides, is_set, name)
         return self._set(overrides, is_set, name)
 
     def _knows(self, kind: OverrideKind, name: str) -> bool:
@@ -142,24 +146,29 @@
 
                 return bool(floors_of([name]))
 
-    def _set(self, overrides: OperatorOverrides, is_set: bool, name: str) -> Said:
+    def _set(self, overrides: OperatorOverrides, is_set: bool, name: str) -> Reply:
         try:
             overrides.set(name, is_set)
         except OSError as error:
             log.error("what is out by hand can't be written: %s", error)  # noqa: TRY400
             self.parts.descriptors.relieve(error)
-            return Said(503, "it could not be kept\n")
+            return Reply(503, "it could not be kept\n")
         return YES
 
     async def _commit(
-        self, recovery: Recovery, kind: OverrideKind, overrides: OperatorOverrides, is_set: bool, name: str
-    ) -> Said:
+        self,
+        persistence: StatePersistence,
+        kind: OverrideKind,
+        overrides: OperatorOverrides,
+        is_set: bool,
+        name: str,
+    ) -> Reply:
         """Answer yes once the override is on disk."""
-        if not is_set and name not in overrides.out:
+        if not is_set and name not in overrides.active:
             return YES  # calls may be repeated
-        if not await recovery.commit_hand(kind.value, name, is_set):
-            return Said(503, "it could not be kept on disk\n")
+        if not await persistence.commit_override(kind.value, name, is_set):
+            return Reply(503, "it could not be kept on disk\n")
         answer = self._set(overrides, is_set, name)
         if answer is not YES:
-            recovery.take_back(kind.value, name)
+            persistence.revert_override(kind.value, name)
         return answer
--- a/switchline/service/calls/routes.py
+++ b/switchline/service/calls/routes.py
@@ -4,24 +4,24 @@
 
 from functools import partial
 
-from switchline.operators.server import Calls, Said
+from switchline.operators.calls import OperatorCalls, Reply
 from switchline.service.calls.overrides import YES, OverrideCalls, OverrideKind
 from switchline.service.calls.status import ServiceStatus
 from switchline.service.drain import ClientIntake
 
 
-def operator_routes(status: ServiceStatus, overrides: OverrideCalls, intake: ClientIntake) -> Calls:
+def operator_routes(status: ServiceStatus, overrides: OverrideCalls, intake: ClientIntake) -> OperatorCalls:
     """The operators' calls by path."""
 
-    def start_drain() -> Said:
+    def start_drain() -> Reply:
         intake.start_drain()
         return YES
 
-    def stop_drain() -> Said:
-        return YES if intake.stop_drain() else Said(503, "this process is about to end\n")
+    def stop_drain() -> Reply:
+        return YES if intake.stop_drain() else Reply(503, "this process is about to end\n")
 
     override = overrides.call
-    return Calls(
+    return OperatorCalls(
         gets={
             "/ops/readiness": status.readiness,
             "/ops/stats": status.stats,
--- a/switchline/service/drain.py
+++ b/switchline/service/drain.py
@@ -39,25 +39,25 @@
         """Send clients away until `stop_drain`, by an operator's call."""
         self.drained_by_operator = True
         log.info("an operator sends clients away")
-        self.clients.leave(NOTICE_S)
+        self.clients.drain(NOTICE_S)
 
     def stop_drain(self) -> bool:
         """Take clients again; False where this process is about to end."""
-        if self.clients.ending:
+        if self.clients.shutting_down:
             return False
         self.drained_by_operator = False
         log.info("an operator has clients come back")
-        self.clients.stay()
+        self.clients.undrain()
         return True
 
     def begin_quarantine(self) -> None:
         """Send clients away while this gateway is in quarantine."""
-        self.clients.leave(NOTICE_S)
+        self.clients.drain(NOTICE_S)
 
     def end_quarantine(self) -> None:
         """Take clients again, unless an operator or the end of the process forbids it."""
-        if not (self.drained_by_operator or self.clients.ending):
-            self.clients.stay()
+        if not (self.drained_by_operator or self.clients.shutting_down):
+            self.clients.undrain()
 
 
 class FinalDrain:
@@ -73,10 +73,10 @@
         parts, clients = self.parts, self.parts.clients
         log.info("draining")
         self.trail.record("ending", "", "", "SIGTERM")
-        parts.guard.call("leaving the fleet", self.fleet.leave, not clients.handed)
+        parts.guard.call("leaving the fleet", self.fleet.leave, not clients.handed_over)
         abort_at = parts.loop.time() + self.longest_drain_s()
-        clients.end(NOTICE_S)
-        if not clients.handed:
+        clients.shut_down(NOTICE_S)
+        if not clients.handed_over:
             await asyncio.sleep(NOTICE_S)
         clients.stop_accepting()
         try:
@@ -97,5 +97,5 @@
     def longest_drain_s(self) -> float:
         """Seconds after SIGTERM until what is still open is ended, before SIGKILL would lose it."""
         classes = self.parts.config.settings.classes
-        longest_ms = max((kind.deadline for kind in classes), default=math.inf)
+        longest_ms = max((kind.deadline_ms for kind in classes), default=math.inf)
         return min(longest_ms / 1000, LONGEST_DEADLINE_S) + KILL_MARGIN_S - ABORT_BEFORE_KILL_S
--- a/switchline/service/driver.py
+++ b/switchline/service/driver.py
@@ -184,7 +184,7 @@
     def _reject(self, action: api.Reject) -> None:
         self.report.counts["refused for " + action.reason] += 1
         self.withheld += action.reason == RECOVERY_RAMP_REASON
-        retry_after_ms = math.ceil(action.retry_after)
+        retry_after_ms = math.ceil(action.retry_after_ms)
         reply = b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms > 0 else REFUSED
         self.requests.finish(action.request, reply, OutcomeKind.DECLINED)
 
@@ -192,7 +192,7 @@
         if self.counter is None:
             self.give(api.CounterReplied(action.name, api.Outcome.CONNECT, 0.0))
         else:
-            self.counter.add(action.name, action.amount, action.expire_in, self._on_counted)
+            self.counter.add(action.name, action.amount, action.expires_in_ms, self._on_counted)
 
     def _on_counted(self, name: str, outcome: api.Outcome, reading: float) -> None:
         self.report.counts["counter " + outcome.value] += 1
--- a/switchline/service/parts.py
+++ b/switchline/service/parts.py
@@ -69,7 +69,7 @@
         config = self.config
         if not config.counter:
             return None
-        wait = config.settings.count_wait
+        wait = config.settings.counter_call_ms
         return Counter(self.loop, self.timers, config.counter, wait, self.descriptors)
 
     def _make_discovery(self) -> Discovery:
@@ -80,7 +80,7 @@
             known = read_list(config.known)
             version = known.version
             self.driver.apply_list(api.ListScope.SAVED, known.members)
-        spread_s = asks_apart(config.settings.gateways) if config.settings.must_ask_for_list else 0.0
+        spread_s = asks_apart(config.settings.gateways) if config.settings.must_follow_list else 0.0
         rng = random.Random(config.seed)
         return Discovery(config.discovery, version, self._on_list, rng, self.descriptors, spread_s)
 
--- a/switchline/service/service.py
+++ b/switchline/service/service.py
@@ -39,7 +39,7 @@
 
 if TYPE_CHECKING:
     from switchline.fleet_runtime.membership import FleetMembership
-    from switchline.state.recovery import Recovery
+    from switchline.state.persistence import StatePersistence
 
 log = logging.getLogger(__name__)
 
@@ -52,33 +52,35 @@
 
     def __init__(self, config: Config, stop: asyncio.Event) -> None:
         """`stop` is set when this process is to end."""
-        self.parts = GatewayParts(config, lambda message: self.upgrade.handover.tell(message))
+        self.parts = GatewayParts(config, lambda message: self.upgrade.handover.send(message))
         self.trail = AuditTrail(self.parts)
         self.overrides = OverrideSet(self.parts, self.trail)
-        self.recovery = self._make_recovery()
+        self.persistence = self._make_persistence()
         self.intake = ClientIntake(self.parts)
         self.fleet = OptionalFleet(self.parts, self._make_membership)
-        self.status = ServiceStatus(self.parts, self.trail, self.recovery, self.fleet)
-        override_calls = OverrideCalls(self.parts, self.overrides, self.recovery, self.fleet)
+        self.status = ServiceStatus(self.parts, self.trail, self.persistence, self.fleet)
+        override_calls = OverrideCalls(self.parts, self.overrides, self.persistence, self.fleet)
         routes = operator_routes(self.status, override_calls, self.intake)
         self.operators = OperatorServer(routes, self.parts.descriptors)
-        self.upgrade = ProcessUpgrade(self.parts, self.fleet, self.recovery, stop)
+        self.upgrade = ProcessUpgrade(self.parts, self.fleet, self.persistence, stop)
         self.reload = ConfigReload(self.parts, self.trail, self.fleet)
         self.drain = FinalDrain(self.parts, self.trail, self.fleet)
         self.parts.driver.report.states = self.status.report_counts
 
-    def _make_recovery(self) -> Recovery | None:
+    def _make_persistence(self) -> StatePersistence | None:
         """What restores and keeps the state on disk, with `state` in the configuration."""
         config, parts = self.parts.config, self.parts
         if config.state is None:
             return None
-        from switchline.state.recovery import Recovery
+        from switchline.state.persistence import StatePersistence
 
-        recovery = Recovery(config.state, config.name, parts.driver, parts.discovery, self.overrides.by_name)
-        self.overrides.persist = recovery.keep_hand
+        persistence = StatePersistence(
+            config.state, config.name, parts.driver, parts.discovery, self.overrides.by_name
+        )
+        self.overrides.persist = persistence.save_override
         if config.known:
-            recovery.keep_list(config.known)
-        return recovery
+            persistence.save_list(config.known)
+        return persistence
 
     def _make_membership(self) -> FleetMembership:
         """Import and create the membership of a fleet."""
@@ -89,15 +91,15 @@
             self.trail,
             self.overrides,
             self.intake,
-            self.recovery,
+            self.persistence,
             took_over=lambda: self.upgrade.took_over,
         )
 
     async def load(self) -> None:
         """Read the state on disk, if there is any; the list in it may be newer than the configured one."""
         self.trail.begin()
-        if self.recovery is not None:
-            await self.recovery.load()
+        if self.persistence is not None:
+            await self.persistence.load()
             self.fleet.prepare_recovery()
 
     async def open(self) -> int:
@@ -110,9 +112,9 @@
         gc.collect()
         gc.freeze()  # what was loaded stays: no pause to look at it again
         log.info("%s serves at %s:%d", self.parts.config.name, self.parts.config.listen[0], port)
-        self.upgrade.handover.serving()
-        if self.recovery is not None and took_over:
-            self.recovery.take_files()
+        self.upgrade.handover.announce_serving()
+        if self.persistence is not None and took_over:
+            self.persistence.acquire()
         await self.upgrade.handover.listen()
         await self.fleet.join()
         return port
@@ -132,9 +134,9 @@
         """Restore what is known from the fleet and the disk, and open the operators' address."""
         await self.fleet.query_before_clients(took_over)
         fleet_recovery = self.fleet.recovery
-        if self.recovery is not None:
+        if self.persistence is not None:
             is_current = fleet_recovery is None or not fleet_recovery.verdict.old
-            await self.recovery.restore(took_over, is_current)
+            await self.persistence.restore(took_over, is_current)
         if self.parts.config.operator is not None:
             self.operators.listen_soon(self.parts.config.operator)
         if fleet_recovery is not None and not took_over:
@@ -154,7 +156,7 @@
         guard.call("closing the operators' address", self.operators.close)
         self.parts.close_clients()
         self.parts.close_upstreams()
-        if self.recovery is not None:
-            guard.call("closing the state on disk", self.recovery.close)
+        if self.persistence is not None:
+            guard.call("closing the state on disk", self.persistence.close)
         self.trail.close()
         guard.call("closing the spare descriptor", self.parts.descriptors.close)
--- a/switchline/service/upgrade.py
+++ b/switchline/service/upgrade.py
@@ -17,10 +17,10 @@
 from switchline.policy import interface as api
 from switchline.service.optional_fleet import OptionalFleet
 from switchline.service.parts import GatewayParts
-from switchline.upgrade.handover import HOLDS, UpgradeHandover
+from switchline.upgrade.handover import HandoverEvents, UpgradeHandover
 
 if TYPE_CHECKING:
-    from switchline.state.recovery import Recovery
+    from switchline.state.persistence import StatePersistence
 
 log = logging.getLogger(__name__)
 
@@ -32,20 +32,26 @@
     """Owns the hand-over between this process and the peer process of its gateway."""
 
     def __init__(
-        self, parts: GatewayParts, fleet: OptionalFleet, recovery: Recovery | None, stop: asyncio.Event
+        self,
+        parts: GatewayParts,
+        fleet: OptionalFleet,
+        persistence: StatePersistence | None,
+        stop: asyncio.Event,
     ) -> None:
         """`stop` is set once this process has handed over and nothing is open on it."""
         self.parts = parts
         self.fleet = fleet
-        self.recovery = recovery
+        self.persistence = persistence
         self.stop = stop
         self.handover = UpgradeHandover(
             private_file(parts.config.name, SOCKET_FILE),
-            came=partial(parts.driver.give, api.PeerProcessJoined()),
-            heard=lambda message: parts.driver.give(api.PeerProcessMessage(message)),
-            handed=self._hand_over,
-            left=self._take_back,
-            holds=self._set_peer_descriptors,
+            HandoverEvents(
+                joined=partial(parts.driver.give, api.PeerProcessJoined()),
+                record_received=lambda record: parts.driver.give(api.PeerProcessMessage(record)),
+                serving=self._hand_over,
+                left=self._take_back,
+                descriptors_reported=self._set_peer_descriptors,
+            ),
         )
         self._emptying: asyncio.Task[None] | None = None
         self._joining: asyncio.Task[None] | None = None
@@ -53,7 +59,7 @@
     @property
     def took_over(self) -> bool:
         """Whether this process has taken over from an older one."""
-        return self.handover.told.is_set()
+        return self.handover.state_received.is_set()
 
     def _hand_over(self) -> None:
         """The new process takes clients: what is open here ends, and then this process does."""
@@ -61,15 +67,15 @@
         self.parts.clients.hand_over()
         self.parts.descriptors.freeze()
         self.fleet.leave(announce=False)  # the new process has this name now
-        if self.recovery is not None:
-            self.recovery.hand_over()
+        if self.persistence is not None:
+            self.persistence.release()
         if self._emptying is None:
             self._emptying = self.parts.loop.create_task(self._empty())
 
     async def _empty(self) -> None:
         """Report the descriptors held here until nothing is open, and then end the process."""
         while self.parts.clients.holds_clients or self.parts.driver.requests.open:
-            self.handover.tell([HOLDS, self.parts.descriptors.total])
+            self.handover.report_descriptors(self.parts.descriptors.total)
             await asyncio.sleep(DESCRIPTOR_REPORT_INTERVAL_S)
         self.stop.set()
 
@@ -83,8 +89,8 @@
         self._emptying = None
         self.parts.descriptors.unfreeze()
         self.parts.clients.take_back()
-        if self.recovery is not None:
-            self.recovery.take_files()
+        if self.persistence is not None:
+            self.persistence.acquire()
         self._joining = self.parts.loop.create_task(self.fleet.join())
 
     def _set_peer_descriptors(self, held: int) -> None:
