--- a/switchline/discovery/client.py
+++ b/switchline/discovery/client.py
@@ -1,105 +1,51 @@
-"""The list of backends: reading it and watching it for changes."""
+"""Following the endpoint list: calls to discovery, one after another, and the changes they bring."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import hashlib
 import logging
 import math
 import random
-from collections.abc import AsyncGenerator, Callable
-from dataclasses import dataclass
+from collections.abc import Callable
 from typing import Any
 
 import h11
 
 from switchline.clock import now_ms
-from switchline.config import Address, parse_address
+from switchline.config import Address
+from switchline.discovery.call import CallEvent, Ended, Opened, Received, call
+from switchline.discovery.endpoint_list import DiscoveryError, Member, read_list
+from switchline.discovery.poll_schedule import PollSchedule
 from switchline.net.descriptors import FIXED_PARTS, Budget, Part
-from switchline.net.json_stream import JsonStream, StreamError
-from switchline.policy.interface import BackendEntry, BackendState, ListScope
+from switchline.net.json_stream import StreamError
+from switchline.policy.interface import ListScope
 
 log = logging.getLogger(__name__)
 
-PATH = "/catalog/members"
-# A change counts as told 6 s after discovery had it, whatever became of calls meanwhile. So a silence, a call
-# that is silent as well and the whole list from the one after it must fit into that time together.
-SILENT_S = 2.6  # an empty line comes every 2 s
-ANSWER_S = 1.0  # from the opening of a call to the head of its answer
-BACKOFF_S = (0.1, 0.5)  # the first wait before a new call, and the longest
-MOST_CALLS = FIXED_PARTS[Part.DISCOVERY]  # open at once
-SPREAD = 0.5  # of a wait, either way
-# A list that has to be asked for comes from one service of a fixed pace for all gateways. Danger: a fleet
-# that asks at once, or again in step, fills its line with asks given up, and nobody is told anything.
-ASKS_AT_ONCE, ASKS_PER_S = 4, 4.0  # of the whole fleet
-MOST_APART_S = 1.0  # that asks are spread over, however large the fleet: more would not fit into the 6 s
-LONGEST_OBJECT = 1024 * 1024  # bytes: a list of thousands of backends, yet little beside any memory limit
-READ_BYTES = 65_536
-STATES = {"up": BackendState.READY, "draining": BackendState.DRAINING, "removed": BackendState.GONE}
-
-
-class DiscoveryError(Exception):
-    """Discovery said what it should not."""
-
-
-@dataclass(frozen=True, slots=True)
-class Member:
-    entry: BackendEntry
-    address: Address
-
-
-@dataclass(frozen=True, slots=True)
-class MemberList:
-    version: int
-    whole: bool
-    members: tuple[Member, ...]
-
+# A change is due 6 s after discovery had it, whatever became of calls meanwhile (TERMS). So a silence, a call
+# that is silent as well and the complete list from the one after it must fit into that time together.
+SILENCE_LIMIT_S = 2.6  # an empty line comes every 2 s
+ANSWER_LIMIT_S = 1.0  # from the opening of a call to the head of its answer
+MAX_CALLS = FIXED_PARTS[Part.DISCOVERY]  # open at once
 
 Listener = Callable[[ListScope, tuple[Member, ...]], None]
 
 
-def asks_apart(gateways: int) -> float:
-    """Seconds that the asks of all gateways are spread over: none in a small fleet."""
-    return min(MOST_APART_S, max(0, gateways - ASKS_AT_ONCE) / ASKS_PER_S)
-
-
-def host_number(host: str) -> int:
-    """A number for a host's name: the same at every gateway and after every start."""
-    return int.from_bytes(hashlib.blake2b(host.encode(), digest_size=8).digest(), "big")
-
-
-def read_member(raw: dict[str, Any]) -> Member:
-    started = float(raw.get("born_ms") or 0)
-    if not math.isfinite(started):
-        raise ValueError("born_ms")
-    entry = BackendEntry(
-        backend=host_number(raw["host"]),
-        zone=str(raw.get("site") or ""),
-        cell=int(raw.get("block") or 0),
-        started_ms=started,
-        state=STATES[raw["health"]],
-    )
-    return Member(entry, parse_address(raw["dial"]))
+class OpenCall:
+    """A call that is open.
 
+    Args:
+        silent_from_s: on the event loop's clock, when it counts as silent unless something arrives before.
+    """
 
-def read_list(raw: Any) -> MemberList:
-    try:
-        members = tuple(read_member(host) for host in raw.get("hosts") or ())
-        return MemberList(int(raw["seq"]), bool(raw.get("whole")), members)
-    except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-        raise DiscoveryError(f"{type(error).__name__}: {error}") from error
-
-
-class Call:
-    """One HTTP call to discovery: a watch, or the whole list."""
-
-    def __init__(self, silent_from: float) -> None:
-        self.silent_from = silent_from  # on the event loop's clock: unless something comes before
-        self.told = False  # it has said something beyond the head of its answer
+    def __init__(self, silent_from_s: float) -> None:
+        self.silent_from_s = silent_from_s
+        self.has_content = False  # something beyond the head of its answer has arrived
         self.task: asyncio.Task[None] | None = None
 
     def close(self) -> None:
+        """Cancel the call."""
         if self.task is not None:
             self.task.cancel()
 
@@ -107,8 +53,24 @@
 class Discovery:
     """Follows the list from a version on and reports each change.
 
-    A call that falls silent is not closed at once: discovery may be down, and answers what it has been asked
-    as soon as it is back. Another call is opened beside it, and the first to speak is followed from then on.
+    A call that falls silent is not closed at once: discovery may be down, and answers what it was asked as
+    soon as it is back. Another call is opened beside it, and the first to bring something is followed from
+    then on.
+
+    Args:
+        address: of discovery.
+        version: of the list that this gateway has; None if it has none.
+        listener: called with each change.
+        chance: the gateway's random numbers.
+        budget: of descriptors.
+        spread_s: that the polls of the fleet are spread over; 0: a poll costs nobody anything.
+
+    Attributes:
+        held_until: monotonic milliseconds until which the list was known to be valid.
+        heard: set once something has arrived.
+        took: called after each change that was accepted.
+        keep: called with each list or change that was accepted, as discovery sent it.
+        weigh: called with each list or change before it is accepted; returns what is accepted of it, or None.
     """
 
     def __init__(
@@ -118,188 +80,155 @@
         listener: Listener,
         chance: random.Random,
         budget: Budget,
-        apart: float = 0.0,
+        spread_s: float = 0.0,
     ) -> None:
-        self.address, self.version, self.listener, self.chance = address, version, listener, chance
+        self.address = address
+        self.version = version
+        self.listener = listener
         self.budget = budget
-        self.apart = apart  # seconds that the fleet's asks are spread over; 0: an ask costs nobody anything
-        self.wait, self.moved = BACKOFF_S[0], False  # moved: the platform expects its news to be taken soon
-        self.first_wait = chance.uniform(0, apart) if version is not None else 0.0
-        self.calls: list[Call] = []  # that are open, the oldest first
-        self.ended: Call | None = None  # the newest one, if it has ended by itself
-        self.turned = asyncio.Event()  # a call has ended, another one is followed, or all shall begin anew
-        self.heard = asyncio.Event()  # it has told something
-        self.held_until = -math.inf  # by `now_ms`: the list as it was known held until then
-        self.took: Callable[[], None] = lambda: None  # another list holds
-        self.keep: Callable[[dict[str, Any]], None] = lambda raw: None  # of what it told, as it was told
-        self.weigh: Callable[[dict[str, Any]], dict[str, Any] | None] = lambda raw: raw  # None: not believed
+        self.schedule = PollSchedule(chance, spread_s)
+        self.first_wait = self.schedule.first_delay_s() if version is not None else 0.0
+        self.held_until = -math.inf
+        self.heard = asyncio.Event()
+        self.took: Callable[[], None] = lambda: None
+        self.keep: Callable[[dict[str, Any]], None] = lambda raw: None
+        self.weigh: Callable[[dict[str, Any]], dict[str, Any] | None] = lambda raw: raw
+        self.calls: list[OpenCall] = []  # the oldest first
+        self._ended: OpenCall | None = None  # the newest call, if it has ended by itself
+        self._wake = asyncio.Event()  # a call has ended, another one is followed, or all shall begin anew
 
     def move(self, address: Address) -> None:
-        """Follow the list at another address, from the version it has."""
+        """Follow the list at another address, from the version that this gateway has."""
         if address != self.address:
             log.info("discovery moves to %s:%d", *address)
-            self.address, self.moved = address, True
+            self.address = address
+            self.schedule.make_urgent()
             self._close_calls()
 
     def anew(self) -> None:
-        """What is known did not come from here alone: read everything again."""
+        """Read the complete list again: what is known did not come from discovery alone."""
         self.version = None
         self._close_calls()
 
     async def run(self) -> None:
         """Follow the list until this is cancelled."""
         try:
-            await self._rest(self.first_wait)
+            await self._pause(self.first_wait)
             while True:
                 if not self._is_followed():
                     self._open()
-                ended = await self._until_needed()
+                ended = await self._wait_until_call_is_needed()
                 if ended is not None:
-                    await self._rest(self.pause(ended.told))
-                elif self.apart:
-                    await self._rest(self.pause(heard=True))
+                    await self._pause(self.schedule.next_delay_s(ended.has_content))
+                elif self.schedule.spread_s:
+                    await self._pause(self.schedule.next_delay_s(received=True))
         finally:
             self._close_calls()
 
-    def pause(self, heard: bool) -> float:
-        """Seconds until the next call, after one that told something or did not."""
-        self.wait = BACKOFF_S[0] if heard else min(BACKOFF_S[1], self.wait * 2)
-        apart, self.moved = 0.0 if self.moved else self.apart, False
-        return max(self.wait, apart) * self.chance.uniform(1 - SPREAD, 1 + SPREAD)
-
-    async def _rest(self, seconds: float) -> None:
+    async def _pause(self, seconds: float) -> None:
         """Wait, unless all shall begin anew meanwhile."""
-        self.turned.clear()
+        self._wake.clear()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
-                await self.turned.wait()
+                await self._wake.wait()
 
     def _is_followed(self) -> bool:
         """Whether there is a call that is worth waiting for."""
-        return bool(self.calls) and self.calls[-1].silent_from > asyncio.get_running_loop().time()
+        return bool(self.calls) and self.calls[-1].silent_from_s > asyncio.get_running_loop().time()
 
-    async def _until_needed(self) -> Call | None:
-        """Wait until another call has to be opened; gives the one that ended, if that is why."""
-        while self._is_followed() and self.ended is None:
-            self.turned.clear()
+    async def _wait_until_call_is_needed(self) -> OpenCall | None:
+        """Wait until another call has to be opened; return the one that ended, if that is why."""
+        while self._is_followed() and self._ended is None:
+            self._wake.clear()
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout_at(self.calls[-1].silent_from):
-                    await self.turned.wait()
-        ended, self.ended = self.ended, None
+                async with asyncio.timeout_at(self.calls[-1].silent_from_s):
+                    await self._wake.wait()
+        ended = self._ended
+        self._ended = None
         return ended
 
     # ---- calls ----
 
     def _open(self) -> None:
         """Open a call; of those that are silent the oldest gives way."""
-        while len(self.calls) >= MOST_CALLS:
+        while len(self.calls) >= MAX_CALLS:
             self._drop(self.calls[0])
         loop = asyncio.get_running_loop()
-        call = Call(loop.time() + (SILENT_S if self.apart else ANSWER_S))
-        self.calls.append(call)
-        call.task = loop.create_task(self._follow(call))
+        limit_s = SILENCE_LIMIT_S if self.schedule.spread_s else ANSWER_LIMIT_S
+        opened = OpenCall(loop.time() + limit_s)
+        self.calls.append(opened)
+        opened.task = loop.create_task(self._follow(opened))
 
-    def _drop(self, call: Call) -> None:
-        self.calls.remove(call)
-        call.close()
+    def _drop(self, dropped: OpenCall) -> None:
+        self.calls.remove(dropped)
+        dropped.close()
 
     def _close_calls(self) -> None:
-        for call in list(self.calls):
-            self._drop(call)
-        self.turned.set()
-
-    def _speaks(self, call: Call) -> None:
-        """Something of its answer has come."""
-        call.silent_from = asyncio.get_running_loop().time() + SILENT_S
-
-    def _is_first(self, call: Call) -> None:
-        """It is the first of the calls to tell something: it is followed, and no other is needed."""
-        call.told = True
-        for other in [one for one in self.calls if one is not call]:
+        for open_call in list(self.calls):
+            self._drop(open_call)
+        self._wake.set()
+
+    def _drop_others(self, followed: OpenCall) -> None:
+        """Follow the first of the calls that brings something; no other is needed."""
+        followed.has_content = True
+        for other in [one for one in self.calls if one is not followed]:
             self._drop(other)
-            self.turned.set()
+            self._wake.set()
 
-    async def _follow(self, call: Call) -> None:
+    async def _follow(self, followed: OpenCall) -> None:
         """Read a call's answer to its end, whatever that is."""
         try:
-            async with contextlib.aclosing(self._objects(call)) as objects:
-                async for raw in objects:
-                    self._take(raw)
+            async with contextlib.aclosing(call(self.address, self.version, self.budget)) as events:
+                async for event in events:
+                    self._on_event(followed, event)
             reason = "ended"
         except (OSError, h11.ProtocolError, DiscoveryError, StreamError) as error:
             if isinstance(error, OSError):
                 self.budget.relieve(error)
             reason = " ".join(str(error).split()) or type(error).__name__
-        except Exception:
-            # Without a watch the list goes stale and drains are missed, so it goes on whatever came.
+        except Exception:  # without a watch the list goes stale and drains are missed, so it goes on
             log.exception("a change could not be taken")
-            reason, self.version = "failed", None
-        if call in self.calls:
+            reason = "failed"
+            self.version = None
+        if followed in self.calls:
             log.info("watch %s", reason)
-            self.ended = call if call is self.calls[-1] else None
-            self.calls.remove(call)
-            self.turned.set()
-
-    def _target(self) -> str:
-        # With no version known, the whole list comes first.
-        return PATH if self.version is None else f"{PATH}?stream=1&index={self.version}"
-
-    def _take(self, raw: Any) -> None:
+            self._ended = followed if followed is self.calls[-1] else None
+            self.calls.remove(followed)
+            self._wake.set()
+
+    def _on_event(self, followed: OpenCall, event: CallEvent) -> None:
+        if isinstance(event, Opened):
+            log.info("watch open from %s on", self.version)
+        if isinstance(event, Opened | Received):
+            followed.silent_from_s = asyncio.get_running_loop().time() + SILENCE_LIMIT_S
+        if isinstance(event, Received) and event.has_content:
+            self._drop_others(followed)
+        if isinstance(event, Received | Ended):
+            for raw in event.lists:
+                self._accept(raw)
+        if isinstance(event, Received) and event.is_heartbeat and self.version is not None:
+            self.held_until = now_ms()
+
+    # ---- changes ----
+
+    def _accept(self, raw: Any) -> None:
         try:
-            got = read_list(raw)
+            received = read_list(raw)
         except DiscoveryError:
             self.version = None  # what this change held is not known: read everything again
             raise
-        if not got.whole and self.version is not None and got.version < self.version:
-            self.version = None  # discovery counts anew, or tells what is long over
-            raise DiscoveryError(f"a change of an older list, {got.version}")
-        if (weighed := self.weigh(raw)) is None:
+        if not received.whole and self.version is not None and received.version < self.version:
+            self.version = None  # discovery counts anew, or repeats what is long over
+            raise DiscoveryError(f"a change of an older list, {received.version}")
+        accepted = self.weigh(raw)
+        if accepted is None:
             raise DiscoveryError("its list is held back")
-        if weighed is not raw:
-            raw, got = weighed, read_list(weighed)
-        if got.whole or got.members:
-            self.listener(ListScope.FULL if got.whole else ListScope.CHANGES, got.members)
-        self.version, self.held_until = got.version, now_ms()
-        self.keep(raw)
+        if accepted is not raw:
+            received = read_list(accepted)
+        if received.whole or received.members:
+            self.listener(ListScope.FULL if received.whole else ListScope.CHANGES, received.members)
+        self.version = received.version
+        self.held_until = now_ms()
+        self.keep(accepted)
         self.took()
         self.heard.set()
-
-    async def _objects(self, call: Call) -> AsyncGenerator[Any, None]:
-        """The objects of a call's answer as they come."""
-        reader, writer = await asyncio.open_connection(*self.address)
-        self.budget.acquire(Part.DISCOVERY)
-        try:
-            http = h11.Connection(h11.CLIENT)
-            writer.write(self._encoded_request(http))
-            stream = JsonStream(LONGEST_OBJECT)
-            while True:
-                event = http.next_event()
-                if event is h11.NEED_DATA:
-                    http.receive_data(await reader.read(READ_BYTES))
-                elif isinstance(event, h11.Response):
-                    if event.status_code != 200:
-                        raise DiscoveryError(f"status {event.status_code}")
-                    log.info("watch open from %s on", self.version)
-                    self._speaks(call)
-                elif isinstance(event, h11.Data):
-                    self._speaks(call)
-                    objects = stream.feed(event.data)
-                    if objects or not stream.unfinished:
-                        self._is_first(call)
-                    for raw in objects:
-                        yield raw
-                    if not objects and not stream.unfinished and self.version is not None:
-                        self.held_until = now_ms()  # an empty line: nothing has changed
-                elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
-                    for raw in stream.finish():
-                        yield raw
-                    return
-        finally:
-            writer.close()
-            self.budget.release(Part.DISCOVERY)
-
-    def _encoded_request(self, http: h11.Connection) -> bytes:
-        host, port = self.address
-        headers = [("Host", f"{host}:{port}"), ("Accept", "application/json")]
-        request = h11.Request(method="GET", target=self._target(), headers=headers)
-        return (http.send(request) or b"") + (http.send(h11.EndOfMessage()) or b"")
--- a/switchline/fleet_runtime/list_repair.py
+++ b/switchline/fleet_runtime/list_repair.py
@@ -11,7 +11,8 @@
 import time
 
 from switchline.audit.recorder import AuditCallback
-from switchline.discovery.client import Discovery, DiscoveryError, read_list
+from switchline.discovery.client import Discovery
+from switchline.discovery.endpoint_list import DiscoveryError, read_list
 from switchline.fleet.messages import LIST, Exchange, Listed
 from switchline.fleet.staleness import StaleList, agreed, leaves_none, number, seq_of
 from switchline.fleet_runtime.transport import Peers
--- a/switchline/fleet_runtime/recovery.py
+++ b/switchline/fleet_runtime/recovery.py
@@ -18,7 +18,8 @@
 
 from switchline.audit.recorder import AuditCallback
 from switchline.clock import now_ms
-from switchline.discovery.client import Discovery, DiscoveryError, read_list
+from switchline.discovery.client import Discovery
+from switchline.discovery.endpoint_list import DiscoveryError, read_list
 from switchline.fleet.members import Members
 from switchline.fleet.messages import LIST, MOST_HOSTS, MOST_SPENT, SPENDING, Exchange, HostRow, Listed, Spent
 from switchline.fleet.outage import RISEN, RISEN_S, UNKNOWN, Verdict, judge, read_down
--- a/switchline/service/driver.py
+++ b/switchline/service/driver.py
@@ -17,7 +17,7 @@
 from switchline.clients.slot import Slot
 from switchline.clock import Timer, Timers, now_ms
 from switchline.counter.client import Counter
-from switchline.discovery.client import Member, host_number
+from switchline.discovery.endpoint_list import Member, host_number
 from switchline.guard import Invariant
 from switchline.net.descriptors import Part
 from switchline.net.streams import BufferBudget, StreamedResponse
--- a/switchline/service/program.py
+++ b/switchline/service/program.py
@@ -15,7 +15,7 @@
 import uvloop
 
 from switchline.config import Config, ConfigError, load_config
-from switchline.discovery.client import DiscoveryError
+from switchline.discovery.endpoint_list import DiscoveryError
 from switchline.net.listen import ListenError
 from switchline.service.service import Service
 
--- a/switchline/service/service.py
+++ b/switchline/service/service.py
@@ -19,7 +19,9 @@
 from switchline.clock import Timers, now_ms
 from switchline.config import Config
 from switchline.counter.client import Counter
-from switchline.discovery.client import Discovery, Member, asks_apart, read_list
+from switchline.discovery.client import Discovery
+from switchline.discovery.endpoint_list import Member, read_list
+from switchline.discovery.poll_schedule import poll_spread_s
 from switchline.guard import Guard
 from switchline.net.descriptors import FLEET_DESCRIPTORS, PROCESS_DESCRIPTORS, STATE_DESCRIPTORS, Budget
 from switchline.net.listen import inherited_listener, listen_with_retries
@@ -109,7 +111,7 @@
             known = read_list(config.known)
             version = known.version
             self.driver.members(api.ListScope.SAVED, known.members)
-        apart = asks_apart(config.settings.gateways) if config.settings.must_follow_list else 0.0
+        apart = poll_spread_s(config.settings.gateways) if config.settings.must_follow_list else 0.0
         chance = random.Random(config.seed)
         self.discovery = Discovery(config.discovery, version, self.on_list, chance, self.budget, apart)
         self.audit: Audit | None = None  # the versions acted on, with `fleet` or `audit`
--- a/switchline/state/restore.py
+++ b/switchline/state/restore.py
@@ -11,7 +11,8 @@
 from typing import Any
 
 from switchline.clock import now_ms
-from switchline.discovery.client import Discovery, DiscoveryError, read_list
+from switchline.discovery.client import Discovery
+from switchline.discovery.endpoint_list import DiscoveryError, read_list
 from switchline.operators.overrides import OperatorOverrides, OverrideChange
 from switchline.policy import interface as api
 from switchline.service.driver import Driver
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -11,7 +11,9 @@
 import pytest
 
 from switchline.discovery import client as module
-from switchline.discovery.client import DiscoveryError, Member, host_number, read_list
+from switchline.discovery import poll_schedule
+from switchline.discovery.endpoint_list import DiscoveryError, Member, host_number, read_list
+from switchline.discovery.poll_schedule import MAX_SPREAD_S, poll_spread_s
 from switchline.net.descriptors import Budget
 from switchline.policy.interface import BackendState, ListScope
 from testbed.network.sockets import LOCAL, reset, until
@@ -93,7 +95,7 @@
 
 def test_a_silent_watch_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     """A cut off machine says nothing, and the list would stay as it was for ever."""
-    monkeypatch.setattr(module, "SILENT_S", 0.05)
+    monkeypatch.setattr(module, "SILENCE_LIMIT_S", 0.05)
 
     async def scenario() -> None:
         async with Watch() as watch:
@@ -202,48 +204,55 @@
 def asks_a_second(gateways: int, seconds: int) -> list[int]:
     """What a fleet asks in each second that starts at once and is refused throughout."""
     asked = [0] * seconds
-    apart = module.asks_apart(gateways)
+    apart = poll_spread_s(gateways)
     for index in range(gateways):
         chance = random.Random(index)
         client = module.Discovery((LOCAL, 1), 41, lambda *_: None, chance, Budget(256), apart)
         now = client.first_wait
         while now < seconds:
             asked[int(now)] += 1
-            now += client.pause(heard=False)
+            now += client.schedule.next_delay_s(received=False)
     return asked
 
 
 def test_a_fleet_that_starts_at_once_spreads_its_asks() -> None:
     """Danger: 40 gateways ask in step, discovery answers none in time, and all keep their old lists."""
     asked = asks_a_second(40, 60)
-    assert max(asked) <= 40 / module.MOST_APART_S * 1.5  # never all of them in one second
-    assert min(asked) >= 40 / module.MOST_APART_S / 2  # nor is any time left unused
+    assert max(asked) <= 40 / MAX_SPREAD_S * 1.5  # never all of them in one second
+    assert min(asked) >= 40 / MAX_SPREAD_S / 2  # nor is any time left unused
 
 
 @pytest.mark.parametrize("gateways", [3, 40, 2_000])
 def test_no_gateway_waits_with_its_next_ask_for_longer_than_the_news_may_take(gateways: int) -> None:
     """A change counts as told 6 s after discovery had it, also after a call that failed or fell silent."""
     for seed in range(20):
-        apart = module.asks_apart(gateways)
+        apart = poll_spread_s(gateways)
         client = module.Discovery((LOCAL, 1), 41, lambda *_: None, random.Random(seed), Budget(256), apart)
-        waits = [client.first_wait, *(client.pause(heard=False) for _ in range(10))]
-        assert module.SILENT_S + max(waits) + module.ANSWER_S <= TOLD_S - 0.5
+        waits = [client.first_wait, *(client.schedule.next_delay_s(received=False) for _ in range(10))]
+        assert module.SILENCE_LIMIT_S + max(waits) + module.ANSWER_LIMIT_S <= TOLD_S - 0.5
         if not apart:  # where an ask costs nothing, the next call may be silent as well
-            assert module.SILENT_S + 2 * module.ANSWER_S + max(waits) <= TOLD_S - 0.5
+            assert module.SILENCE_LIMIT_S + 2 * module.ANSWER_LIMIT_S + max(waits) <= TOLD_S - 0.5
 
 
 def test_a_small_fleet_asks_at_once() -> None:
     assert asks_a_second(3, 1)[0] >= 3
     chance = random.Random(1)
-    client = module.Discovery((LOCAL, 1), 41, lambda *_: None, chance, Budget(256), module.asks_apart(3))
-    assert client.first_wait == 0 and max(client.pause(heard=False) for _ in range(20)) <= 1.5
+    client = module.Discovery((LOCAL, 1), 41, lambda *_: None, chance, Budget(256), poll_spread_s(3))
+    assert (
+        client.first_wait == 0 and max(client.schedule.next_delay_s(received=False) for _ in range(20)) <= 1.5
+    )
 
 
 def test_after_a_move_of_discovery_even_a_large_fleet_asks_soon() -> None:
     chance = random.Random(1)
-    client = module.Discovery((LOCAL, 1), 41, lambda *_: None, chance, Budget(256), module.asks_apart(40))
+    client = module.Discovery((LOCAL, 1), 41, lambda *_: None, chance, Budget(256), poll_spread_s(40))
     client.move((LOCAL, 2))
-    assert client.pause(heard=True) <= 0.2 < module.MOST_APART_S / 2 <= client.pause(heard=False)
+    assert (
+        client.schedule.next_delay_s(received=True)
+        <= 0.2
+        < MAX_SPREAD_S / 2
+        <= client.schedule.next_delay_s(received=False)
+    )
 
 
 class Agent(Discovery):
@@ -312,8 +321,8 @@
 
 @pytest.fixture
 def hasty(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "SILENT_S", 0.05)
-    monkeypatch.setattr(module, "ANSWER_S", 0.05)
+    monkeypatch.setattr(module, "SILENCE_LIMIT_S", 0.05)
+    monkeypatch.setattr(module, "ANSWER_LIMIT_S", 0.05)
 
 
 @pytest.mark.usefixtures("hasty")
@@ -360,7 +369,7 @@
         agent = watch.service = Agent(down)
         async with watch:
             await watch.watched(4)
-            assert len(watch.client.calls) == module.MOST_CALLS
+            assert len(watch.client.calls) == module.MAX_CALLS
             open_before = len(agent.requests)
             back.set()
             await until(lambda: watch.heard)
@@ -371,7 +380,7 @@
 
 
 def test_of_two_calls_the_first_to_tell_something_is_followed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "ANSWER_S", 0.05)
+    monkeypatch.setattr(module, "ANSWER_LIMIT_S", 0.05)
 
     async def scenario() -> None:
         watch = Watch()
@@ -406,7 +415,8 @@
 def test_a_move_is_followed_at_once_whatever_the_call_is_at(
     first: Script, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(module, "BACKOFF_S", (60.0, 60.0))  # nor is the wait for another call sat out
+    monkeypatch.setattr(poll_schedule, "FIRST_BACKOFF_S", 60.0)  # nor is the wait for another call sat out
+    monkeypatch.setattr(poll_schedule, "MAX_BACKOFF_S", 60.0)
 
     async def scenario() -> None:
         watch, new = Watch(), Agent(tells)
