--- a/switchline/fleet_runtime/list_repair.py
+++ b/switchline/fleet_runtime/list_repair.py
@@ -10,7 +10,8 @@
 import random
 import time
 
-from switchline.discovery.client import Discovery, DiscoveryError, MemberList, read_list
+from switchline.discovery.client import Discovery
+from switchline.discovery.endpoint_list import DiscoveryError, MemberList, read_list
 from switchline.fleet.messages import LIST, Exchange, Listed
 from switchline.fleet.node import Node
 from switchline.fleet.staleness import StaleList, agreed, leaves_none, number, seq_of
--- a/switchline/fleet_runtime/recovery/backend_list.py
+++ b/switchline/fleet_runtime/recovery/backend_list.py
@@ -11,7 +11,8 @@
 import time
 from typing import Any
 
-from switchline.discovery.client import Discovery, DiscoveryError, MemberList, read_list
+from switchline.discovery.client import Discovery
+from switchline.discovery.endpoint_list import DiscoveryError, MemberList, read_list
 from switchline.fleet.messages import MOST_HOSTS, HostRow, Listed
 from switchline.fleet.staleness import bound_by, leaves_none, seq_of
 from switchline.policy import interface as api
--- a/switchline/fleet_runtime/recovery/coordinator.py
+++ b/switchline/fleet_runtime/recovery/coordinator.py
@@ -3,7 +3,7 @@
 Before clients: operators' overrides, the newest list, and, where the own disk is lost or old, what customers
 have spent. Then it may turn out that the whole fleet lost power: service returns in stages (`stages.py`).
 Each wait is bounded. Only with both `fleet` and `state`. The table of what is trusted is in
-docs/power-loss.md.
+docs/recovery.md.
 """
 
 from __future__ import annotations
--- a/switchline/service/driver.py
+++ b/switchline/service/driver.py
@@ -18,7 +18,7 @@
 from switchline.backends.pool import BackendPool
 from switchline.clock import Timers, now_ms
 from switchline.counter.client import Counter
-from switchline.discovery.client import Member, host_number
+from switchline.discovery.endpoint_list import Member, host_number
 from switchline.net.streams import BufferBudget
 from switchline.operators.metrics import Metrics, OutcomeKind
 from switchline.policy import Gateway, gateway_status
--- a/switchline/service/parts.py
+++ b/switchline/service/parts.py
@@ -12,7 +12,9 @@
 from switchline.clock import Timers
 from switchline.config import Config
 from switchline.counter.client import Counter
-from switchline.discovery.client import Discovery, Member, asks_apart, read_list
+from switchline.discovery.client import Discovery
+from switchline.discovery.endpoint_list import Member, read_list
+from switchline.discovery.poll_schedule import poll_spread_s
 from switchline.guard import Guard
 from switchline.net.descriptors import FLEET_DESCRIPTORS, PROCESS_DESCRIPTORS, STATE_DESCRIPTORS, Budget
 from switchline.net.streams import BufferBudget
@@ -80,7 +82,7 @@
             known = read_list(config.known)
             version = known.version
             self.driver.apply_list(api.ListScope.SAVED, known.members)
-        spread_s = asks_apart(config.settings.gateways) if config.settings.must_follow_list else 0.0
+        spread_s = poll_spread_s(config.settings.gateways) if config.settings.must_follow_list else 0.0
         rng = random.Random(config.seed)
         return Discovery(config.discovery, version, self._on_list, rng, self.descriptors, spread_s)
 
--- a/switchline/service/program.py
+++ b/switchline/service/program.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 
 from switchline.config import Config, ConfigError, load_config
-from switchline.discovery.client import DiscoveryError
+from switchline.discovery.endpoint_list import DiscoveryError
 from switchline.net.listen import ListenError
 from switchline.service.event_loop import run_in_loop
 from switchline.service.service import Service
--- a/switchline/state/restore.py
+++ b/switchline/state/restore.py
@@ -11,7 +11,8 @@
 from typing import Any
 
 from switchline.clock import now_ms
-from switchline.discovery.client import Discovery, DiscoveryError, read_list
+from switchline.discovery.client import Discovery
+from switchline.discovery.endpoint_list import DiscoveryError, read_list
 from switchline.operators.overrides import OperatorOverrides, OverrideChange
 from switchline.policy import interface as api
 from switchline.service.driver import Driver
@@ -53,6 +54,16 @@
     return max(0.0, now_ms() - saved.last_alive_ms) / 1000
 
 
+def encode_override(change: OverrideChange) -> dict[str, Any]:
+    """Return the record of an operator's call."""
+    return {"out": change.active, "at": change.at_ms}
+
+
+def decode_override(value: Any) -> OverrideChange:
+    """Return the operator's call of a record; raises KeyError, TypeError or ValueError for any other."""
+    return OverrideChange(bool(value["out"]), float(value["at"]))
+
+
 class StateRestorer:
     """Gives the parts of a saved state to their owners, and counts them.
 
@@ -114,11 +125,9 @@
         changes: dict[str, OverrideChange] = {}
         for record in saved.of_kind(kind):
             try:
-                change = OverrideChange(bool(record.value["out"]), float(record.value["at"]))
+                changes[record.name] = decode_override(record.value)
             except (KeyError, TypeError, ValueError):
                 self.dropped += 1
-            else:
-                changes[record.name] = change
         return changes
 
     def zone_decisions(self, saved: SavedState) -> dict[str, ZoneDecision] | None:
