--- a/switchline/fleet_runtime/incarnation.py
+++ b/switchline/fleet_runtime/incarnation.py
@@ -7,6 +7,7 @@
 import random
 from pathlib import Path
 
+from switchline import log_events
 from switchline.clock import now_ms
 from switchline.fleet.messages import Incarnation
 
@@ -29,7 +30,7 @@
         try:
             _write(path, number)
         except OSError as error:
-            log.warning("the life of this process can't be kept: %s", error)
+            log.warning(log_events.INCARNATION_NOT_STORED, error)
     return number, rng.getrandbits(RANDOM_BITS)
 
 
--- a/switchline/fleet_runtime/list_repair.py
+++ b/switchline/fleet_runtime/list_repair.py
@@ -10,6 +10,7 @@
 import random
 import time
 
+from switchline import log_events
 from switchline.discovery.client import Discovery
 from switchline.discovery.endpoint_list import DiscoveryError, MemberList, read_list
 from switchline.fleet.messages import LIST, Exchange, Listed
@@ -47,13 +48,13 @@
         self.record: RecordVersion = record_nothing
         self._stale = StaleList()
         self._applied: set[tuple[str, str]] = set()  # hosts and their health, by others' lists
-        self._ask_at_s = 0.0
+        self._next_request_s = 0.0
 
     def own_number(self) -> int:
         """The number of the own agent's list; -1 where there is none."""
         return seq_of(self.discovery.version)
 
-    def look(self, node: Node) -> None:
+    def tick(self, node: Node) -> None:
         """Called now and then: compare the own list with the others', and ask for newer ones."""
         now_s = time.monotonic()
         if self.own_number() >= self.repaired_to and self._applied:
@@ -61,28 +62,28 @@
         numbers = {name: number(node.facts.value("list", "", name)) for name in node.members.present}
         is_behind = self._stale.look(now_s, self.own_number(), numbers.values())
         self._set_behind(is_behind and not node.members.minority, numbers, node)
-        if self.is_behind and now_s >= self._ask_at_s:
-            self._ask(node, numbers, now_s)
+        if self.is_behind and now_s >= self._next_request_s:
+            self._request_lists(node, numbers, now_s)
 
     def _set_behind(self, is_behind: bool, numbers: dict[str, int | None], node: Node) -> None:
         own = self.own_number()
         if is_behind and not self.is_behind:
             newest = max((seq for seq in numbers.values() if seq is not None), default=-1)
-            log.warning("the list here is behind: %d, most have a newer one, up to %d", own, newest)
+            log.warning(log_events.LIST_BEHIND, own, newest)
             self.record("behind", "list", str(own), f"most have a newer one, up to {newest}")
         if self.is_behind and not is_behind:
-            log.info("the list here is level again: %d", own)
+            log.info(log_events.LIST_LEVEL, own)
             self.record("level", "list", str(own), "its agent tells as much as the others'")
             self.lists.clear()
             node.wants &= ~LIST
         self.is_behind = is_behind
 
-    def _ask(self, node: Node, numbers: dict[str, int | None], now_s: float) -> None:
+    def _request_lists(self, node: Node, numbers: dict[str, int | None], now_s: float) -> None:
         """Ask some of the gateways that have a newer list for it."""
         level = max(self.own_number(), self.repaired_to)
         newer = [name for name, seq in numbers.items() if seq is not None and seq > level]
         if newer:
-            self._ask_at_s = now_s + REQUEST_INTERVAL_S
+            self._next_request_s = now_s + REQUEST_INTERVAL_S
             node.wants |= LIST
             node.list_seq = self.own_number()
             some = self.rng.sample(sorted(newer), min(GATEWAYS_ASKED, len(newer)))
@@ -118,7 +119,7 @@
         self.hosts += len(changes)
         named = ", ".join(f"{host['host']} {host['health']}" for host in changes[:MAX_LOGGED_HOSTS])
         senders = ", ".join(sorted(self.lists))
-        log.warning("brought up to list %d by %s: %s", self.repaired_to, senders, named)
+        log.warning(log_events.LIST_REPAIRED, self.repaired_to, senders, named)
         self.record("brought up", "list", str(self.repaired_to), f"by {senders}: {named}")
         self.driver.apply_list(api.ListScope.CHANGES, found.members)
 
@@ -126,7 +127,7 @@
         try:
             return read_list({"seq": self.repaired_to, "whole": False, "hosts": changes})
         except DiscoveryError as error:
-            log.warning("others' list is left out: %s", error)
+            log.warning(log_events.PEER_LIST_REJECTED, error)
             return None
 
     def gauges(self) -> dict[str, int]:
--- a/switchline/fleet_runtime/membership.py
+++ b/switchline/fleet_runtime/membership.py
@@ -4,6 +4,7 @@
 
 import random
 from collections.abc import Callable, Iterator
+from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
 from switchline.clock import now_ms
@@ -28,22 +29,15 @@
     from switchline.state.persistence import StatePersistence
 
 
-class MembershipParts:
+@dataclass(frozen=True, slots=True)
+class ActiveMember:
     """What exists only while this gateway is a member."""
 
-    def __init__(
-        self,
-        transport: GossipTransport,
-        calls: FleetCalls,
-        zones: ZoneCoordinator,
-        divergence: DivergenceWatch,
-        quarantine: QuarantineControl,
-    ) -> None:
-        self.transport = transport
-        self.calls = calls
-        self.zones = zones
-        self.divergence = divergence
-        self.quarantine = quarantine
+    transport: GossipTransport
+    calls: FleetCalls
+    zones: ZoneCoordinator
+    divergence: DivergenceWatch
+    quarantine: QuarantineControl
 
 
 class FleetMembership:
@@ -66,7 +60,7 @@
         self.state = state
         self.took_over = took_over
         self.own_facts = OwnFacts(parts, trail, overrides)
-        self.member: MembershipParts | None = None
+        self.member: ActiveMember | None = None
         self.recovery: FleetRecovery | None = None
         self.list_repair: ListRepair | None = None
 
@@ -82,7 +76,8 @@
         from switchline.fleet_runtime.list_repair import ListRepair
         from switchline.fleet_runtime.recovery.coordinator import FleetRecovery
 
-        parts, settings = self.parts, self.parts.config.settings
+        parts = self.parts
+        settings = parts.config.settings
         self.recovery = FleetRecovery(
             self.overrides.by_name, self.state, parts.driver, parts.discovery, settings.index
         )
@@ -110,7 +105,7 @@
         self.member = self._make_member(link)
         await self.member.transport.open()
 
-    def _make_member(self, link: FleetLink) -> MembershipParts:
+    def _make_member(self, link: FleetLink) -> ActiveMember:
         config = self.parts.config
         rng = random.Random(f"{config.seed} line")
         incarnation = next_incarnation(config.state, rng)
@@ -131,16 +126,17 @@
             zones.keep = self.state.save_zone_decision
         node.told = self._on_fact
         node.learned = self._on_exchange
-        transport.on_published = self._look
+        transport.on_published = self._tick
         divergence = DivergenceWatch(self.parts, self.trail)
         quarantine = QuarantineControl(
             self.parts, self.trail, self.overrides, self.intake, link.quarantine_after_s
         )
-        return MembershipParts(transport, calls, zones, divergence, quarantine)
+        return ActiveMember(transport, calls, zones, divergence, quarantine)
 
     def leave(self, announce: bool) -> None:
         """Be a member no more. `announce`: this gateway ends, and not only this process."""
-        member, self.member = self.member, None
+        member = self.member
+        self.member = None
         if member is None:
             return
         if announce:
@@ -162,20 +158,20 @@
             yield from self.recovery.facts()
         yield from self.own_facts.about_overrides()
 
-    def _look(self) -> None:
+    def _tick(self) -> None:
         """Called each time after this gateway's facts have been published."""
         member = self.member
         if member is not None:
             member.calls.tick()
         if self.recovery is not None:
-            self.recovery.look()
+            self.recovery.tick()
         takes_clients = self.parts.clients.takes_clients
         if member is not None:
             node = member.transport.node
-            member.divergence.look(node)
+            member.divergence.tick(node)
             if self.list_repair is not None and (takes_clients or member.quarantine.is_out):
-                self.list_repair.look(node)
-                member.quarantine.look(node, self.list_repair)
+                self.list_repair.tick(node)
+                member.quarantine.tick(node, self.list_repair)
         self.trail.record("ready", "", "yes" if self.parts.clients.takes_clients else "no")
 
     def _on_fact(self, entry: Entry) -> None:
@@ -201,15 +197,15 @@
             gauges |= member.zones.gauges() | member.divergence.gauges() | member.quarantine.gauges()
         return gauges
 
-    def shown(self) -> dict[str, object] | None:
+    def describe(self) -> dict[str, object] | None:
         """The fleet as this gateway sees it; None while it is no member."""
         member = self.member
         if member is None:
             return None
         transport = member.transport
-        now_s, wall_ms = self.parts.loop.time(), now_ms()
-        shown = describe_fleet(transport.node, transport.link.fleet, now_s, wall_ms)
+        fleet = transport.link.fleet
+        described = describe_fleet(transport.node, fleet, self.parts.loop.time(), now_ms())
         if self.recovery is not None:
-            shown["recovery"] = self.recovery.shown()
-        shown["zones"] = member.zones.shown()
-        return shown
+            described["recovery"] = self.recovery.describe()
+        described["zones"] = member.zones.shown()
+        return described
--- a/switchline/fleet_runtime/recovery/backend_list.py
+++ b/switchline/fleet_runtime/recovery/backend_list.py
@@ -11,6 +11,7 @@
 import time
 from typing import Any
 
+from switchline import log_events
 from switchline.discovery.client import Discovery
 from switchline.discovery.endpoint_list import DiscoveryError, MemberList, read_list
 from switchline.fleet.messages import MOST_HOSTS, HostRow, Listed
@@ -42,7 +43,8 @@
 
     def newer_than(self, number: int) -> Listed | None:
         """The list here, for a gateway that asks with the number of its own; None where it is no newer."""
-        hosts, version = self.state.saved_hosts(), self.discovery.version
+        hosts = self.state.saved_hosts()
+        version = self.discovery.version
         if hosts is None or version is None or version <= number or len(hosts) > MOST_HOSTS:
             return None
         return Listed(version, [_host_message(host) for host in hosts])
@@ -58,14 +60,16 @@
         Its addresses are those that the other gateway reaches backends by. Discovery is asked for its whole
         list then, as its changes would not undo an error of the other gateway.
         """
-        newer, own, number = self.newest, self.state.saved_hosts(), seq_of(self.discovery.version)
+        newer = self.newest
+        own = self.state.saved_hosts()
+        number = seq_of(self.discovery.version)
         if newer is None or own is None or newer.seq <= number:
             return
         changes = list(bound_by(own, newer))
         found = self._read(newer.seq, changes)
         if found is None or leaves_none(own, changes):
             return
-        log.info("recovery: another gateway's list is newer: %d, here %d", newer.seq, number)
+        log.info(log_events.PEER_LIST_NEWER, newer.seq, number)
         self.record("brought up", "list", str(newer.seq), "at the start, by another gateway's list")
         self.hosts = len(found.members)
         self.driver.apply_list(api.ListScope.CHANGES, found.members)
@@ -76,7 +80,7 @@
             return read_list({"seq": number, "whole": False, "hosts": changes})
         except DiscoveryError as error:
             self.rejected += 1
-            log.info("recovery: another gateway's list is left out: %s", error)
+            log.info(log_events.PEER_LIST_UNREADABLE, error)
             return None
 
     def filter_doubtful(self, raw: dict[str, Any]) -> dict[str, Any] | None:
@@ -92,15 +96,13 @@
         if not behind or not own or time.monotonic() >= self.doubt_until_s:
             return raw
         if not self.is_withheld:
-            log.warning(
-                "discovery's list of %d hosts is held back: %s, here %s", len(hosts), raw["seq"], known
-            )
+            log.warning(log_events.DISCOVERY_WITHHELD, len(hosts), raw["seq"], known)
         self.is_withheld = True
         drained = {str(host["host"]) for host in hosts if host["health"] == "draining"}
         changes = [host | {"health": "draining"} for host in own if host["host"] in drained]
         return {"seq": known, "whole": False, "hosts": changes} if hosts else None
 
-    def look(self, now_s: float) -> None:
+    def tick(self, now_s: float) -> None:
         """Once the doubt is over, ask discovery anew for what was withheld."""
         if self.is_withheld and now_s >= self.doubt_until_s:
             self.is_withheld = False
--- a/switchline/fleet_runtime/recovery/coordinator.py
+++ b/switchline/fleet_runtime/recovery/coordinator.py
@@ -14,6 +14,7 @@
 import time
 from collections.abc import Iterator, Mapping
 
+from switchline import log_events
 from switchline.clock import now_ms
 from switchline.discovery.client import Discovery
 from switchline.fleet.messages import LIST, Exchange
@@ -105,16 +106,16 @@
         node.wants = 0
         self._set_waited()
         log.info(
-            "recovery: heard %d other gateways in %d ms; of them come %d that are out by hand, %d of a list",
+            log_events.PEERS_QUERIED,
             len(node.exchanged_with),
             self.waited_ms,
-            len(self.overrides.taken),
+            len(self.overrides.adopted),
             self.backend_list.hosts,
         )
 
     async def _wait_for_exchanges(self, node: Node, has_seeds: bool) -> None:
         """Wait until enough of the others have sent their whole state, `QUERY_TIMEOUT_S` at most."""
-        ask_at_s = self.began_s
+        next_request_s = self.began_s
         while (left_s := self.began_s + QUERY_TIMEOUT_S - time.monotonic()) > 0:
             others = len(node.members.here())
             if others and len(node.exchanged_with) >= min(ENOUGH_EXCHANGES, others):
@@ -122,8 +123,8 @@
                 return
             if not (others or has_seeds):
                 return
-            if time.monotonic() >= ask_at_s:
-                ask_at_s = time.monotonic() + REQUEST_INTERVAL_S
+            if time.monotonic() >= next_request_s:
+                next_request_s = time.monotonic() + REQUEST_INTERVAL_S
                 node.ask_more(ENOUGH_EXCHANGES - 1)
             await asyncio.sleep(min(POLL_INTERVAL_S, left_s))
 
@@ -133,7 +134,7 @@
         if self._node is not None and (math.isnan(self.down_s) or self.verdict.old):
             why = "it is older than the others'" if self.verdict.old else "it tells of no earlier life"
             self.stages.enter(Stage.SPENDING, f"the disk can't be relied on: {why}")
-            await self.spending.ask_nearest(self._node)
+            await self.spending.request_from_nearest(self._node)
         self.spending.waiting_for.clear()
         self._set_waited()
         if self.verdict.common:
@@ -150,16 +151,16 @@
         self.backend_list.offer(exchange.listed)
         self.spending.on_exchange(exchange)
 
-    def look(self) -> None:
+    def tick(self) -> None:
         """Called now and then: follow the others' overrides, and the stages."""
         now_s = time.monotonic()
         if self._node is not None:
             self.overrides.adopt(self._node)
-        self.backend_list.look(now_s)
+        self.backend_list.tick(now_s)
         if self.stages.stage is Stage.WARMING_UP:
             if now_ms() >= self.driver.gateway.recovery_ramp.until:
-                took_s = self.stages.elapsed_s()
-                why = f"the backends have had their slow start, {took_s:.1f} s after"
+                elapsed_s = self.stages.elapsed_s()
+                why = f"the backends have had their slow start, {elapsed_s:.1f} s after"
                 self.stages.enter(Stage.COMPLETE, why)
         elif self.stages.stage is Stage.COMPLETE and self._started_lately() and not self.verdict.common:
             verdict = self._judge()
@@ -171,8 +172,8 @@
         """Whether the fleet lost power, by what its members publish."""
         if self._node is None:
             return self.verdict
-        members, facts = self._node.members, self._node.facts
-        others = [read_down(facts.value(RISEN, "", name)) for name in members.present]
+        facts = self._node.facts
+        others = [read_down(facts.value(RISEN, "", name)) for name in self._node.members.present]
         return judge(self.down_s if self._started_lately() else None, others)
 
     def _begin_warm_up(self) -> None:
@@ -184,17 +185,17 @@
 
     def gauges(self) -> dict[str, int]:
         """Metrics of the recovery."""
-        taken = len(self.overrides.taken) + self.backend_list.hosts + self.spending.customers
+        recovered = len(self.overrides.adopted) + self.backend_list.hosts + self.spending.customers
         return {
             "recovery.stage": int(self.stages.stage),
             "recovery.waiting_for": len(self.spending.waiting_for),
             "recovery.from_disk": self.state.restored,
-            "recovery.from_peers": taken,
+            "recovery.from_peers": recovered,
             "recovery.withheld": self.driver.withheld,
             "recovery.waited_ms": self.waited_ms,
         }
 
-    def shown(self) -> dict[str, object]:
+    def describe(self) -> dict[str, object]:
         """For `GET /ops/fleet`."""
         verdict = self.verdict
         return {
@@ -207,7 +208,7 @@
             "down_s": None if math.isnan(self.down_s) else round(self.down_s, 1),
             "waiting_for": sorted(self.spending.waiting_for),
             "from_disk": self.state.restored,
-            "bans": len(self.overrides.taken),
+            "bans": len(self.overrides.adopted),
             "hosts": self.backend_list.hosts,
             "customers": self.spending.customers,
             "spoilt": self.backend_list.rejected,
--- a/switchline/fleet_runtime/recovery/overrides.py
+++ b/switchline/fleet_runtime/recovery/overrides.py
@@ -1,4 +1,4 @@
-"""Operator overrides after a start: those that other gateways publish are taken over, and followed."""
+"""Operator overrides after a start: those that other gateways publish are adopted, and followed."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 import time
 from collections.abc import Mapping
 
+from switchline import log_events
 from switchline.fleet.facts import Facts, Held
 from switchline.fleet.members import Members
 from switchline.fleet.node import Node
@@ -24,26 +25,26 @@
     def __init__(self, overrides: Mapping[str, OperatorOverrides]) -> None:
         """`overrides` by the kind of their facts."""
         self.overrides = overrides
-        self.taken: set[tuple[str, str]] = set()  # kind and name
-        # Members met in this incarnation: until when an override from before their start is taken over.
-        self._met_until_s: dict[str, float] = {}
+        self.adopted: set[tuple[str, str]] = set()  # kind and name
+        # Members first seen in this incarnation: until when an override from before their start is adopted.
+        self._observed_until_s: dict[str, float] = {}
 
     def adopt(self, node: Node, at_start: bool = False) -> None:
         """Follow the newest facts on what came from others.
 
-        `at_start`: take over all that is overridden elsewhere. What a gateway that is met late brings from
-        before its start (by its own clock) is taken over too.
+        `at_start`: adopt all that is overridden elsewhere. What a member that is first seen later brings from
+        before its start (by its own clock) is adopted too.
         """
         self._note_members(node.members)
         for kind, overrides in self.overrides.items():
             newer = self._newer(kind, overrides, node.facts, at_start)
             if not newer:
                 continue
-            self.taken |= {(kind, name) for name in newer}
+            self.adopted |= {(kind, name) for name in newer}
             try:
                 overrides.merge(newer)
             except OSError as error:
-                log.warning("what is out by hand, as others tell, can't be kept: %s", error)
+                log.warning(log_events.PEER_OVERRIDES_NOT_STORED, error)
 
     def _newer(
         self, kind: str, overrides: OperatorOverrides, facts: Facts, at_start: bool
@@ -53,18 +54,20 @@
         now_s = time.monotonic()
         for (name, _), held in facts.of_kind(kind).items():
             is_set = held.entry.value == "down"
-            is_due = at_start or self._came_late(held, now_s)
-            is_taken = is_due and (is_set or name in overrides.active)
-            if ((kind, name) in self.taken or is_taken) and held.entry.at > overrides.last_changed_ms(name):
+            is_due = at_start or self._arrived_late(held, now_s)
+            is_adopted = is_due and (is_set or name in overrides.active)
+            if ((kind, name) in self.adopted or is_adopted) and held.entry.at > overrides.last_changed_ms(
+                name
+            ):
                 newer[name] = OverrideChange(is_set, held.entry.at)
         return newer
 
-    def _came_late(self, held: Held, now_s: float) -> bool:
+    def _arrived_late(self, held: Held, now_s: float) -> bool:
         entry = held.entry
-        return entry.at <= entry.life[0] and now_s < self._met_until_s.get(entry.origin, 0.0)
+        return entry.at <= entry.life[0] and now_s < self._observed_until_s.get(entry.origin, 0.0)
 
     def _note_members(self, members: Members) -> None:
-        """Who is met for the first time was not there to be asked at this gateway's start."""
+        """A member that is seen for the first time was not there to be queried at this gateway's start."""
         until_s = time.monotonic() + RISEN_S
-        known = {name: at for name, at in self._met_until_s.items() if name in members.others}
-        self._met_until_s = known | {name: until_s for name in members.present.keys() - known.keys()}
+        known = {name: at for name, at in self._observed_until_s.items() if name in members.others}
+        self._observed_until_s = known | {name: until_s for name in members.present.keys() - known.keys()}
--- a/switchline/fleet_runtime/recovery/spending.py
+++ b/switchline/fleet_runtime/recovery/spending.py
@@ -6,6 +6,7 @@
 import logging
 import time
 
+from switchline import log_events
 from switchline.clock import now_ms
 from switchline.config import Address
 from switchline.fleet.messages import MOST_SPENT, SPENDING, Exchange, Spent
@@ -19,7 +20,7 @@
 TIMEOUT_S = 1.0
 POLL_INTERVAL_S = 0.02
 REQUEST_INTERVAL_S = 0.15
-ASKED_AT_ONCE = 2
+REQUESTS_AT_ONCE = 2
 NEAREST = 6  # as the gateways of one customer are neighbours
 
 
@@ -41,22 +42,22 @@
         reports = gateway_status.spending(self.driver.gateway, now_ms(), MOST_SPENT)
         return [Spent(one.customer, one.plan, one.even_share, one.remaining_units) for one in reports]
 
-    async def ask_nearest(self, node: Node) -> None:
+    async def request_from_nearest(self, node: Node) -> None:
         """Ask the nearest gateways until all have answered, `TIMEOUT_S` at most."""
         ends_s = time.monotonic() + TIMEOUT_S
-        ask_at_s = 0.0
+        next_request_s = 0.0
         node.wants = SPENDING
         addresses = self._nearest(node)
         self.waiting_for = set(addresses)
         while self.waiting_for and time.monotonic() < ends_s:
-            if time.monotonic() >= ask_at_s:
-                ask_at_s = time.monotonic() + REQUEST_INTERVAL_S
-                node.ask_of([addresses[name] for name in sorted(self.waiting_for)][:ASKED_AT_ONCE])
+            if time.monotonic() >= next_request_s:
+                next_request_s = time.monotonic() + REQUEST_INTERVAL_S
+                node.ask_of([addresses[name] for name in sorted(self.waiting_for)][:REQUESTS_AT_ONCE])
             await asyncio.sleep(POLL_INTERVAL_S)
         node.wants = 0
-        log.info("recovery: %d customers' spending came from others", self.customers)
+        log.info(log_events.SPENDING_RECEIVED, self.customers)
         if self.waiting_for:
-            log.info("recovery: no word of spending from %s", ", ".join(sorted(self.waiting_for)))
+            log.info(log_events.SPENDING_MISSING, ", ".join(sorted(self.waiting_for)))
 
     def _nearest(self, node: Node) -> dict[str, Address]:
         """Names and addresses of the gateways whose places are nearest, around the ring of all."""
--- a/switchline/fleet_runtime/recovery/stages.py
+++ b/switchline/fleet_runtime/recovery/stages.py
@@ -6,6 +6,7 @@
 import time
 from enum import IntEnum
 
+from switchline import log_events
 from switchline.service.audit_trail import RecordVersion, record_nothing
 
 log = logging.getLogger(__name__)
@@ -59,7 +60,7 @@
             raise StageError(f"{stage.name} can't follow {self.stage.name}")
         self.stage = stage
         self.since_s = time.monotonic()
-        log.info("recovery: stage %s: %s", stage.label, why)
+        log.info(log_events.STAGE_ENTERED, stage.label, why)
         self.record("stage", "", stage.label, why)
 
     def skip(self) -> None:
--- a/switchline/fleet_runtime/transport.py
+++ b/switchline/fleet_runtime/transport.py
@@ -13,6 +13,7 @@
 from dataclasses import dataclass
 from typing import Any, cast
 
+from switchline import log_events
 from switchline.clock import now_ms
 from switchline.config import FleetLink
 from switchline.fleet.facts import TooMuch
@@ -103,7 +104,7 @@
             await self.loop.create_datagram_endpoint(lambda: self, local_addr=self.link.listen)
         except OSError as error:
             log.error(  # noqa: TRY400
-                "the line to other gateways can't listen at %s:%d: %s", host, port, error
+                log_events.GOSSIP_NOT_LISTENING, host, port, error
             )
             self._exchanges.stop_listening()
             if not self._closed:
@@ -112,7 +113,7 @@
         if self._closed:
             self.close()
             return
-        log.info("the line to other gateways is open at %s:%d", host, port)
+        log.info(log_events.GOSSIP_LISTENING, host, port)
         self._run_due()
 
     def _reopen(self) -> None:
@@ -151,7 +152,8 @@
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
         """A frame has come from another gateway."""
-        now_s, host = self.loop.time(), str(addr[0])
+        now_s = self.loop.time()
+        host = str(addr[0])
         if self._invalid.is_exceeded(host, now_s):
             self.node.refuse("flood")
         elif self.node.receive(now_s, now_ms(), data):
@@ -206,7 +208,7 @@
             except TooMuch as error:
                 if (fact.kind, fact.name) not in self._unpublished:
                     self._unpublished.add((fact.kind, fact.name))
-                    log.warning("not told to the other gateways: %s", error)
+                    log.warning(log_events.FACT_NOT_PUBLISHED, error)
 
     def _put(self, fact: PublishedFact) -> None:
         self.node.tell(fact.at_ms or now_ms(), fact.kind, fact.name, fact.value)
@@ -219,7 +221,7 @@
         self.node = node
         self._due_s = now_s + REPORT_INTERVAL_S
         self._reported: dict[str, int] = {}
-        self._name_taken = False  # another process has this name
+        self._is_name_shared = False  # another process has this name
 
     def log_when_due(self, now_s: float) -> None:
         """Log what is new since the last report."""
@@ -230,10 +232,9 @@
         new = {why: number - self._reported.get(why, 0) for why, number in refused.items()}
         if any(new.values()):
             reasons = ", ".join(f"{why} {number}" for why, number in sorted(new.items()) if number)
-            log.warning("line to other gateways: dropped in the last %d s: %s", REPORT_INTERVAL_S, reasons)
+            log.warning(log_events.GOSSIP_DROPPED, REPORT_INTERVAL_S, reasons)
         self._reported = dict(refused)
-        taken = self.node.members.taken_over
-        if self._name_taken is not taken:
-            self._name_taken = taken
-            what = "another process has this name" if taken else "this process has its name again"
-            log.warning("line to other gateways: %s", what)
+        is_shared = self.node.members.taken_over
+        if self._is_name_shared is not is_shared:
+            self._is_name_shared = is_shared
+            log.warning(log_events.GOSSIP_NAME_SHARED if is_shared else log_events.GOSSIP_NAME_FREE)
--- a/switchline/fleet_runtime/version_watch.py
+++ b/switchline/fleet_runtime/version_watch.py
@@ -8,6 +8,7 @@
 
 import logging
 
+from switchline import log_events
 from switchline.clock import now_ms
 from switchline.fleet.node import Node
 from switchline.fleet.quarantine import Quarantine
@@ -30,16 +31,16 @@
         self.trail = trail
         self.divergence = Divergence()
 
-    def look(self, node: Node) -> None:
+    def tick(self, node: Node) -> None:
         """Compare the own versions with those that the others publish."""
-        config, diverged = self.parts.config, self.divergence
+        config = self.parts.config
         own_versions = {"config": config.digest, "release": config.release}
         for kind, own in own_versions.items():
             others = [node.facts.value(kind, "", name) for name in node.members.present]
-            if diverged.look(self.parts.loop.time(), kind, own, others):
-                theirs = diverged.told.get(kind)
+            if self.divergence.look(self.parts.loop.time(), kind, own, others):
+                theirs = self.divergence.told.get(kind)
                 what = f"most have {theirs}" if theirs else "most have the same now"
-                log.warning("the %s here is %s: %s", kind, own, what)
+                log.warning(log_events.VERSION_DIFFERS, kind, own, what)
                 self.trail.record("differs" if theirs else "alike", kind, "", what)
 
     def gauges(self) -> dict[str, int]:
@@ -72,12 +73,13 @@
         """Whether this gateway is in quarantine."""
         return self.quarantine is not None and self.quarantine.out
 
-    def look(self, node: Node, list_repair: ListRepair) -> None:
+    def tick(self, node: Node, list_repair: ListRepair) -> None:
         """Enter or leave quarantine, as the versions and the grants of the others are now."""
         now_s = self.parts.loop.time()
         if self.quarantine is None:
             self.quarantine = Quarantine(self.patience_s, now_s)
-        quarantine, was_out = self.quarantine, self.quarantine.out
+        quarantine = self.quarantine
+        was_out = quarantine.out
         is_out = quarantine.look(
             node,
             now_s,
@@ -90,7 +92,8 @@
         self._set_behind(quarantine.kind)
         if is_out == was_out or self.parts.clients.shutting_down:
             return
-        log.warning("%s: %s", "shut out" if is_out else "no more shut out", quarantine.why)
+        event = log_events.QUARANTINE_ENTERED if is_out else log_events.QUARANTINE_LEFT
+        log.warning(event, quarantine.why)
         self.trail.record("shut out" if is_out else "taken back", quarantine.kind, "", quarantine.why)
         if is_out:
             self.intake.begin_quarantine()
--- a/switchline/requests/attempts.py
+++ b/switchline/requests/attempts.py
@@ -5,6 +5,7 @@
 import logging
 from functools import partial
 
+from switchline import log_events
 from switchline.backends.attempt import Attempt
 from switchline.clients.commands import bulk
 from switchline.clock import now_ms
@@ -40,7 +41,8 @@
 
     def send(self, request_id: str, backend: int, timeout_ms: float) -> None:
         """Begin an attempt; one that may not begin ends at once, as ignored."""
-        now, request = now_ms(), self.requests.open.get(request_id)
+        now = now_ms()
+        request = self.requests.open.get(request_id)
         if request is None or request.body_is_spent or request.attempts_made >= self.max_attempts:
             self._ignore(request_id, backend, request)
             return
@@ -166,7 +168,7 @@
     ) -> None:
         """Log an attempt that ended by a fault: whose it was, where, and how."""
         log.info(
-            "request %s attempt %d at backend %x ended: %s after %.0f ms",
+            log_events.ATTEMPT_FAILED,
             request.id,
             number,
             attempt.backend,
--- a/switchline/requests/lifecycle.py
+++ b/switchline/requests/lifecycle.py
@@ -5,6 +5,7 @@
 import logging
 from functools import partial
 
+from switchline import log_events
 from switchline.clients.commands import Command
 from switchline.clients.slot import Slot
 from switchline.clock import now_ms
@@ -20,7 +21,7 @@
 
 FAILED = b"-ERR failed\r\n"
 REFUSED = b"-BUSY\r\n"
-CROWDED_RETRY_AFTER_MS = 200
+CAPACITY_RETRY_AFTER_MS = 200
 OPEN_PER_CONNECTION = 2  # requests open for each backend connection that there may be: one of them waits
 
 
@@ -49,7 +50,7 @@
         )
         self.shares.pressed_at = int(self.shares.most * PRESSED)
         if self.is_ending or not self.shares.admits(event.customer):
-            self._refuse_crowded(event.request_class, slot)
+            self._reject_for_capacity(event.request_class, slot)
             return
         self.report.counts["requests taken"] += 1
         self.shares.take(event.customer)
@@ -64,14 +65,14 @@
 
     def on_crowded(self, command: Command, slot: Slot) -> None:
         """A command came on a connection that there is no place for."""
-        self._refuse_crowded(self.reader.read(command).request_class, slot)
+        self._reject_for_capacity(self.reader.read(command).request_class, slot)
 
-    def _refuse_crowded(self, kind: str, slot: Slot) -> None:
+    def _reject_for_capacity(self, kind: str, slot: Slot) -> None:
         """Refuse a request before the policy has seen it."""
         self.metrics.count_outcome(kind, OutcomeKind.DECLINED)
         self.metrics.rejected_for_capacity += 1
         self.report.counts["refused for room"] += 1
-        slot.answer(b"-BUSY %d\r\n" % CROWDED_RETRY_AFTER_MS)
+        slot.answer(b"-BUSY %d\r\n" % CAPACITY_RETRY_AFTER_MS)
 
     def on_body_received(self, request_id: str) -> None:
         """A streamed body is complete: from now on its request is one as any other.
@@ -98,7 +99,7 @@
         self.give_up_attempts(request, api.Outcome.TIMED_OUT)
         if self.open.get(request.id) is request:
             # Only a fault leaves a request unanswered here; its client must not wait in vain even so.
-            log.error("request %s had no answer at its end", request.id)
+            log.error(log_events.REQUEST_UNANSWERED, request.id)
             self.fail(request.id)
             self.give(api.RequestLapsed(request.id))
 
--- a/switchline/requests/report.py
+++ b/switchline/requests/report.py
@@ -6,6 +6,7 @@
 from collections import Counter as Counts
 from collections.abc import Callable
 
+from switchline import log_events
 from switchline.clock import Timers
 
 log = logging.getLogger(__name__)
@@ -26,5 +27,5 @@
         if self.counts:
             counts = ", ".join(f"{what} {number}" for what, number in sorted(self.counts.items()))
             states = ", ".join(f"{what} {number}" for what, number in self.states().items() if number)
-            log.info("last %d s: %s; now: %s", REPORT_INTERVAL_MS / 1000, counts, states)
+            log.info(log_events.REPORT, REPORT_INTERVAL_MS / 1000, counts, states)
             self.counts.clear()
--- a/switchline/service/calls/overrides.py
+++ b/switchline/service/calls/overrides.py
@@ -9,6 +9,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
+from switchline import log_events
 from switchline.operators.calls import DeferredReply, Reply
 from switchline.operators.overrides import OperatorOverrides, private_file
 from switchline.service.audit_trail import AuditTrail
@@ -150,7 +151,7 @@
         try:
             overrides.set(name, is_set)
         except OSError as error:
-            log.error("what is out by hand can't be written: %s", error)  # noqa: TRY400
+            log.error(log_events.OVERRIDE_NOT_STORED, error)  # noqa: TRY400
             self.parts.descriptors.relieve(error)
             return Reply(503, "it could not be kept\n")
         return YES
--- a/switchline/service/calls/routes.py
+++ b/switchline/service/calls/routes.py
@@ -14,10 +14,12 @@
     """The operators' calls by path."""
 
     def start_drain() -> Reply:
+        """Send clients away."""
         intake.start_drain()
         return YES
 
     def stop_drain() -> Reply:
+        """Take clients again."""
         return YES if intake.stop_drain() else Reply(503, "this process is about to end\n")
 
     override = overrides.call
--- a/switchline/service/calls/status.py
+++ b/switchline/service/calls/status.py
@@ -45,8 +45,8 @@
 
     def show_fleet(self) -> Reply:
         """The other gateways as this one sees them."""
-        shown = self.fleet.shown()
-        return Reply(200, json.dumps(shown) + "\n") if shown is not None else NO_SUCH_PATH
+        described = self.fleet.describe()
+        return Reply(200, json.dumps(described) + "\n") if described is not None else NO_SUCH_PATH
 
     def show_audit(self) -> Reply:
         """The versions that this process acts on, and its last records."""
--- a/switchline/service/drain.py
+++ b/switchline/service/drain.py
@@ -13,6 +13,7 @@
 import logging
 import math
 
+from switchline import log_events
 from switchline.service.audit_trail import AuditTrail
 from switchline.service.optional_fleet import OptionalFleet
 from switchline.service.parts import GatewayParts
@@ -38,7 +39,7 @@
     def start_drain(self) -> None:
         """Send clients away until `stop_drain`, by an operator's call."""
         self.drained_by_operator = True
-        log.info("an operator sends clients away")
+        log.info(log_events.DRAIN_STARTED)
         self.clients.drain(NOTICE_S)
 
     def stop_drain(self) -> bool:
@@ -46,7 +47,7 @@
         if self.clients.shutting_down:
             return False
         self.drained_by_operator = False
-        log.info("an operator has clients come back")
+        log.info(log_events.DRAIN_STOPPED)
         self.clients.undrain()
         return True
 
@@ -70,8 +71,9 @@
 
     async def run(self) -> None:
         """Stop accepting once the front has noticed, and answer all that is open."""
-        parts, clients = self.parts, self.parts.clients
-        log.info("draining")
+        parts = self.parts
+        clients = parts.clients
+        log.info(log_events.SHUTDOWN_STARTED, len(parts.driver.requests.open))
         self.trail.record("ending", "", "", "SIGTERM")
         parts.guard.call("leaving the fleet", self.fleet.leave, not clients.handed_over)
         abort_at = parts.loop.time() + self.longest_drain_s()
@@ -88,7 +90,7 @@
     async def _abort(self) -> None:
         """Answer what is still open, and give these answers a moment to leave."""
         requests = self.parts.driver.requests
-        log.warning("%d requests open at the end", len(requests.open))
+        log.warning(log_events.SHUTDOWN_DEADLINE, len(requests.open))
         requests.end_all()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(CLOSING_S):
--- a/switchline/service/driver.py
+++ b/switchline/service/driver.py
@@ -15,6 +15,7 @@
 from functools import partial
 from typing import Any, Generic, TypeVar
 
+from switchline import log_events
 from switchline.backends.pool import BackendPool
 from switchline.clock import Timers, now_ms
 from switchline.counter.client import Counter
@@ -203,7 +204,7 @@
         try:
             self.gateway.handle(now_ms(), api.RecordRestored(record, at))
         except (ValueError, TypeError, OverflowError) as error:
-            log.info("a row of the state on disk is left out: %s", error)
+            log.info(log_events.RECORD_REJECTED, error)
             return False
         return True
 
@@ -237,7 +238,7 @@
 
     def override_backend(self, host: str, is_disabled: bool, since: float) -> None:
         """Operators disabled a backend, or enabled it again, at `since` (Unix milliseconds)."""
-        log.info("%s is %s by hand", host, "taken out" if is_disabled else "put back")
+        log.info(log_events.BACKEND_OVERRIDDEN, host, "taken out" if is_disabled else "put back")
         backend = host_number(host)
         self.backends.override(backend, is_disabled)
         self.give(api.BackendOverridden(backend, is_disabled, since))
--- a/switchline/service/event_loop.py
+++ b/switchline/service/event_loop.py
@@ -12,6 +12,8 @@
 
 import uvloop
 
+from switchline import log_events
+
 log = logging.getLogger("switchline")
 
 START_TIMEOUT_S = 20.0  # the platform allows 30 s for a start
@@ -31,6 +33,7 @@
     begun = False
 
     async def begin() -> None:
+        """Run `main`, and note that it has begun: from then on its errors are its own."""
         nonlocal begun
         begun = True
         await main()
@@ -44,7 +47,7 @@
         except (OSError, RuntimeError) as error:  # the event loop raises the second over the first
             if begun or time.monotonic() > give_up_at:
                 raise
-            log.warning("no event loop yet: %s", error)
+            log.warning(log_events.EVENT_LOOP_RETRIED, error)
         finally:
             with contextlib.suppress(OSError, RuntimeError):
                 runner.close()
--- a/switchline/service/optional_fleet.py
+++ b/switchline/service/optional_fleet.py
@@ -63,9 +63,9 @@
         """Metrics of the fleet; none without one."""
         return self.membership.gauges() if self.membership is not None else {}
 
-    def shown(self) -> dict[str, object] | None:
+    def describe(self) -> dict[str, object] | None:
         """The fleet as this gateway sees it, for `GET /ops/fleet`; None where it is no member."""
-        return self.membership.shown() if self.membership is not None else None
+        return self.membership.describe() if self.membership is not None else None
 
     def _membership(self) -> FleetMembership:
         if self.membership is None:
--- a/switchline/service/program.py
+++ b/switchline/service/program.py
@@ -13,6 +13,7 @@
 import time
 from collections.abc import Callable
 
+from switchline import log_events
 from switchline.config import Config, ConfigError, load_config
 from switchline.discovery.endpoint_list import DiscoveryError
 from switchline.net.listen import ListenError
@@ -45,7 +46,8 @@
     """Serve until `stop` is set, then drain. `ready` is called with the port once clients may come."""
     loop = asyncio.get_running_loop()
     service = Service(config, stop)
-    guard, discovery = service.parts.guard, service.parts.discovery
+    guard = service.parts.guard
+    discovery = service.parts.discovery
     if signals is not None:  # in step with the looks at overrides, so that it costs no further wake-up
         service.parts.timers.every(SIGNAL_POLL_INTERVAL_MS, "signals", signals.take)
     loop.set_exception_handler(guard.on_loop_error)
@@ -63,7 +65,7 @@
         reloading.cancel()
         service.close()
         violated = {one.value: number for one, number in guard.violations.items()}
-        log.info("ended; faults contained %d, violated %s", guard.contained.total(), violated or "none")
+        log.info(log_events.ENDED, guard.contained.total(), violated or "none")
 
 
 async def run(path: str, config: Config) -> None:
@@ -73,13 +75,14 @@
     loop = asyncio.get_running_loop()
 
     def reload(attempts_left: int = CONFIG_ATTEMPTS - 1) -> None:
+        """Read the file again; where it can't be read, later, and in the end not at all."""
         try:
             changes.put_nowait(load_config(path))
         except ConfigError as error:
             if attempts_left:
                 loop.call_later(CONFIG_RETRY_S, reload, attempts_left - 1)
             else:
-                log.warning("the changed configuration is not taken: %s", error)  # the old one still holds
+                log.warning(log_events.CONFIG_REJECTED, error)
 
     signals = Signals(loop, {signal.SIGHUP: reload, signal.SIGTERM: stop.set, signal.SIGINT: stop.set})
     if early_reloads:
--- a/switchline/service/reload.py
+++ b/switchline/service/reload.py
@@ -31,7 +31,8 @@
 
     async def apply(self, config: Config) -> None:
         """Act on a new configuration."""
-        parts, before = self.parts, self.parts.config
+        parts = self.parts
+        before = parts.config
         parts.descriptors.configured_limit = config.descriptors
         parts.descriptors.shares = config.shares
         if config.settings.regions != before.settings.regions:
--- a/switchline/service/service.py
+++ b/switchline/service/service.py
@@ -23,6 +23,7 @@
 import logging
 from typing import TYPE_CHECKING
 
+from switchline import log_events
 from switchline.clients.server import BACKLOG
 from switchline.config import Config
 from switchline.net.listen import inherited_listener, listen_with_retries
@@ -69,7 +70,8 @@
 
     def _make_persistence(self) -> StatePersistence | None:
         """What restores and keeps the state on disk, with `state` in the configuration."""
-        config, parts = self.parts.config, self.parts
+        parts = self.parts
+        config = parts.config
         if config.state is None:
             return None
         from switchline.state.persistence import StatePersistence
@@ -111,7 +113,7 @@
         port = await self._listen()
         gc.collect()
         gc.freeze()  # what was loaded stays: no pause to look at it again
-        log.info("%s serves at %s:%d", self.parts.config.name, self.parts.config.listen[0], port)
+        log.info(log_events.SERVING, self.parts.config.name, self.parts.config.listen[0], port)
         self.upgrade.handover.announce_serving()
         if self.persistence is not None and took_over:
             self.persistence.acquire()
@@ -128,7 +130,7 @@
             async with asyncio.timeout(FIRST_LIST_WAIT_S):
                 await discovery.heard.wait()
         except TimeoutError:
-            log.info("discovery has told nothing yet")
+            log.info(log_events.NO_FIRST_LIST, FIRST_LIST_WAIT_S)
 
     async def _recover(self, took_over: bool) -> None:
         """Restore what is known from the fleet and the disk, and open the operators' address."""
--- a/switchline/service/upgrade.py
+++ b/switchline/service/upgrade.py
@@ -13,6 +13,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
+from switchline import log_events
 from switchline.operators.overrides import private_file
 from switchline.policy import interface as api
 from switchline.service.optional_fleet import OptionalFleet
@@ -63,7 +64,7 @@
 
     def _hand_over(self) -> None:
         """The new process takes clients: what is open here ends, and then this process does."""
-        log.info("another process takes the clients")
+        log.info(log_events.HANDING_OVER)
         self.parts.clients.hand_over()
         self.parts.descriptors.freeze()
         self.fleet.leave(announce=False)  # the new process has this name now
