--- a/tests/neutral_form.py
+++ b/tests/neutral_form.py
@@ -17,7 +17,9 @@
 from enum import Enum
 from typing import Any
 
+from switchline.policy import gateway_status
 from switchline.policy import interface as api
+from switchline.policy.gateway import Gateway
 
 Neutral = dict[str, Any]
 
@@ -326,6 +328,26 @@
     return settings
 
 
+def encode_status(gateway: Gateway, now: float) -> Neutral:
+    """Turn what staff and other gateways are shown of a gateway into its neutral form."""
+    return {
+        "backends_avoided": gateway_status.ejected(gateway, now),
+        "zone_metrics": gateway_status.figures_of(gateway.zones, now),
+        "quota_reports": [encode_event(report) for report in gateway_status.spending(gateway, now, 100)],
+        "zone_observations": {
+            zone: {
+                "usable": seen.usable,
+                "lost_ms": [[backend, age] for backend, age in seen.lost.items()],
+                "answering_ms": [[backend, age] for backend, age in seen.well.items()],
+                "slow": seen.slow,
+                "warmth": seen.warmth,
+            }
+            for zone, seen in gateway_status.met(gateway, now).items()
+        },
+        "attempts_per_s": gateway_status.offered(gateway, now),
+    }
+
+
 def line(neutral: object) -> str:
     """Write one line of a recording."""
     return json.dumps(neutral, separators=(",", ":"), ensure_ascii=True)
--- a/tests/recordings/test_recorded_decisions.py
+++ b/tests/recordings/test_recorded_decisions.py
@@ -2,7 +2,8 @@
 
 Each recording in `tests/recorded/` is a scene of one or more gateway processes on a hand-set clock: a line
 for the start of a process with its settings and seed, a line for each event with all its actions, and a line
-for the end of a process. `tests/neutral_form.py` alone maps the names in them to the present program.
+for the end of a process; some hold a status, as staff and other gateways are shown it. The names in them are
+mapped to the present program by `tests/neutral_form.py` alone.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 from switchline.policy.gateway import Gateway
 
 RECORDED = Path(__file__).parents[1] / "recorded"
-SCENES = ["zones", "quotas", "durable_state", "upgrade", "power_loss", "streamed_requests"]
+SCENES = ["zones", "quotas", "durable_state", "upgrade", "power_loss", "streamed_requests", "large_fleet"]
 # Records of `tests/recorded/stored/`, given to a new gateway.
 STORED_SCENES = ["stored_state_after_drain", "stored_state_after_kill", "stored_handover"]
 # What the driver expects of the module for a record that no such program wrote.
@@ -72,6 +73,9 @@
             gateways[process] = Gateway(neutral_form.decode_settings(line["settings"]), line["seed"])
         elif "ended" in line:
             del gateways[process]
+        elif "status" in line:
+            status = neutral_form.encode_status(gateways[process], line["at_ms"])
+            assert neutral_form.line(status) == neutral_form.line(line["status"]), f"{scene}, line {number}"
         else:
             recorded = {name: line[name] for name in ("actions", "refused") if name in line}
             given = answer(gateways[process], line)
