--- a/switchline/service/driver.py
+++ b/switchline/service/driver.py
@@ -14,10 +14,10 @@
 from switchline.backends.attempt import Attempt
 from switchline.backends.pool import BackendPool
 from switchline.clients.commands import Command, bulk
-from switchline.clients.server import Slot
+from switchline.clients.slot import Slot
 from switchline.clock import Timer, Timers, now_ms
 from switchline.counter.client import Counter
-from switchline.discovery.client import Member, host_number
+from switchline.discovery.endpoint_list import Member, host_number
 from switchline.guard import Invariant
 from switchline.net.descriptors import Part
 from switchline.net.streams import BufferBudget, StreamedResponse
@@ -80,7 +80,7 @@
         """When a further attempt may begin at the latest: once a key's window is over, it would run again."""
         if not self.written or self.kind.effect is not api.Effect.KEYED:
             return math.inf
-        return min(self.written.values()) + self.kind.repeat_window - REPEAT_MARGIN_MS
+        return min(self.written.values()) + self.kind.repeat_window_ms - REPEAT_MARGIN_MS
 
 
 class Driver:
@@ -242,7 +242,7 @@
         self.seen["requests taken"] += 1
         self.shares.take(event.customer)
         kind = self.kinds[event.request_class]
-        owner = self.requests[command.id] = Request(command, slot, kind, event.expires)
+        owner = self.requests[command.id] = Request(command, slot, kind, event.expires_ms)
         owner.timer = self.timers.at(owner.expires, partial(self.on_expired, owner))
         self.give(event)
 
@@ -254,8 +254,8 @@
 
     def crowd(self, kind: str, slot: Slot) -> None:
         """Refuse a request before the module is told of it."""
-        self.figures.ended(kind, OutcomeKind.DECLINED)
-        self.figures.crowded += 1
+        self.figures.count_outcome(kind, OutcomeKind.DECLINED)
+        self.figures.rejected_for_capacity += 1
         self.seen["refused for room"] += 1
         slot.answer(b"-BUSY %d\r\n" % FULL_MS)
 
@@ -271,7 +271,7 @@
             request_class=given[b"c"].decode(),
             plan=given.get(b"t", b"").decode(),
             customer=command.customer,
-            expires=command.came_at
+            expires_ms=command.came_at
             + (LONGEST_BODY_MS if command.stream is not None else min(command.wait, LONGEST_WAIT_MS)),
             units=float(given.get(b"units", b"0")),
             spread=int(given.get(b"spread", b"1")),
@@ -291,7 +291,7 @@
             raise ValueError("malformed units or gateways")
         return event
 
-    def on_whole(self, request: str) -> None:
+    def on_body_received(self, request: str) -> None:
         """A long value has come in whole: from now on its request is one as any other.
 
         Its client may count the time from its first byte or from its last. One that still sends has not given
@@ -323,7 +323,7 @@
         owner = self.leave(request)
         if owner is None:
             return
-        self.figures.ended(owner.kind.name, OutcomeKind.ABORTED)
+        self.figures.count_outcome(owner.kind.name, OutcomeKind.ABORTED)
         if owner.value is not None:
             owner.value.drop()
         self.leave_body(owner)
@@ -407,13 +407,13 @@
         if owner.timer is not None:
             owner.timer.cancel()
         value = owner.value = StreamedResponse(self.room, length, owner.slot.connection.pump)
-        owner.slot.begin(value, partial(self.on_passed, owner))
+        owner.slot.stream(value, partial(self.on_passed, owner))
         self.give(api.StreamedAnswerStarted(request, number))
         return value
 
     def on_passed(self, owner: Request) -> None:
         if self.leave(owner.command.id) is not None:
-            self.figures.ended(owner.kind.name, OutcomeKind.SUCCEEDED)
+            self.figures.count_outcome(owner.kind.name, OutcomeKind.SUCCEEDED)
         if owner.value is not None:
             owner.value.drop()
         self.leave_body(owner)
@@ -464,7 +464,9 @@
         if owner is None or spent or owner.made >= self.settings.max_attempts:
             number = owner.made if owner else 0
             ignored = api.Outcome.IGNORED
-            self.give(api.AttemptEnded(request, number, backend, ignored, 0.0, owner is None, spent=spent))
+            self.give(
+                api.AttemptEnded(request, number, backend, ignored, 0.0, owner is None, body_discarded=spent)
+            )
             return
         number, owner.made = owner.made, owner.made + 1
         ended = partial(self.on_ended, owner, number, now)
@@ -485,9 +487,9 @@
     def finish(self, request: str, reply: bytes, ended: OutcomeKind) -> None:
         """Give the one final answer; a second one is not sent."""
         if owner := self.leave(request):
-            self.figures.ended(owner.kind.name, ended)
+            self.figures.count_outcome(owner.kind.name, ended)
             if owner.value is not None:  # begun, and not to be finished
-                owner.slot.cut(reply)
+                owner.slot.abort_stream(reply)
                 owner.value.drop()
             else:
                 owner.slot.answer(reply)
--- a/tests/recordings/test_stored_data.py
+++ b/tests/recordings/test_stored_data.py
@@ -21,11 +21,11 @@
 from test_recorded_decisions import RECORDED, lines
 
 from switchline import clock
-from switchline.audit import ctl as audit_ctl
-from switchline.audit.segments import Segments, paths
+from switchline.audit import sources
+from switchline.audit.segments import Segments, segment_paths
 from switchline.operators.overrides import OperatorOverrides
-from switchline.state.store import Files
-from switchline.upgrade.handover import UpgradeHandover
+from switchline.state.storage import StateStorage
+from switchline.upgrade.handover import HandoverEvents, UpgradeHandover
 from testbed.network.sockets import until
 from testbed.stand_ins.backends import Backend
 from testbed.stand_ins.single_gateway import World, in_loop, running
@@ -52,16 +52,17 @@
 @pytest.mark.parametrize("which", STATE_FOLDERS)
 def test_a_state_folder_is_read_complete(which: str, tmp_path: Path) -> None:
     expected = READ[which]
-    files = Files(unpack(which, tmp_path / "state"), NAME, lambda: expected["read_at_ms"])
+    storage = StateStorage(unpack(which, tmp_path / "state"), NAME, lambda: expected["read_at_ms"])
     try:
-        files.hold(0)
-        found = files.open(fresh=False)
+        storage.lock(0)
+        saved = storage.open(fresh=False)
     finally:
-        files.close()
-    assert [[row.kind, row.name, row.at, row.said] for row in found.rows] == expected["rows"]
-    assert len(found.rows) >= 13
-    assert (found.alive, list(found.restarts)) == (expected["last_written_ms"], expected["restarts_ms"])
-    assert found.dropped == expected["dropped"] == 0
+        storage.close()
+    assert [[one.kind, one.name, one.at_ms, one.value] for one in saved.records] == expected["rows"]
+    assert len(saved.records) >= 13
+    assert saved.last_alive_ms == expected["last_written_ms"]
+    assert list(saved.restarts_ms) == expected["restarts_ms"]
+    assert saved.dropped == expected["dropped"] == 0
 
 
 @pytest.mark.parametrize("which", STATE_FOLDERS)
@@ -126,17 +127,17 @@
 def test_the_audit_is_read_and_continued(tmp_path: Path) -> None:
     number, checksum = READ["audit"]["head"]
     folder = Path(shutil.copytree(STORED / "audit", tmp_path / "audit"))
-    source = audit_ctl.of_folder(folder)
+    source = sources.read_folder(folder)
     assert source.name == NAME and not source.findings
     assert json.loads(msgspec.json.encode(source.records)) == READ["audit"]["records"]
     assert len(source.records) == number > 20
-    before = paths(folder)[0].read_bytes()
+    before = segment_paths(folder)[0].read_bytes()
     segments = Segments(folder, NAME)
-    assert (segments.head.n, segments.head.sum, segments.cut) == (number, checksum, 0)
+    assert (segments.head.n, segments.head.sum, segments.bytes_cut) == (number, checksum, 0)
     segments.add(source.records[-1])
     segments.close()
-    assert paths(folder)[0].read_bytes().startswith(before)
-    assert not audit_ctl.of_folder(folder).findings
+    assert segment_paths(folder)[0].read_bytes().startswith(before)
+    assert not sources.read_folder(folder).findings
 
 
 # ---- a hand-over between two processes ----
@@ -149,14 +150,14 @@
         self.messages: list[list[Any]] = []
         self.calls: list[str] = []
         self.descriptors: list[int] = []
-        self.handover = UpgradeHandover(
-            path,
-            came=lambda: self.calls.append("joined"),
-            heard=self.messages.append,
-            handed=lambda: self.calls.append("serving"),
+        events = HandoverEvents(
+            joined=lambda: self.calls.append("joined"),
+            record_received=self.messages.append,
+            serving=lambda: self.calls.append("serving"),
             left=lambda: self.calls.append("left"),
-            holds=self.descriptors.append,
+            descriptors_reported=self.descriptors.append,
         )
+        self.handover = UpgradeHandover(path, events)
 
 
 def sent(name: str) -> list[list[Any]]:
@@ -183,7 +184,7 @@
         server.close()
 
     in_loop(scenario)
-    assert recorder.handover.told.is_set()
+    assert recorder.handover.state_received.is_set()
     assert recorder.messages == records(messages) and len(recorder.messages) >= 9
     assert recorder.descriptors == [message[1] for message in messages if message[0] == "holds"] != []
 
