--- a/switchline/log_events.py
+++ b/switchline/log_events.py
@@ -13,7 +13,7 @@
 CONFIG_REJECTED: Final = "the changed configuration is not taken: %s"  # the old one still holds
 NO_FIRST_LIST: Final = "no news of discovery yet: waited_s=%.2f"
 SERVING: Final = "%s serves at %s:%d"
-HANDING_OVER: Final = "handing over: the peer process accepts clients"
+HANDING_OVER: Final = "another process takes the clients"
 DRAIN_STARTED: Final = "drain started: by=operator"
 DRAIN_STOPPED: Final = "drain stopped: by=operator"
 SHUTDOWN_STARTED: Final = "shutdown started: open_requests=%d"
