--- a/switchline/fleet_runtime/membership.py
+++ b/switchline/fleet_runtime/membership.py
@@ -79,7 +79,7 @@
         parts = self.parts
         settings = parts.config.settings
         self.recovery = FleetRecovery(
-            self.overrides.by_name, self.state, parts.driver, parts.discovery, settings.index
+            self.overrides.by_kind, self.state, parts.driver, parts.discovery, settings.index
         )
         rng = random.Random(f"{parts.config.seed} level")
         self.list_repair = ListRepair(parts.driver, parts.discovery, self.state, rng)
@@ -111,7 +111,7 @@
         incarnation = next_incarnation(config.state, rng)
         transport = GossipTransport(config.name, link, incarnation, rng, self._facts)
         node = transport.node
-        calls = FleetCalls({FOR_ALL[kind]: one for kind, one in self.overrides.by_name.items()})
+        calls = FleetCalls({FOR_ALL[kind]: one for kind, one in self.overrides.by_kind.items()})
         calls.attach(transport)
         if self.recovery is not None:
             self.recovery.attach(transport)
--- a/switchline/fleet_runtime/own_facts.py
+++ b/switchline/fleet_runtime/own_facts.py
@@ -38,7 +38,7 @@
 
     def about_overrides(self) -> Iterator[PublishedFact]:
         """What is overridden by hand here, and what was until lately."""
-        for kind, overrides in self.overrides.by_name.items():
+        for kind, overrides in self.overrides.by_kind.items():
             for name, at_ms in list(overrides.active.items())[-MAX_PUBLISHED_OVERRIDES:]:
                 yield PublishedFact(kind, name, "down", at_ms)
             for name, at_ms in list(overrides.cleared.items())[-MAX_PUBLISHED_OVERRIDES:]:
--- a/switchline/service/calls/overrides.py
+++ b/switchline/service/calls/overrides.py
@@ -64,16 +64,16 @@
         self.parts = parts
         self.trail = trail
         self.persist: Persist | None = None
-        self.by_name: dict[str, OperatorOverrides] = {}
+        self.by_kind: dict[str, OperatorOverrides] = {}
         for kind, form in FORMS.items():
             if kind in LOCAL_KINDS or parts.config.fleet is not None:
                 path = private_file(parts.config.name, form.file_name)
                 changed = partial(self._on_changed, kind)
-                self.by_name[kind.value] = OperatorOverrides(path, parts.timers, changed)
+                self.by_kind[kind.value] = OperatorOverrides(path, parts.timers, changed)
 
     def get(self, kind: OverrideKind) -> OperatorOverrides | None:
         """The overrides of a kind; None where this gateway has none of it."""
-        return self.by_name.get(kind.value)
+        return self.by_kind.get(kind.value)
 
     def names(self, kind: OverrideKind) -> dict[str, float]:
         """What is overridden now, and since when (Unix milliseconds)."""
--- a/switchline/service/service.py
+++ b/switchline/service/service.py
@@ -77,7 +77,7 @@
         from switchline.state.persistence import StatePersistence
 
         persistence = StatePersistence(
-            config.state, config.name, parts.driver, parts.discovery, self.overrides.by_name
+            config.state, config.name, parts.driver, parts.discovery, self.overrides.by_kind
         )
         self.overrides.persist = persistence.save_override
         if config.known:
