--- a/measure/zones.py
+++ b/measure/zones.py
@@ -23,10 +23,11 @@
 sys.path[:0] = [str(HERE), str(HERE / "tests")]
 
 from gateway_fleet import Fleet  # noqa: E402
-from linked_fleet import Lined  # noqa: E402
+from linked_fleet import LinkedFleet  # noqa: E402
 
 from switchline.policy.zones import Zones  # noqa: E402
-from switchline.zones.agreement import read_act, share_at  # noqa: E402
+from switchline.zones.decision import decode_decision  # noqa: E402
+from switchline.zones.ramp import share_at  # noqa: E402
 
 ZONES, GATEWAYS, GAP_MS = {"a": 8, "b": 8, "c": 8}, 24, 50.0
 
@@ -46,7 +47,7 @@
 
 
 def made(name: str, seed: int, gateways: int = GATEWAYS, price: float = 0.1) -> Fleet:
-    kind = Lined if name == "fleet" else Fleet
+    kind = LinkedFleet if name == "fleet" else Fleet
     fleet = kind(ZONES, gateways, own=own, seed=seed, cross_zone=price)
     if name == "without":
         for gateway in fleet.gateways:
@@ -109,7 +110,7 @@
     """Leaves of zones that are well, while messages and requests are lost and processes stand still."""
     seed, loss, minutes = given
     fleet = made("fleet", seed)
-    assert isinstance(fleet, Lined)
+    assert isinstance(fleet, LinkedFleet)
     fleet.run(3000, gap=100.0)
     fleet.loss, fleet.net.loss = loss, 0.1
     for _ in range(minutes * 12):
@@ -117,7 +118,7 @@
         fleet.run(5000, gap=100.0)
         fleet.sent.clear()
         fleet.events.clear()
-    acts = [entry.name for _, entry in fleet.decisions if read_act(entry.value).state == "left"]
+    acts = [entry.name for _, entry in fleet.decisions if decode_decision(entry.value).state == "left"]
     alone = sum("is left: failing" in text for _, _, text in fleet.remarks)
     return f"loss {loss}, seed {seed}, {minutes} min: left by the fleet {len(acts)}, by one alone {alone}"
 
@@ -127,7 +128,7 @@
     fleet = made(name, seed, gateways=200)
     fleet.run(8000, gap=1000.0)
     lost = fleet.now
-    line = fleet.net.counts if isinstance(fleet, Lined) else Counts[str]()
+    line = fleet.net.counts if isinstance(fleet, LinkedFleet) else Counts[str]()
     before = dict(line)
     fleet.mode["b"] = "silent"
     fleet.run(10_000, gap=1000.0)
@@ -159,8 +160,8 @@
     begun = next((at for at, _, b, _ in fleet.sent if at > back + 400 and fleet.zone_of[b] == "b"), back)
     zone, most, used = [], 0.0, []
     agreed = begun
-    if isinstance(fleet, Lined):
-        acts = ((at, read_act(entry.value).state) for at, entry in fleet.decisions)
+    if isinstance(fleet, LinkedFleet):
+        acts = ((at, decode_decision(entry.value).state) for at, entry in fleet.decisions)
         agreed = next((at for at, state in acts if at > back and state == "returning"), begun)
     for at in range(int(begun), int(back + 0.6 * warm_ms), 500):
         bears = share_at(0, 0.2) + 0.8 * min(1.0, (at + 500 - back) / warm_ms)
--- a/switchline/fleet/facts.py
+++ b/switchline/fleet/facts.py
@@ -11,27 +11,11 @@
 from dataclasses import dataclass
 from typing import Any
 
+from switchline.fleet.fact_kinds import OPERATOR_KINDS, SHARED_KINDS, VERSIONED_KINDS, FactKind
 from switchline.fleet.messages import LONGEST_NAME, LONGEST_VALUE, Entry, Incarnation
 
 MOST_ENTRIES, MOST_OF_ORIGIN = 4_096, 64
-HELD_HOST, HELD_ZONE = "held-host", "held-zone"  # what any gateway was called to do; value: down or up
-FLEET_HOST, FLEET_ZONE = "fleet-host", "fleet-zone"  # what all are to do, likewise
-HELD_SPARE, FLEET_SPARE = "held-spare", "fleet-spare"  # gateways that are not to be shut out
-HELD_FLOOR, FLEET_FLOOR = "held-floor", "fleet-floor"  # versions below which a gateway is behind
-# What is called at one gateway, as a call for the fleet.
-FOR_ALL = {
-    HELD_HOST: FLEET_HOST,
-    HELD_ZONE: FLEET_ZONE,
-    HELD_SPARE: FLEET_SPARE,
-    HELD_FLOOR: FLEET_FLOOR,
-}
-# No owner: anyone may tell the next entry.
-OF_FLEET = {*FOR_ALL, *FOR_ALL.values()}
-PLACE = "index"  # of a gateway among all
-ZONE_ACT = "zone-act"  # what gateways of a zone decided together on another: the highest version wins
-COUNTED = {ZONE_ACT}  # no owner either; a version is one above the one that it follows
-MOST_COUNTED = 256  # names of one such kind
-OWNERLESS = OF_FLEET | COUNTED
+MOST_DECISIONS = 256  # names of one such kind
 CLOCK_MS = 300_000.0  # by which clocks may differ
 LASTS_MS = 86_400_000.0  # what was put back is remembered for so long: longer than anyone is cut off
 WITHDRAWN_MS = 600_000.0  # a withdrawn fact is remembered
@@ -41,15 +25,15 @@
 
 
 def key_of(entry: Entry) -> Key:
-    return entry.kind, entry.name, "" if entry.kind in OWNERLESS else entry.origin
+    return entry.kind, entry.name, "" if entry.kind in SHARED_KINDS else entry.origin
 
 
 def order_of(entry: Entry) -> tuple[Any, ...]:
     """Of two entries with one key the higher one holds: total, so that a merge is the same everywhere."""
     value = (entry.value is None, entry.value or "")
-    if entry.kind in COUNTED:
+    if entry.kind in VERSIONED_KINDS:
         return (entry.version, value, entry.origin, entry.life, entry.at)
-    if entry.kind in OF_FLEET:
+    if entry.kind in OPERATOR_KINDS:
         return (entry.at, value, entry.origin, entry.life, entry.version)
     return (entry.life, entry.version, entry.at, value)
 
@@ -91,14 +75,14 @@
         """
         if len(value or "") > LONGEST_VALUE or len(name) > LONGEST_NAME:
             raise TooMuch(f"{kind} {name[:LONGEST_NAME]!r}: too long to be told")
-        key = kind, name, "" if kind in OF_FLEET else self.origin
+        key = kind, name, "" if kind in OPERATOR_KINDS else self.origin
         held = self.table.get(key)
         if held is not None or value is None:
             known = held.entry if held is not None else None
             same = (known.value if known is not None else None) == value
-            if same and (kind not in OF_FLEET or (known is not None and known.at >= wall)):
+            if same and (kind not in OPERATOR_KINDS or (known is not None and known.at >= wall)):
                 return None
-        if held is None and self.of.get(self.origin, 0) >= MOST_OF_ORIGIN and kind not in OF_FLEET:
+        if held is None and self.of.get(self.origin, 0) >= MOST_OF_ORIGIN and kind not in OPERATOR_KINDS:
             raise TooMuch(f"{kind} {name!r}: {MOST_OF_ORIGIN} facts of one gateway are the most")
         self.version += 1
         entry = Entry(kind, name, self.origin, self.life, self.version, wall, value)
@@ -116,7 +100,7 @@
             self.refused["own"] += 1
 
     def decide(self, wall: float, kind: str, name: str, value: str) -> Entry | None:
-        """Put a decision above the one that holds (of a kind in COUNTED); None where the table is full."""
+        """Put a decision above the one that holds; None where the table is full."""
         entry = Entry(kind, name, self.origin, self.life, self.count(kind, name) + 1, wall, value)
         return entry if self.merge(wall, entry) else None
 
@@ -127,7 +111,7 @@
 
     def merge(self, wall: float, entry: Entry) -> bool:
         """Take an entry if it overrides what is there; whether it did."""
-        if entry.kind in OF_FLEET and entry.at > wall + CLOCK_MS:
+        if entry.kind in OPERATOR_KINDS and entry.at > wall + CLOCK_MS:
             self.refused["clock"] += 1
             return False
         key = key_of(entry)
@@ -140,10 +124,10 @@
         else:
             if self.over(wall, entry):
                 return False
-            if entry.kind in COUNTED:
-                over = len(self.kinds.get(entry.kind, ())) >= MOST_COUNTED
+            if entry.kind in VERSIONED_KINDS:
+                over = len(self.kinds.get(entry.kind, ())) >= MOST_DECISIONS
             else:
-                over = entry.kind not in OF_FLEET and self.of.get(entry.origin, 0) >= MOST_OF_ORIGIN
+                over = entry.kind not in OPERATOR_KINDS and self.of.get(entry.origin, 0) >= MOST_OF_ORIGIN
             if over or len(self.table) >= MOST_ENTRIES:
                 self.refused["full"] += 1
                 return False
@@ -161,9 +145,9 @@
 
     def over(self, wall: float, entry: Entry) -> bool:
         """Whether an entry has ended by its own time: told again, it would bring back what is forgotten."""
-        if entry.kind in COUNTED:
+        if entry.kind in VERSIONED_KINDS:
             return wall - entry.at > LASTS_MS
-        if entry.kind in OF_FLEET:
+        if entry.kind in OPERATOR_KINDS:
             return entry.value != "down" and wall - entry.at > LASTS_MS
         return entry.value is None and wall - entry.at > WITHDRAWN_MS
 
@@ -173,7 +157,7 @@
         """Forget what has ended, and, some time after its end, what was told by a life that is gone."""
         for key, held in list(self.table.items()):
             entry = held.entry
-            if entry.kind not in OWNERLESS and entry.origin != self.origin:
+            if entry.kind not in SHARED_KINDS and entry.origin != self.origin:
                 if life_of(entry.origin) == entry.life:
                     held.orphaned = 0.0
                 elif not held.orphaned:
@@ -201,7 +185,7 @@
 
     def place(self, origin: str) -> int | None:
         """A gateway's place among all, as it tells it; None for what is none."""
-        value = self.value(PLACE, "", origin)
+        value = self.value(FactKind.PLACE, "", origin)
         return int(value) if value is not None and value.isdecimal() and len(value) < 6 else None
 
     def of_kind(self, kind: str) -> dict[tuple[str, str], Held]:
@@ -213,7 +197,7 @@
         self.life = life
         for held in list(self.table.values()):
             entry = held.entry
-            if entry.kind not in OWNERLESS and entry.origin == self.origin:
+            if entry.kind not in SHARED_KINDS and entry.origin == self.origin:
                 self.version += 1
                 given = entry.kind, entry.name, self.origin, life, self.version, entry.at, entry.value
                 self.merge(entry.at, Entry(*given))
--- a/switchline/fleet/outage.py
+++ b/switchline/fleet/outage.py
@@ -11,7 +11,6 @@
 from dataclasses import dataclass
 from statistics import median
 
-RISEN = "risen"  # kind of fact: seconds that this gateway was down, or UNKNOWN; withdrawn after RISEN_S
 UNKNOWN = "?"  # its disk tells of no earlier life
 RISEN_S = 20.0  # since a process began: about a backend's slow start
 OLD_S = 10.0  # down for so much longer than the others: more likely its disk holds an old copy
--- a/switchline/fleet/quarantine.py
+++ b/switchline/fleet/quarantine.py
@@ -10,12 +10,12 @@
 import math
 from collections.abc import Collection
 
+from switchline.fleet.fact_kinds import FactKind
 from switchline.fleet.facts import Facts
 from switchline.fleet.messages import Incarnation, State
 from switchline.fleet.node import Node
 from switchline.fleet.staleness import Floors, number, seq_of
 
-SHUT, GRANT = "shut", "shut-grant"  # kinds of facts: of a straggler itself; of others, named after it
 WANTS, OUT = "wants", "out"
 PART = 5  # of so many members one may be out
 NO_FLOORS = Floors()
@@ -74,7 +74,7 @@
         if lone or me.name in spared or not self.patience_s:
             self.end("it is in a minority" if lone else "operators spare it")
             wants = False
-        elif self.out or facts.value(SHUT, "", me.name) is not None:
+        elif self.out or facts.value(FactKind.QUARANTINE, "", me.name) is not None:
             wants = behind or now - self.level_since < self.level_s()
             if not wants:
                 self.end("it is level again")
@@ -88,7 +88,7 @@
             self.out, self.out_at = True, now
             self.why = f"its {self.kind} is behind for {now - self.behind_since:.0f} s, and most grant it"
         word = (OUT if self.out else WANTS) if wants else None
-        facts.offer(wall, SHUT, "", word)
+        facts.offer(wall, FactKind.QUARANTINE, "", word)
         return self.out
 
     def level_s(self) -> float:
@@ -103,7 +103,7 @@
         me, facts, present = node.members.me, node.facts, node.members.present
         given = (
             (origin, held.entry)
-            for (of, origin), held in facts.of_kind(GRANT).items()
+            for (of, origin), held in facts.of_kind(FactKind.QUARANTINE_GRANT).items()
             if of == me.name and held.entry.value == grant_of(me.life)
         )
         return sum(who in present and present[who].rumor.life == entry.life for who, entry in given)
@@ -111,7 +111,9 @@
     @staticmethod
     def below(facts: Facts, name: str, seq: int, floors: Floors) -> str:
         """Which of a gateway's versions, as it tells them, is under its floor; "" for none."""
-        return floors.below(seq, facts.value("release", "", name), facts.value("config", "", name))
+        return floors.below(
+            seq, facts.value(FactKind.RELEASE, "", name), facts.value(FactKind.CONFIG, "", name)
+        )
 
     def grant(
         self,
@@ -128,31 +130,37 @@
         A grant to one that is not heard stays: it may be out, and is not known to be back.
         """
         facts, members, me = node.facts, node.members, node.members.me.name
-        told = {of: held.entry.value for (of, origin), held in facts.of_kind(GRANT).items() if origin == me}
+        told = {
+            of: held.entry.value
+            for (of, origin), held in facts.of_kind(FactKind.QUARANTINE_GRANT).items()
+            if origin == me
+        }
         given = {name for name, life in told.items() if life}
         for name in list(given):
             member = members.others.get(name)
             if member is None or member.state is State.LEFT or told[name] != grant_of(member.rumor.life):
                 needed = False
             else:
-                needed = not member.here or facts.value(SHUT, "", name) is not None
+                needed = not member.here or facts.value(FactKind.QUARANTINE, "", name) is not None
             if not needed:
-                facts.offer(wall, GRANT, name, None)
+                facts.offer(wall, FactKind.QUARANTINE_GRANT, name, None)
                 given.discard(name)
         if members.minority or behind or now - self.began < YOUNG_S:
             return
-        shut = facts.of_kind(SHUT).items()
+        shut = facts.of_kind(FactKind.QUARANTINE).items()
         asks = {origin for (_, origin), held in shut if held.entry.value in (WANTS, OUT)}
         for name in sorted((asks & members.present.keys()) - given):
             if len(given) >= grants_each(members.stayed):
                 return
-            seq = seq_of(number(facts.value("list", "", name)))
+            seq = seq_of(number(facts.value(FactKind.LIST, "", name)))
             lags = seq < own or self.below(facts, name, seq, floors)
             if lags and name not in spared:
-                facts.offer(wall, GRANT, name, grant_of(members.present[name].rumor.life))
+                facts.offer(wall, FactKind.QUARANTINE_GRANT, name, grant_of(members.present[name].rumor.life))
                 given.add(name)
 
 
 def outside(facts: Facts) -> set[str]:
     """Those that are out: what they tell of zones is not counted."""
-    return {origin for (_, origin), held in facts.of_kind(SHUT).items() if held.entry.value == OUT}
+    return {
+        origin for (_, origin), held in facts.of_kind(FactKind.QUARANTINE).items() if held.entry.value == OUT
+    }
--- a/switchline/fleet_runtime/recovery.py
+++ b/switchline/fleet_runtime/recovery.py
@@ -19,9 +19,10 @@
 from switchline.audit.recorder import Noted
 from switchline.clock import now_ms
 from switchline.discovery.client import Discovery, DiscoveryError, read_list
+from switchline.fleet.fact_kinds import FactKind
 from switchline.fleet.members import Members
 from switchline.fleet.messages import LIST, MOST_HOSTS, MOST_SPENT, SPENDING, Exchange, HostRow, Listed, Spent
-from switchline.fleet.outage import RISEN, RISEN_S, UNKNOWN, Verdict, judge, read_down
+from switchline.fleet.outage import RISEN_S, UNKNOWN, Verdict, judge, read_down
 from switchline.fleet.staleness import bound_by, leaves_none, seq_of
 from switchline.fleet_runtime.transport import Peers, Word
 from switchline.operators.overrides import OperatorOverrides
@@ -89,7 +90,7 @@
 
     def words(self) -> Iterator[Word]:
         down = UNKNOWN if math.isnan(self.down_s) else f"{self.down_s:.1f}"
-        yield Word(RISEN, "", down if time.monotonic() < self.risen_until else None)
+        yield Word(FactKind.DOWNTIME, "", down if time.monotonic() < self.risen_until else None)
 
     def listed(self, seq: int) -> Listed | None:
         """The list here, if it is newer than what another has."""
@@ -286,7 +287,7 @@
         if self.peers is None:
             return self.verdict
         members, facts = self.peers.node.members, self.peers.node.facts
-        others = [read_down(facts.value(RISEN, "", name)) for name in members.present]
+        others = [read_down(facts.value(FactKind.DOWNTIME, "", name)) for name in members.present]
         return judge(self.down_s if time.monotonic() < self.risen_until else None, others)
 
     def look(self) -> None:
--- a/switchline/operators/fleet_calls.py
+++ b/switchline/operators/fleet_calls.py
@@ -13,7 +13,8 @@
 from collections.abc import Mapping
 
 from switchline.clock import now_ms
-from switchline.fleet.facts import FLEET_FLOOR, FLEET_HOST, FLEET_SPARE, FLEET_ZONE, TooMuch
+from switchline.fleet.fact_kinds import FactKind
+from switchline.fleet.facts import TooMuch
 from switchline.fleet.messages import Entry, State
 from switchline.fleet_runtime.transport import Peers, Word
 from switchline.operators.overrides import OperatorOverrides
@@ -28,11 +29,11 @@
 MOST_TAKEN = 16  # calls that are told of at once
 MOST_NAMED = 20  # gateways without it that an answer names
 # Kinds of facts; value: the time of the call.
-TOOK = {
-    FLEET_HOST: "took-host",
-    FLEET_ZONE: "took-zone",
-    FLEET_SPARE: "took-spare",
-    FLEET_FLOOR: "took-floor",
+TOOK: dict[str, FactKind] = {
+    FactKind.FLEET_BACKEND: FactKind.TOOK_BACKEND,
+    FactKind.FLEET_ZONE: FactKind.TOOK_ZONE,
+    FactKind.FLEET_SPARE: FactKind.TOOK_SPARE,
+    FactKind.FLEET_FLOOR: FactKind.TOOK_FLOOR,
 }
 
 
--- a/switchline/service/service.py
+++ b/switchline/service/service.py
@@ -247,9 +247,9 @@
         here = said if isinstance(said, Said) else await said
         if here is not YES or self.fleet_calls is None:
             return here
-        from switchline.fleet.facts import FOR_ALL
+        from switchline.fleet.fact_kinds import FLEET_WIDE
 
-        return await self.fleet_calls.tell(FOR_ALL[kind], name, out)
+        return await self.fleet_calls.tell(FLEET_WIDE[kind], name, out)
 
     def hold_here(self, kind: str, out: bool, name: str) -> Said | Later:
         if kind not in self.hands:
@@ -399,7 +399,7 @@
         """Take part in the fleet, if the configuration names one."""
         if self.config.line is None or self.peers is not None:
             return
-        from switchline.fleet.facts import FOR_ALL
+        from switchline.fleet.fact_kinds import FLEET_WIDE
         from switchline.fleet.staleness import Divergence
         from switchline.fleet_runtime.transport import Peers, next_life
         from switchline.operators.fleet_calls import FleetCalls
@@ -409,7 +409,7 @@
         life = next_life(self.config.state, chance)
         self.peers = Peers(self.config.name, self.config.line, life, chance, self.words)
         if self.fleet_calls is None:
-            self.fleet_calls = FleetCalls({FOR_ALL[kind]: bans for kind, bans in self.hands.items()})
+            self.fleet_calls = FleetCalls({FLEET_WIDE[kind]: bans for kind, bans in self.hands.items()})
         self.fleet_calls.attach(self.peers)
         if self.fleet_recovery is not None:
             self.fleet_recovery.attach(self.peers)
--- a/switchline/zones/coordination.py
+++ b/switchline/zones/coordination.py
@@ -1,7 +1,7 @@
-"""Zones as one act of the fleet: joins what the module meets, the facts of the line, and the module's zones.
+"""Joins the fleet's decisions on zones with the running gateway.
 
-`fleet.zonal` decides with the other gateways; the module follows its words (`ZoneDirective`). Only with the
-configuration's table `fleet`, and where the list names several zones.
+`ZoneAgreement` decides with the other gateways; the policy follows its directives (`ZoneDirective`). Imported
+only with the configuration's table `fleet`; idle unless the endpoint list names several zones.
 """
 
 from __future__ import annotations
@@ -13,194 +13,192 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-import msgspec
-
 from switchline.audit.recorder import Noted
 from switchline.clock import now_ms
-from switchline.fleet.facts import ZONE_ACT
+from switchline.fleet.fact_kinds import FactKind
 from switchline.fleet.messages import Entry
 from switchline.fleet_runtime.transport import Peers
 from switchline.policy import Gateway, gateway_status
 from switchline.policy import interface as api
 from switchline.service.driver import Driver, figure_name
-from switchline.zones.agreement import ID_DIGITS, ON, Act, Seen, Word, Zonal, part_of, read_act
+from switchline.zones.agreement import ZoneAgreement
+from switchline.zones.decision import NO_DIRECTIVE, Directive, ZoneState, decision_name
+from switchline.zones.ramp import backend_range
+from switchline.zones.reports import BACKEND_ID_DIGITS, LocalObservation
+from switchline.zones.returning import SlowStart
+from switchline.zones.stored_decisions import Row, from_row, to_row
 
 log = logging.getLogger(__name__)
 
-TICK_S, LOOK_S = 0.05, 0.25  # between two looks after a loss here or a fact of zones; and else
-STATES = {"up": 0, "returning": 1, "left": 2}  # as `zone.Z.state` tells the module's own
+URGENT_EVALUATION_S = 0.05  # between two evaluations after a loss here, or an urgent fact
+EVALUATION_S = 0.25  # between two evaluations else
+STATE_GAUGES = {ZoneState.UP: 0, ZoneState.RETURNING: 1, ZoneState.LEFT: 2}  # as the policy's own gauge
 
 
 class ZoneCoordinator:
-    """Owns this gateway's part in the fleet's zones."""
+    """Owns this gateway's part in the fleet's decisions on zones, and the timer of its evaluations."""
 
     def __init__(self, driver: Driver, chance: random.Random) -> None:
         settings = driver.settings
-        rules, gateways = settings.rules, settings.gateways
+        slow_start = SlowStart(settings.rules.start_capacity, settings.rules.warm_within / 1000)
         self.driver = driver
-        self.zonal = Zonal(
-            settings.zone, settings.index, gateways, rules.start_capacity, rules.warm_within / 1000, chance
-        )
+        self.agreement = ZoneAgreement(settings.zone, settings.index, settings.gateways, slow_start, chance)
         self.peers: Peers | None = None
-        self.timer: asyncio.TimerHandle | None = None
-        self.losses, self.stirred, self.looked_at = 0, False, 0.0
-        self.words: dict[str, Word] = {}
-        self.versions: dict[str, int] = {}
-        self.over_said = False
+        self.directives: dict[str, Directive] = {}
         self.noted: Noted = lambda kind, of, version, cause: None  # of the audit
-        self.keep: Callable[[str, list[Any]], None] | None = None  # on disk
+        self.keep: Callable[[str, Row], None] | None = None  # stores a decision on disk
+        self._timer: asyncio.TimerHandle | None = None
+        self._losses = 0  # counted by the policy until the last evaluation
+        self._urgent = False
+        self._evaluated_s = 0.0
+        self._logged_versions: dict[str, int] = {}
+        self._bound_logged = False
 
     def attach(self, peers: Peers) -> None:
-        """The line is open, or open anew."""
+        """Begin to take part: the fleet link is open, or open anew."""
         self.peers = peers
-        if self.timer is None:
-            self._turn()
+        if self._timer is None:
+            self._run_timer()
 
     def heard(self, entry: Entry) -> None:
-        """A fact that is new here."""
-        self.stirred |= self.zonal.stirs(entry.kind)
-        if entry.kind == ZONE_ACT and self.keep is not None:
-            self.keep(entry.name, row_of(entry))
-
-    def recall(self, rows: Mapping[str, list[Any]]) -> None:
-        """Decisions from disk, at a start: as if they were heard, and above none that the others know."""
-        for name, said in rows.items():
-            entry = entry_of(name, said)
+        """Take note of a fact that is new here."""
+        self._urgent |= self.agreement.is_urgent(entry.kind)
+        if entry.kind == FactKind.ZONE_DECISION and self.keep is not None:
+            self.keep(entry.name, to_row(entry))
+
+    def recall(self, rows: Mapping[str, Row]) -> None:
+        """Merge decisions from disk at a start; they override none that the others know."""
+        for name, row in rows.items():
+            entry = from_row(name, row)
             if self.peers is not None and entry is not None:
                 self.peers.node.facts.merge(now_ms(), entry)
 
     def close(self) -> None:
-        """There is no line any more: the module's own evidence holds."""
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
+        """Stop: the fleet link is closed, and the gateway's own evidence holds."""
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
         self.peers = None
-        self.follow({})
-
-    def _turn(self) -> None:
-        self.timer = asyncio.get_running_loop().call_later(TICK_S, self._turn)
-        now, losses = time.monotonic(), self.driver.gateway.zones.losses
-        if losses != self.losses or self.stirred or now - self.looked_at >= LOOK_S:
-            self.losses, self.stirred, self.looked_at = losses, False, now
-            self.look(now)
-
-    def look(self, now: float) -> None:
-        """Tell what was met, take part in what is decided, and have the module follow it."""
+        self._follow({})
+
+    def _run_timer(self) -> None:
+        self._timer = asyncio.get_running_loop().call_later(URGENT_EVALUATION_S, self._run_timer)
+        now_s = time.monotonic()
+        losses = self.driver.gateway.zones.losses
+        due = now_s - self._evaluated_s >= EVALUATION_S
+        if losses != self._losses or self._urgent or due:
+            self._losses = losses
+            self._urgent = False
+            self._evaluated_s = now_s
+            self._evaluate(now_s)
+
+    def _evaluate(self, now_s: float) -> None:
+        """Publish what was observed, take part in what is decided, and have the policy follow it."""
         gateway = self.driver.gateway
         if self.peers is None or not gateway.zones.several:
-            return self.follow({})
-        seen = seen_of(gateway, now_ms())
-        load = gateway_status.offered(gateway, now_ms())
-        self.zonal.regions = gateway.zones.regions
-        words = self.zonal.look(self.peers.node, now, now_ms(), seen, load)
-        if self.peers.node.facts.refused["own"] and not self.over_said:
-            self.over_said = True
+            self._follow({})
+            return
+        observations = observe_zones(gateway, now_ms())
+        load_per_s = gateway_status.offered(gateway, now_ms())
+        self.agreement.regions = gateway.zones.regions
+        directives = self.agreement.evaluate(self.peers.node, now_s, now_ms(), observations, load_per_s)
+        if self.peers.node.facts.refused["own"] and not self._bound_logged:
+            self._bound_logged = True
             log.warning("not all is told to the other gateways: the bound on facts is reached")
         self.peers.spread()
-        self.follow(words)
-        self.tell_log()
-
-    def follow(self, words: dict[str, Word]) -> None:
-        for zone in self.words.keys() | words.keys():
-            word = words.get(zone, Word(""))
-            if word != self.words.get(zone):
-                self.driver.give(told_of(zone, word))
-        self.words = words
-
-    def tell_log(self) -> None:
-        """One line for each decision that is new here."""
-        if self.peers is None:
-            return
-        facts = self.peers.node.facts
-        for zone in self.words:
-            version = facts.count(ZONE_ACT, self.zonal.name(zone))
-            if version != self.versions.get(zone, 0):
-                self.versions[zone] = version
-                act = self.zonal.act(facts, zone)
-                step = f", step {act.step}" if act.state == "returning" else ""
-                told = zone, act.state, step, version, self.zonal.zone, act.why
-                log.warning("the fleet: zone %s is %s%s (version %d, for gateways of %s): %s", *told)
-                self.noted("zone", self.zonal.name(zone), f"{version} {act.state}{step}", act.why)
-
-    # ---- what staff see ----
+        self._follow(directives)
+        self._log_decisions(self.peers)
+
+    def _follow(self, directives: dict[str, Directive]) -> None:
+        """Give the policy the directives that have changed."""
+        for zone in self.directives.keys() | directives.keys():
+            directive = directives.get(zone, NO_DIRECTIVE)
+            if directive != self.directives.get(zone):
+                self.driver.give(to_policy(zone, directive))
+        self.directives = directives
+
+    def _log_decisions(self, peers: Peers) -> None:
+        """Log and audit each decision that is new here."""
+        facts, observers = peers.node.facts, self.agreement.zone
+        for zone in self.directives:
+            version = self.agreement.version(facts, zone)
+            if version == self._logged_versions.get(zone, 0):
+                continue
+            self._logged_versions[zone] = version
+            decision = self.agreement.decision(facts, zone)
+            step = f", step {decision.step}" if decision.state == ZoneState.RETURNING else ""
+            log.warning(
+                "the fleet: zone %s is %s%s (version %d, for gateways of %s): %s",
+                zone,
+                decision.state,
+                step,
+                version,
+                observers,
+                decision.reason,
+            )
+            name = decision_name(observers, zone)
+            self.noted("zone", name, f"{version} {decision.state}{step}", decision.reason)
 
     def gauges(self) -> dict[str, int]:
-        """By zone: the fleet's state, version and step, and the own part of a return in thousandths."""
+        """Return of each zone the fleet's state, version and step, and this gateway's part of a ramp."""
         found: dict[str, int] = {}
-        for zone, row in self.shown().items():
+        for zone, view in self.shown().items():
             name = f"fleet.zone.{figure_name(zone)}"
-            found |= {
-                f"{name}.state": STATES[row["state"]],
-                f"{name}.version": row["version"],
-                f"{name}.step": row["step"],
-                f"{name}.part": row["part"],
-                f"{name}.observers": row["observers"],
-            }
+            found[f"{name}.state"] = STATE_GAUGES[view["state"]]
+            for key in ("version", "step", "part", "observers"):
+                found[f"{name}.{key}"] = view[key]
         return found
 
     def shown(self) -> dict[str, dict[str, Any]]:
-        """For `GET /ops/fleet`, by zone."""
+        """Return the view of `GET /ops/fleet`, by zone."""
         if self.peers is None:
             return {}
-        facts, found = self.peers.node.facts, {}
-        for zone in self.words:
-            act, zonal = self.zonal.act(facts, zone), self.zonal
-            rate = self.words[zone].rate
+        facts, agreement = self.peers.node.facts, self.agreement
+        found = {}
+        for zone, directive in self.directives.items():
+            decision = agreement.decision(facts, zone)
+            part = backend_range(decision.parts, agreement.place, agreement.places).width
             found[zone] = {
-                "state": act.state,
-                "version": facts.count(ZONE_ACT, zonal.name(zone)),
-                "for": zonal.zone,
-                "step": act.step,
-                "flaps": act.flaps,
-                "part": round(1000 * part_of(act.parts, zonal.place, zonal.places)),
-                "rate": round(rate, 2),
-                "observers": sum(name == zone for name, _ in facts.of_kind(ON)),
-                "why": act.why,
+                "state": decision.state,
+                "version": agreement.version(facts, zone),
+                "for": agreement.zone,
+                "step": decision.step,
+                "flaps": decision.flaps,
+                "part": round(1000 * part),  # in thousandths
+                "rate": round(directive.rate, 2),  # requests per second
+                "observers": sum(name == zone for name, _ in facts.of_kind(FactKind.ZONE_FOLLOWED)),
+                "why": decision.reason,
             }
         return found
 
 
-def row_of(entry: Entry) -> list[Any]:
-    """A decision as it is kept on disk."""
-    return [entry.origin, *entry.life, entry.version, entry.at, entry.value]
-
-
-def entry_of(name: str, said: list[Any]) -> Entry | None:
-    """A decision from disk; None for what is none.
-
-    A return is not gone on with: what its backends bore before is not known to hold. It is begun anew, from a
-    test of the zone; where others still go on with that version, theirs holds.
-    """
-    try:
-        origin, began, lot, version, at, value = said
-        act = read_act(str(value))
-        if act.state == "returning":
-            act = Act("left", flaps=act.flaps, why="kept on disk: the return is begun anew")
-        value = msgspec.json.encode(act).decode()
-        entry = Entry(ZONE_ACT, name, str(origin), (int(began), int(lot)), int(version), float(at), value)
-        return msgspec.convert(msgspec.to_builtins(entry), Entry)  # its ranges are held
-    except (ValueError, TypeError):
-        return None
-
-
-def short(backend: int) -> str:
-    """A backend's number, as short as it is told in."""
-    return f"{backend:0{ID_DIGITS}x}"[-ID_DIGITS:]
+def observe_zones(gateway: Gateway, now: float) -> dict[str, LocalObservation]:
+    """Return what a gateway observes in each zone with usable backends; `now` in milliseconds."""
+    return {
+        zone: LocalObservation(seen.usable, _ages_s(seen.lost), _ages_s(seen.well), seen.slow, seen.warmth)
+        for zone, seen in gateway_status.met(gateway, now).items()
+        if seen.usable
+    }
 
 
-def seen_of(gateway: Gateway, now: float) -> dict[str, Seen]:
-    """What a gateway meets, by zone, in the words of the line; `now` in milliseconds."""
-    met = {zone: one for zone, one in gateway_status.met(gateway, now).items() if one.usable}
-    return {z: Seen(o.usable, ages(o.lost), ages(o.well), o.slow, o.warmth) for z, o in met.items()}
+def _ages_s(ages_ms: Mapping[int, float]) -> dict[str, float]:
+    """Return ages in seconds by the published form of the backends' numbers."""
+    return {backend_id(backend): age_ms / 1000 for backend, age_ms in ages_ms.items()}
 
 
-def ages(of: dict[int, float]) -> dict[str, float]:
-    """By a backend's short name, in seconds."""
-    return {short(backend): age / 1000 for backend, age in of.items()}
+def backend_id(backend: int) -> str:
+    """Return a backend's number as it is published: its last digits, hexadecimal."""
+    return f"{backend:0{BACKEND_ID_DIGITS}x}"[-BACKEND_ID_DIGITS:]
 
 
-def told_of(zone: str, word: Word) -> api.ZoneDirective:
-    """A word as the module takes it."""
+def to_policy(zone: str, directive: Directive) -> api.ZoneDirective:
+    """Return a directive as the policy takes it, with milliseconds for seconds."""
     return api.ZoneDirective(
-        zone, word.state, word.rate, word.share, word.gap_s * 1000, word.first, word.part
+        zone=zone,
+        state=directive.state.value if directive.state is not None else "",
+        rate=directive.rate,
+        share=directive.share,
+        gap=directive.probe_gap_s * 1000,
+        first=directive.range_start,
+        part=directive.range_width,
     )
--- a/tests/fleet/test_fleet_protocol.py
+++ b/tests/fleet/test_fleet_protocol.py
@@ -15,7 +15,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from switchline.config import ConfigError, parse_config
-from switchline.fleet.facts import CLOCK_MS, HELD_HOST, MOST_OF_ORIGIN, WITHDRAWN_MS, Facts, TooMuch
+from switchline.fleet.fact_kinds import FactKind
+from switchline.fleet.facts import CLOCK_MS, MOST_OF_ORIGIN, WITHDRAWN_MS, Facts, TooMuch
 from switchline.fleet.members import GONE_S, Members
 from switchline.fleet.messages import (
     LIST,
@@ -102,7 +103,7 @@
 names = st.sampled_from(["a", "b"])
 entries = st.builds(
     Entry,
-    kind=st.sampled_from(["ready", HELD_HOST]),
+    kind=st.sampled_from(["ready", FactKind.HELD_BACKEND]),
     name=names,
     origin=st.sampled_from(["g0", "g1", "g2"]),
     life=st.tuples(st.integers(1, 2), st.integers(0, 1)),
@@ -133,18 +134,23 @@
 
 def told(facts: Facts) -> dict[str, tuple[str | None, float]]:
     """What is known of backends out by hand."""
-    return {name: (held.entry.value, held.entry.at) for (name, _), held in facts.of_kind(HELD_HOST).items()}
+    return {
+        name: (held.entry.value, held.entry.at)
+        for (name, _), held in facts.of_kind(FactKind.HELD_BACKEND).items()
+    }
 
 
 def test_the_newest_call_wins_a_clock_too_far_ahead_is_not_believed_and_deletions_end() -> None:
     facts = Facts("g0", LIFE)
-    assert facts.tell(WALL_MS, HELD_HOST, "b1", "down")
-    assert facts.tell(WALL_MS, HELD_HOST, "b1", "down") is None  # nothing new
-    call = Entry(HELD_HOST, "b1", "g1", (9, 9), 1, WALL_MS + CLOCK_MS + 1, "up")
+    assert facts.tell(WALL_MS, FactKind.HELD_BACKEND, "b1", "down")
+    assert facts.tell(WALL_MS, FactKind.HELD_BACKEND, "b1", "down") is None  # nothing new
+    call = Entry(FactKind.HELD_BACKEND, "b1", "g1", (9, 9), 1, WALL_MS + CLOCK_MS + 1, "up")
     assert not facts.merge(WALL_MS, call) and facts.refused["clock"] == 1
     assert told(facts) == {"b1": ("down", WALL_MS)}
     assert facts.merge(WALL_MS, msgspec.structs.replace(call, at=WALL_MS + 1))
-    assert not facts.tell(WALL_MS, HELD_HOST, "b1", "down")  # an older call than the one that holds
+    assert not facts.tell(
+        WALL_MS, FactKind.HELD_BACKEND, "b1", "down"
+    )  # an older call than the one that holds
     assert told(facts) == {"b1": ("up", WALL_MS + 1)}
     assert facts.tell(WALL_MS, "ready", "", "yes") and facts.tell(WALL_MS, "ready", "", None)
     later = WALL_MS + WITHDRAWN_MS + 1
@@ -332,11 +338,11 @@
     assert net.run(10, net.whole)
     ahead = net.nodes[address_of(2)]
     ahead.tell(net.wall(address_of(2)), "ready", "", "yes")
-    ahead.tell(net.wall(address_of(2)), HELD_HOST, "b0", "down")
+    ahead.tell(net.wall(address_of(2)), FactKind.HELD_BACKEND, "b0", "down")
     net.run(15)
     for address, node in net.nodes.items():
         assert node.facts.value("ready", "", "g2") == "yes"  # of itself: no clocks are compared
-        assert (node.facts.value(HELD_HOST, "b0") == "down") is (address == address_of(2))
+        assert (node.facts.value(FactKind.HELD_BACKEND, "b0") == "down") is (address == address_of(2))
 
 
 def test_pings_and_the_number_of_the_list_that_is_asked_for_are_apart() -> None:
--- a/tests/fleet/test_quarantine.py
+++ b/tests/fleet/test_quarantine.py
@@ -12,13 +12,12 @@
 from hypothesis import strategies as st
 
 from switchline.config import parse_line
+from switchline.fleet.fact_kinds import FactKind
 from switchline.fleet.members import Address, Members
 from switchline.fleet.quarantine import (
-    GRANT,
     LEVEL_S,
     OUT,
     PART,
-    SHUT,
     WANTS,
     YOUNG_S,
     Quarantine,
@@ -94,7 +93,10 @@
     assert fleet.out() == []
     facts = fleet.net.nodes[address_of(0)].facts
     fleet.run(2.0)
-    assert facts.value(SHUT, "", "g3") is None and facts.value(GRANT, "g3", "g0") is None
+    assert (
+        facts.value(FactKind.QUARANTINE, "", "g3") is None
+        and facts.value(FactKind.QUARANTINE_GRANT, "g3", "g0") is None
+    )
     fleet.lists[3] = 4  # again so soon: it has to be level for longer
     fleet.run(PATIENCE_S + 2.0)
     fleet.lists[3] = 5
@@ -135,7 +137,7 @@
         begun = fleet.net.now
         for now, word in ((begun, None), (begun + PATIENCE_S, WANTS)):
             one.look(node, now, 0.0, 5, False, (), floor)
-            assert node.facts.value(SHUT, "", "g0") == word
+            assert node.facts.value(FactKind.QUARANTINE, "", "g0") == word
 
 
 def test_a_release_is_rolled_out_in_peace_until_a_floor_and_then_stragglers_go_a_part_at_a_time() -> None:
--- a/tests/linked_fleet.py
+++ b/tests/linked_fleet.py
@@ -7,16 +7,19 @@
 
 from gateway_fleet import Fleet
 
+from switchline.fleet.fact_kinds import FactKind
 from switchline.fleet.messages import Entry
 from switchline.policy import gateway_status
 from switchline.policy import interface as api
-from switchline.zones.agreement import Act, Word, Zonal, read_act
-from switchline.zones.coordination import LOOK_S, TICK_S, seen_of, told_of
+from switchline.zones.agreement import ZoneAgreement
+from switchline.zones.coordination import EVALUATION_S, URGENT_EVALUATION_S, observe_zones, to_policy
+from switchline.zones.decision import NO_DIRECTIVE, Directive, ZoneDecision, decode_decision
+from switchline.zones.returning import SlowStart
 from testbed.network.fleet_link import Net, acquaint, address_of
 
 
-class Lined(Fleet):
-    """As `Fleet`; gateways look at their zones as `zone_coordination.py` does, but for `lone` ones."""
+class LinkedFleet(Fleet):
+    """As `Fleet`; gateways evaluate their zones as `coordination.py` does, but for `lone` ones."""
 
     def __init__(
         self,
@@ -28,11 +31,11 @@
     ) -> None:
         super().__init__(zones, gateways, own, seed, **changes)
         self.net = Net(seed)
-        self.zonals: list[Zonal] = []
-        self.words: list[dict[str, Word]] = [{} for _ in range(gateways)]
+        self.agreements: list[ZoneAgreement] = []
+        self.directives: list[dict[str, Directive]] = [{} for _ in range(gateways)]
         self.losses = [0] * gateways
-        self.stirred = [False] * gateways
-        self.looked = [0.0] * gateways
+        self.urgent = [False] * gateways
+        self.evaluated_s = [0.0] * gateways
         self.lone: set[int] = set()
         self.cuts: set[tuple[str, str]] = set()  # zones of gateways, and of backends that they don't reach
         self.loss = 0.0  # of what passes between gateways and backends, each by chance
@@ -42,7 +45,9 @@
             rules = self.gateways[index].settings.rules
             chance = random.Random(f"{seed} {index}")
             least, warm_s = rules.start_capacity, rules.warm_within / 1000
-            self.zonals.append(Zonal(own(index), index, gateways, least, warm_s, chance))
+            self.agreements.append(
+                ZoneAgreement(own(index), index, gateways, SlowStart(least, warm_s), chance)
+            )
             node.told = self._hears(index)
             for kind, value in (("zone", own(index)), ("index", str(index))):
                 node.tell(self.net.wall(address_of(index)), kind, "", value)
@@ -56,18 +61,18 @@
         self.began_ms, self.began_s = self.now, self.net.now
 
     def _begin(self, index: int) -> None:
-        self.later(self.chance.uniform(0, TICK_S * 1000), lambda: self._tick(index))
+        self.later(self.chance.uniform(0, URGENT_EVALUATION_S * 1000), lambda: self._tick(index))
 
     def _hears(self, index: int) -> Callable[[Entry], None]:
         def told(entry: Entry) -> None:
-            self.stirred[index] |= self.zonals[index].stirs(entry.kind)
-            if index == 0 and entry.kind == "zone-act":
+            self.urgent[index] |= self.agreements[index].is_urgent(entry.kind)
+            if index == 0 and entry.kind == FactKind.ZONE_DECISION:
                 self.decisions.append((self.now, entry))
 
         return told
 
     def meet(self, index: int, request: str, number: int, backend: int, sent_at: float) -> None:
-        if (self.zonals[index].zone, self.zone_of[backend]) in self.cuts:
+        if (self.agreements[index].zone, self.zone_of[backend]) in self.cuts:
             lost = api.Outcome.TIMED_OUT
             return self.later(3000.0, lambda: self.end(index, request, number, backend, lost, sent_at))
         if self.chance.random() < self.loss:
@@ -83,31 +88,39 @@
         return self.began_s + (self.now - self.began_ms) / 1000
 
     def _tick(self, index: int) -> None:
-        self.later(TICK_S * 1000, lambda: self._tick(index))
+        self.later(URGENT_EVALUATION_S * 1000, lambda: self._tick(index))
         node = self.net.nodes.get(address_of(index))
         if node is None or index in self.lone or self.net.stopped.get(address_of(index), 0) > self.net.now:
             return
         self.net.run(max(0.0, self.seconds() - self.net.now))
         losses = self.gateways[index].zones.losses
-        if losses != self.losses[index] or self.stirred[index] or self.net.now - self.looked[index] >= LOOK_S:
-            self.losses[index], self.stirred[index], self.looked[index] = losses, False, self.net.now
+        if (
+            losses != self.losses[index]
+            or self.urgent[index]
+            or self.net.now - self.evaluated_s[index] >= EVALUATION_S
+        ):
+            self.losses[index], self.urgent[index], self.evaluated_s[index] = losses, False, self.net.now
             gateway, wall = self.gateways[index], self.net.wall(address_of(index))
-            seen, load = seen_of(gateway, self.now), gateway_status.offered(gateway, self.now)
-            self.zonals[index].regions = gateway.zones.regions
-            words = self.zonals[index].look(node, self.net.now, wall, seen, load)
+            seen, load = observe_zones(gateway, self.now), gateway_status.offered(gateway, self.now)
+            self.agreements[index].regions = gateway.zones.regions
+            directives = self.agreements[index].evaluate(node, self.net.now, wall, seen, load)
             self.net.carry(address_of(index), node)
-            before, self.words[index] = self.words[index], words
-            for zone in before.keys() | words.keys():
-                word = words.get(zone, Word(""))
-                if word != before.get(zone):
-                    self.give(index, told_of(zone, word))
+            before, self.directives[index] = self.directives[index], directives
+            for zone in before.keys() | directives.keys():
+                directive = directives.get(zone, NO_DIRECTIVE)
+                if directive != before.get(zone):
+                    self.give(index, to_policy(zone, directive))
 
     def states(self, zone: str, own: str = "") -> set[str]:
         """What the gateways' modules make of a zone; those of one zone alone, where it is given."""
-        of = [g for g, zonal in zip(self.gateways, self.zonals, strict=True) if own in ("", zonal.zone)]
+        of = [
+            g
+            for g, agreement in zip(self.gateways, self.agreements, strict=True)
+            if own in ("", agreement.zone)
+        ]
         return {gateway.zones.zones[zone].state.value for gateway in of}
 
-    def acts(self, zone: str) -> list[Act]:
+    def decisions_on(self, zone: str) -> list[ZoneDecision]:
         """The decisions on a zone that the first gateway has heard of, in their order."""
         heard = [entry for _, entry in self.decisions if entry.name.endswith(f">{zone}")]
-        return [read_act(entry.value) for entry in heard]
+        return [decode_decision(entry.value) for entry in heard]
--- a/tests/zones/test_zone_agreement.py
+++ b/tests/zones/test_zone_agreement.py
@@ -13,35 +13,24 @@
 from helpers import settings as module_settings
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from linked_fleet import Lined
+from linked_fleet import LinkedFleet
 
 from switchline import ctl
 from switchline.clock import now_ms
-from switchline.fleet.facts import MOST_COUNTED, ZONE_ACT, Facts, higher
+from switchline.fleet.fact_kinds import FactKind
+from switchline.fleet.facts import MOST_DECISIONS, Facts, higher
 from switchline.fleet.messages import Entry, State
 from switchline.policy import Gateway
 from switchline.policy import interface as api
 from switchline.state.recovery import holds
-from switchline.zones.agreement import (
-    ENDED_S,
-    HOLD_S,
-    LOAD,
-    MET,
-    STEPS,
-    Act,
-    Heard,
-    Met,
-    Seen,
-    Zonal,
-    part_of,
-    parts_of,
-    pool,
-    range_of,
-    read_act,
-    read_met,
-    share_at,
-)
-from switchline.zones.coordination import entry_of, row_of
+from switchline.zones.agreement import DEAD_KEEPS_PART_S, ZoneAgreement
+from switchline.zones.decision import RAMP_STEPS, ZoneDecision, decode_decision
+from switchline.zones.evidence import pool_reports
+from switchline.zones.leaving import CONFIRMATION_S, evidence_to_leave
+from switchline.zones.ramp import backend_range, parts_by_load, share_at
+from switchline.zones.reports import LocalObservation, PublishedReport, ReceivedReport, decode_report
+from switchline.zones.returning import SlowStart
+from switchline.zones.stored_decisions import from_row, to_row
 from testbed.network.fleet_link import Net, acquaint, address_of
 
 ZONES = {"a": 8, "b": 8, "c": 8}
@@ -51,8 +40,8 @@
     return "abc"[index % 3]
 
 
-def fleet(gateways: int = 12, seed: int = 1, **given: Any) -> Lined:
-    made = Lined(ZONES, gateways, own=spread, seed=seed, **given)
+def fleet(gateways: int = 12, seed: int = 1, **given: Any) -> LinkedFleet:
+    made = LinkedFleet(ZONES, gateways, own=spread, seed=seed, **given)
     made.run(3000, gap=50)
     return made
 
@@ -83,17 +72,17 @@
     back = play.now
     play.tell(play.of("b"), started=back)  # as just restarted
     play.run(22_000, gap=50)
-    returning = [at for at, e in play.decisions if read_act(e.value).state == "returning"]
+    returning = [at for at, e in play.decisions if decode_decision(e.value).state == "returning"]
     begun = max(at for at in returning if at < returning[0] + 1000)  # for the gateways of all three zones
     total, warm_ms = 12 * 20.0, play.gateways[0].settings.rules.warm_within
     used = allowed = 0.0
     for at in range(int(begun), int(begun + 0.7 * warm_ms), 500):
         # What the other zones' backends bear of all, on the way from cold to warm; and its share at most.
-        share = min(2 / 3, share_at(int((at + 500 - begun) / warm_ms * STEPS) + 1, 0.2))
+        share = min(2 / 3, share_at(int((at + 500 - begun) / warm_ms * RAMP_STEPS) + 1, 0.2))
         used, allowed = used + play.to("b", at, at + 500), allowed + share * total / 2 * 0.5
         assert play.to("b", at, at + 500) <= share * total / 2 * 0.5 + 8
     assert 0.6 * allowed < used <= allowed
-    assert play.states("b") == {"up"} and [act.state for act in play.acts("b")][-1] == "up"
+    assert play.states("b") == {"up"} and [act.state for act in play.decisions_on("b")][-1] == "up"
 
 
 def test_a_cut_between_two_zones_moves_those_two_alone() -> None:
@@ -108,7 +97,7 @@
 
 
 def test_with_thin_traffic_all_leave_what_none_alone_could_know_to_be_lost() -> None:
-    play = Lined(ZONES, 60, own=spread, seed=2)
+    play = LinkedFleet(ZONES, 60, own=spread, seed=2)
     play.run(6000, gap=1000)
     lost_at = play.now
     play.mode["b"] = "refuses"
@@ -124,7 +113,7 @@
     for number in (2, 7):
         play.net.stop(number, 3.0)
         play.run(6000, gap=50)
-    assert not [act for zone in ZONES for act in play.acts(zone)]
+    assert not [act for zone in ZONES for act in play.decisions_on(zone)]
     assert not play.remarks
 
 
@@ -135,12 +124,12 @@
         play.run(3000, gap=50)
         play.mode.clear()
         play.run(12_000, gap=50)
-    assert {act.flaps for act in play.acts("b")} == {0, 1}
+    assert {act.flaps for act in play.decisions_on("b")} == {0, 1}
     play.mode |= dict.fromkeys(play.of("b")[4:], "refuses")
     play.run(45_000, gap=50)
-    acts = [read_act(entry.value) for _, entry in play.decisions if entry.name == "a>b"]
+    decisions_on = [decode_decision(entry.value) for _, entry in play.decisions if entry.name == "a>b"]
     # Each of the four takes a step back at most once; then the rest is returned to in full.
-    assert any("backends fail" in act.why for act in acts) and acts[-1].state == "up"
+    assert any("backends fail" in act.reason for act in decisions_on) and decisions_on[-1].state == "up"
     assert play.to("b", play.now - 4000) > 40
 
 
@@ -169,7 +158,7 @@
     assert play.states("a") == play.states("b") == {"left"} and play.states("c") == {"up"}
     play.mode["c"] = "refuses"
     play.run(3000, gap=50)
-    assert not [act for act in play.acts("c") if act.state == "left"]
+    assert not [act for act in play.decisions_on("c") if act.state == "left"]
 
 
 def test_a_region_is_entered_zone_after_zone_and_one_that_halts_keeps_none_out() -> None:
@@ -183,16 +172,23 @@
     for observers in ZONES:
         steps: dict[str, int] = {}
         for _, entry in play.decisions:
-            act, name = read_act(entry.value), entry.name
+            act, name = decode_decision(entry.value), entry.name
             if name.startswith(observers) and act.state == "returning":
-                assert name in steps or all(step >= STEPS // 2 for step in steps.values())
+                assert name in steps or all(step >= RAMP_STEPS // 2 for step in steps.values())
                 steps[name] = act.step
         assert len(steps) == 2
-    zonal = play.zonals[2]  # the other zone's ramp stands still: no longer than a cold backend takes
+    agreement = play.agreements[2]  # the other zone's ramp stands still: no longer than a cold backend takes
     facts = Facts("g0", (1, 1))
-    facts.decide(0.0, ZONE_ACT, f"{zonal.zone}>a", msgspec.json.encode(Act("returning", 1)).decode())
-    assert zonal._waits(facts, "b", 1_000.0) and zonal._waits(facts, "b", 1_000.0 + zonal.warm_s - 0.1)
-    assert not zonal._waits(facts, "b", 1_000.0 + zonal.warm_s)
+    facts.decide(
+        0.0,
+        FactKind.ZONE_DECISION,
+        f"{agreement.zone}>a",
+        msgspec.json.encode(ZoneDecision("returning", 1)).decode(),
+    )
+    assert agreement._waits_for_region(facts, "b", 1_000.0) and agreement._waits_for_region(
+        facts, "b", 1_000.0 + agreement.slow_start.warm_s - 0.1
+    )
+    assert not agreement._waits_for_region(facts, "b", 1_000.0 + agreement.slow_start.warm_s)
 
 
 def test_a_cut_line_leaves_each_to_its_own_evidence() -> None:
@@ -201,7 +197,7 @@
     play.run(9000, gap=50)  # until they hold each other dead
     play.mode["b"] = "refuses"
     play.run(4000, gap=50)
-    assert not play.acts("b") and play.states("b") == {"left"}  # each by itself, as without a line
+    assert not play.decisions_on("b") and play.states("b") == {"left"}  # each by itself, as without a line
 
 
 def test_who_stood_still_in_a_ramp_sends_nothing_until_it_hears_again() -> None:
@@ -227,16 +223,15 @@
 )
 
 
-def heard(name: str, zone: str, lost: Any, well: Any) -> Heard:
+def heard(name: str, zone: str, lost: Any, well: Any) -> ReceivedReport:
     """What a gateway tells; what it met well it met last."""
-    return Heard(name, zone, {f"b{b}": 1.0 for b in lost}, {f"b{b}": 2.0 for b in well})
+    return ReceivedReport(name, zone, {f"b{b}": 1.0 for b in lost}, {f"b{b}": 2.0 for b in well})
 
 
-def judged(own: str, told: list[Heard]) -> bool:
+def judged(own: str, told: list[ReceivedReport]) -> bool:
     """Whether the gateways of a zone leave zone b, on such words."""
-    zonal = Zonal(own, 0, 9, 0.2, 16.0, random.Random(1))
-    ours = pool(one for one in told if one.zone == own)
-    return zonal._failing(ours, told, 8, alone=False) is not None
+    ours = pool_reports(one for one in told if one.observer_zone == own)
+    return evidence_to_leave(ours, told, 8, alone=False) is not None
 
 
 @settings(max_examples=300, deadline=None)
@@ -247,7 +242,7 @@
     told = [heard(f"g{number}", zone, lost, well) for number, (zone, lost, well) in enumerate(words)]
     tellers = [one for one in told if one.lost]
     backends = {b for one in told for b in one.lost}
-    zones = {one.zone for one in tellers}
+    zones = {one.observer_zone for one in tellers}
     if len(tellers) < 2 or len(backends) < 3 or (len(zones) < 2 and zones != {own}):
         assert not judged(own, told)
     for one in tellers:  # nor on the word of one and a single loss that another met
@@ -263,14 +258,14 @@
     assert judged("b", lost) and judged("a", lost)
     assert not judged("b", [*lost, heard("g2", "b", none, everything)])
     assert not judged("a", [*lost, heard("g2", "b", none, everything)])  # the last that anybody met
-    late = Heard("g2", "b", {}, {f"b{b}": 0.5 for b in everything})
+    late = ReceivedReport("g2", "b", {}, {f"b{b}": 0.5 for b in everything})
     assert judged("a", [*lost, late]) and not judged("b", [*lost, late])  # it was well before it was lost
 
 
 @given(st.text(max_size=60))
 def test_spoilt_words_say_nothing(text: str) -> None:
-    assert read_met(text) is None or isinstance(read_met(text), Met)
-    assert isinstance(read_act(text), Act)
+    assert decode_report(text) is None or isinstance(decode_report(text), PublishedReport)
+    assert isinstance(decode_decision(text), ZoneDecision)
 
 
 # ---- parts and decisions ----
@@ -278,14 +273,14 @@
 
 @given(st.dictionaries(st.integers(0, 40), st.floats(0, 1e6), max_size=30))
 def test_parts_of_one_version_add_up_to_one_at_most(loads: dict[int, float]) -> None:
-    parts = parts_of(loads, 41)
-    total = sum(part_of(parts, place, 41) for place in range(41))
-    assert total <= 1 + 1e-9 and part_of("f", 5, 2) == 0.0
-    ends = [range_of(parts, place, 41) for place in range(41)]
+    parts = parts_by_load(loads, 41)
+    total = sum(backend_range(parts, place, 41).width for place in range(41))
+    assert total <= 1 + 1e-9 and backend_range("f", 5, 2).width == 0.0
+    ends = [backend_range(parts, place, 41) for place in range(41)]
     for (first, part), (following, _) in itertools.pairwise(ends):
         assert math.isclose(first + part, following, abs_tol=1e-9)  # so that each backend is covered once
-    assert ends[0][0] == 0.0 and range_of("", 7, 5)[0] < 1.0
-    assert [share_at(step, 0.2) for step in (0, STEPS)] == [0.2, 1.0]
+    assert ends[0][0] == 0.0 and backend_range("", 7, 5)[0] < 1.0
+    assert [share_at(step, 0.2) for step in (0, RAMP_STEPS)] == [0.2, 1.0]
 
 
 @settings(max_examples=60, deadline=None)
@@ -293,15 +288,15 @@
 def test_no_order_of_messages_deaths_and_halts_raises_the_sum_of_a_ramp(steps: list[str], seed: int) -> None:
     """Six gateways of one zone on a lossy line return to another; their rates are added up at each moment."""
     net, chance = Net(seed), random.Random(seed)
-    zonals = [Zonal("a", n, 8, 0.2, 4.0, random.Random(n)) for n in range(6)]
+    agreements = [ZoneAgreement("a", n, 8, SlowStart(0.2, 4.0), random.Random(n)) for n in range(6)]
     for number in range(6):
         node = net.add(number)
-        for kind, value in (("zone", "a"), ("index", str(number)), (LOAD, str(10.0 + number))):
+        for kind, value in (("zone", "a"), ("index", str(number)), (FactKind.LOAD, str(10.0 + number))):
             node.tell(net.wall(address_of(number)), kind, "", value)
     acquaint(net)
     net.run(4.0)
-    seen = {"a": Seen(6), "b": Seen(6, well={f"{b:08x}": 0.01 for b in range(6)})}
-    net.nodes[address_of(0)].facts.decide(1.0, ZONE_ACT, "a>b", '["left"]')
+    seen = {"a": LocalObservation(6), "b": LocalObservation(6, healthy={f"{b:08x}": 0.01 for b in range(6)})}
+    net.nodes[address_of(0)].facts.decide(1.0, FactKind.ZONE_DECISION, "a>b", '["left"]')
     net.run(2.0)
     gone: set[int] = set()
     for step in [*steps, *["tick"] * 6]:
@@ -320,63 +315,80 @@
         for _ in range(8):
             net.run(0.25)
             rates = []
-            for number, zonal in enumerate(zonals):
+            for number, agreement in enumerate(agreements):
                 node = net.nodes.get(address_of(number))
                 if number not in gone and node is not None:
                     if net.stopped.get(address_of(number), 0.0) <= net.now:
-                        zonal.look(node, net.now, net.wall(address_of(number)), seen, 10.0 + number)
+                        agreement.evaluate(node, net.now, net.wall(address_of(number)), seen, 10.0 + number)
                         net.carry(address_of(number), node)
-                    if (word := zonal.words.get("b")) is not None and word.state == "returning":
-                        rates.append((word.rate, read_act(node.facts.value(ZONE_ACT, "a>b"))))
+                    if (word := agreement.directives.get("b")) is not None and word.state == "returning":
+                        rates.append(
+                            (word.rate, decode_decision(node.facts.value(FactKind.ZONE_DECISION, "a>b")))
+                        )
             if rates:
-                most = max(share_at(act.step, 0.2) * act.each * act.count for _, act in rates)
+                most = max(share_at(act.step, 0.2) * act.backend_rate * act.backends for _, act in rates)
                 assert sum(rate for rate, _ in rates) <= most * 1.001
 
 
 def test_a_decision_is_the_same_in_any_order_and_has_a_bound() -> None:
     one, two = Facts("g0", (1, 1)), Facts("g1", (1, 1))
-    entries = [one.decide(1.0, ZONE_ACT, "a>b", '["left"]'), two.decide(1.0, ZONE_ACT, "a>b", '["up"]')]
-    entries.append(two.decide(2.0, ZONE_ACT, "a>b", '["returning"]'))
+    entries = [
+        one.decide(1.0, FactKind.ZONE_DECISION, "a>b", '["left"]'),
+        two.decide(1.0, FactKind.ZONE_DECISION, "a>b", '["up"]'),
+    ]
+    entries.append(two.decide(2.0, FactKind.ZONE_DECISION, "a>b", '["returning"]'))
     found = set()
     for order in itertools.permutations(e for e in entries if e is not None):
         table = Facts("g2", (1, 1))
         for entry in order:
             table.merge(3.0, entry)
-        found.add((table.count(ZONE_ACT, "a>b"), table.value(ZONE_ACT, "a>b")))
+        found.add((table.count(FactKind.ZONE_DECISION, "a>b"), table.value(FactKind.ZONE_DECISION, "a>b")))
     assert found == {(2, '["returning"]')}
-    for number in range(MOST_COUNTED + 3):
-        one.decide(1.0, ZONE_ACT, f"z>{number}", '["left"]')
-    assert len(one.of_kind(ZONE_ACT)) == MOST_COUNTED and one.refused["full"] == 4
+    for number in range(MOST_DECISIONS + 3):
+        one.decide(1.0, FactKind.ZONE_DECISION, f"z>{number}", '["left"]')
+    assert len(one.of_kind(FactKind.ZONE_DECISION)) == MOST_DECISIONS and one.refused["full"] == 4
 
 
 def test_a_dead_gateway_keeps_its_part_until_it_surely_has_ended() -> None:
     net = Net(1)
     for number in range(3):
         node = net.add(number)
-        for kind, value in (("zone", "a"), ("index", str(number)), (LOAD, "10.0")):
+        for kind, value in (("zone", "a"), ("index", str(number)), (FactKind.LOAD, "10.0")):
             node.tell(net.wall(address_of(number)), kind, "", value)
     acquaint(net)
     net.run(5.0)
     net.remove(2)
     net.run(6.0)
-    node, zonal = net.nodes[address_of(0)], Zonal("a", 0, 3, 0.2, 16.0, random.Random(1))
+    node, agreement = (
+        net.nodes[address_of(0)],
+        ZoneAgreement("a", 0, 3, SlowStart(0.2, 16.0), random.Random(1)),
+    )
     assert node.members.others["g2"].state is State.DEAD
-    assert set(zonal._loads(node, net.now)) == {0, 1, 2}
-    assert set(zonal._loads(node, net.now + ENDED_S)) == {0, 1}
+    assert set(agreement._loads(node, net.now)) == {0, 1, 2}
+    assert set(agreement._loads(node, net.now + DEAD_KEEPS_PART_S)) == {0, 1}
 
 
 def test_a_ramp_that_began_without_load_still_lets_work_in() -> None:
     net = Net(1)
     net.add(0).tell(net.wall(address_of(0)), "zone", "", "a")
     node, wall = net.nodes[address_of(0)], net.wall(address_of(0))
-    zonal = Zonal("a", 0, 1, 0.2, 16.0, random.Random(1))
-    node.facts.decide(wall, ZONE_ACT, "a>b", '["left"]')
-    answers = {"a": Seen(4), "b": Seen(4, well=dict.fromkeys(("b1", "b2", "b3"), 0.0))}
+    agreement = ZoneAgreement("a", 0, 1, SlowStart(0.2, 16.0), random.Random(1))
+    node.facts.decide(wall, FactKind.ZONE_DECISION, "a>b", '["left"]')
+    answers = {
+        "a": LocalObservation(4),
+        "b": LocalObservation(4, healthy=dict.fromkeys(("b1", "b2", "b3"), 0.0)),
+    }
     for later in (0.0, 0.3, 0.7):  # it is not seen to have stood still
-        zonal.look(node, net.now + later, wall, answers, 0.0)
-    assert zonal.act(node.facts, "b").state == "returning" and zonal.words["b"].rate > 0.0
-    zonal.look(node, net.now + 0.8, wall, {"a": Seen(4)}, 0.0)  # the list names it no more
-    assert not zonal.words and "b" not in zonal.since and node.facts.value("zone-on", "b", "g0") is None
+        agreement.evaluate(node, net.now + later, wall, answers, 0.0)
+    assert agreement.decision(node.facts, "b").state == "returning" and agreement.directives["b"].rate > 0.0
+    agreement.evaluate(
+        node, net.now + 0.8, wall, {"a": LocalObservation(4)}, 0.0
+    )  # the list names it no more
+    assert (
+        not agreement.directives
+        and "b" not in agreement.progress
+        and node.facts.value("zone-on", "b", "g0") is None
+    )
 
 
 # ---- the module ----
@@ -433,21 +445,30 @@
 
 
 def test_decisions_come_back_from_disk_a_return_is_begun_anew_and_spoilt_rows_are_none() -> None:
-    def kept(act: Act) -> Entry:
-        return Entry(ZONE_ACT, "a>b", "g3", (7, 8), 5, 1.5e12, msgspec.json.encode(act).decode())
-
-    left, returning = kept(Act("left", flaps=1, why="failing")), kept(Act("returning", 4, 1, 9.5, 8, "f0f"))
-    assert entry_of("a>b", row_of(left)) == left
-    anew = entry_of("a>b", row_of(returning))
-    assert anew is not None and read_act(anew.value).state == "left" and read_act(anew.value).flaps == 1
+    def kept(act: ZoneDecision) -> Entry:
+        return Entry(
+            FactKind.ZONE_DECISION, "a>b", "g3", (7, 8), 5, 1.5e12, msgspec.json.encode(act).decode()
+        )
+
+    left, returning = (
+        kept(ZoneDecision("left", flaps=1, reason="failing")),
+        kept(ZoneDecision("returning", 4, 1, 9.5, 8, "f0f")),
+    )
+    assert from_row("a>b", to_row(left)) == left
+    anew = from_row("a>b", to_row(returning))
+    assert (
+        anew is not None
+        and decode_decision(anew.value).state == "left"
+        and decode_decision(anew.value).flaps == 1
+    )
     assert anew.version == 5 and higher(anew, returning) == returning  # where others go on, theirs holds
-    row = row_of(left)
+    row = to_row(left)
     for place, spoilt in ((1, "x"), (3, -1), (3, None), (4, "now"), (4, 1e30), (0, "g" * 999)):
-        assert entry_of("a>b", [*row[:place], spoilt, *row[place + 1 :]]) is None
+        assert from_row("a>b", [*row[:place], spoilt, *row[place + 1 :]]) is None
     assert holds([*row[:4], now_ms(), row[5]]) and not holds(row)  # of years ago
     assert not holds(row[:3]) and not holds([*row[:4], None, ""]) and not holds("spoilt")
-    assert entry_of("a>b", row[:3]) is None and entry_of("n" * 999, row) is None
-    assert read_act((entry_of("a>b", [*row[:5], "no act"]) or left).value).state == "up"
+    assert from_row("a>b", row[:3]) is None and from_row("n" * 999, row) is None
+    assert decode_decision((from_row("a>b", [*row[:5], "no act"]) or left).value).state == "up"
 
 
 def test_leaving_waits_a_moment_for_those_who_met_others_well() -> None:
@@ -457,16 +478,21 @@
     acquaint(net)
     net.run(4.0)
     node, wall = net.nodes[address_of(0)], net.wall(address_of(0))
-    zonal, seen = Zonal("a", 0, 2, 0.2, 16.0, random.Random(1)), {"a": Seen(4), "b": Seen(4)}
-    seen["b"] = Seen(4, lost={f"{b:08x}": 0.0 for b in range(4)})
+    agreement, seen = (
+        ZoneAgreement("a", 0, 2, SlowStart(0.2, 16.0), random.Random(1)),
+        {"a": LocalObservation(4), "b": LocalObservation(4)},
+    )
+    seen["b"] = LocalObservation(4, lost={f"{b:08x}": 0.0 for b in range(4)})
     other = net.nodes[address_of(1)]
-    other.tell(wall, MET, "b", '[{"00000000":0,"00000001":0,"00000002":0},{}]')  # seven words, with the own
+    other.tell(
+        wall, FactKind.ZONE_REPORT, "b", '[{"00000000":0,"00000001":0,"00000002":0},{}]'
+    )  # seven words, with the own
     net.run(0.5)
-    for later in (0.0, HOLD_S / 2):
-        zonal.look(node, net.now + later, wall, seen, 5.0)
-        assert zonal.act(node.facts, "b").state == "up"
-    zonal.look(node, net.now + HOLD_S + 0.01, wall, seen, 5.0)
-    assert zonal.act(node.facts, "b").state == "left"
+    for later in (0.0, CONFIRMATION_S / 2):
+        agreement.evaluate(node, net.now + later, wall, seen, 5.0)
+        assert agreement.decision(node.facts, "b").state == "up"
+    agreement.evaluate(node, net.now + CONFIRMATION_S + 0.01, wall, seen, 5.0)
+    assert agreement.decision(node.facts, "b").state == "left"
 
 
 def test_ctl_zones_shows_who_acts_on_which_version(monkeypatch: pytest.MonkeyPatch, capsys: Any) -> None:
