--- a/tests/policy/test_zones.py
+++ b/tests/policy/test_zones.py
@@ -9,6 +9,7 @@
 from collections import Counter as Counts
 from pathlib import Path
 
+import neutral_form
 import pytest
 from gateway_fleet import Fleet
 from helpers import settings
@@ -27,7 +28,7 @@
 from testbed.stand_ins.backends import Backend
 from testbed.stand_ins.single_gateway import World, in_loop, running
 
-RECORDED = Path(__file__).parents[1] / "recorded/one_zone.txt"
+RECORDED = Path(__file__).parents[1] / "recorded/one_zone.jsonl"
 ZONES = {"a": 6, "b": 6, "c": 6}
 
 
@@ -53,11 +54,18 @@
     fleet.mode.clear()
     fleet.tell([1003], started=fleet.now)
     fleet.run(2000, gap=60, kinds=mixed)
-    lines = [f"{now!r}\t{event!r}\t{actions!r}" for now, event, actions in fleet.events]
+    lines = [
+        {
+            "at_ms": now,
+            "event": neutral_form.encode_event(event),
+            "actions": [neutral_form.encode_action(action) for action in actions],
+        }
+        for now, event, actions in fleet.events
+    ]
     recorded = RECORDED.read_text().splitlines()
     assert len(lines) == len(recorded) > 250
     for line, before in zip(lines, recorded, strict=True):
-        assert rounded(line) == rounded(before)
+        assert rounded(neutral_form.line(line)) == rounded(before)
 
 
 # ---- evidence and leaving ----
@@ -418,9 +426,9 @@
     fleet.run(500, gap=50)
     for zone in ZONES:
         fleet.give(0, api.ZoneOverridden(zone, True, fleet.now))
-    since, before = fleet.now, fleet.ended["Refuse"]
+    since, before = fleet.now, fleet.ended["Reject"]
     fleet.run(500, gap=50)
-    assert not [at for at, *_ in fleet.sent if at > since] and fleet.ended["Refuse"] > before
+    assert not [at for at, *_ in fleet.sent if at > since] and fleet.ended["Reject"] > before
 
 
 # Work that is sent once: a safe request is called off after five times the usual answer's time, here some
@@ -510,7 +518,7 @@
     fleet.run(4000, gap=50, plan="quota")
     assert states(fleet, "b")[State.LEFT] >= 5 and fleet.share("b", since) < 0.06
     done = fleet.ended - before
-    assert done["served"] > 0.9 * done.total() - done["Refuse"] and done["served"] > 100
+    assert done["served"] > 0.9 * done.total() - done["Reject"] and done["served"] > 100
     fleet.counter = "answers"
     fleet.mode.clear()
     fleet.run(15_000, gap=50, plan="quota")
