--- a/measure/line.py
+++ b/measure/line.py
@@ -19,7 +19,7 @@
 
 sys.path[:0] = [str(Path(__file__).resolve().parents[1])]
 
-from switchline.fleet.messages import State  # noqa: E402
+from switchline.fleet.messages import MemberState  # noqa: E402
 from testbed.network.fleet_link import Net, address_of, fleet  # noqa: E402
 
 SEEDS, DEATHS, SETTLE_S, QUIET_S, LIMIT_S = (1, 2, 3), 5, 20.0, 10.0, 30.0
@@ -91,12 +91,14 @@
         marks: dict[float, float] = {}
         while net.now - begun < GONE_S and len(marks) < 4:
             net.run(0.25)
-            views = [net.sees(node, name) is State.DEAD for node in net.nodes.values() for name in names]
+            views = [
+                net.sees(node, name) is MemberState.DEAD for node in net.nodes.values() for name in names
+            ]
             for mark in (1e-9, 0.5, 0.99, 1.0):
                 if sum(views) >= mark * len(views):
                     marks.setdefault(mark, net.now - begun)
         wrong = sum(
-            member.state is State.DEAD and name not in names
+            member.state is MemberState.DEAD and name not in names
             for node in net.nodes.values()
             for name, member in node.members.others.items()
         )
@@ -120,7 +122,9 @@
         net.loss = 0.0
         net.run(20.0)
         died = sum(node.members.counts["died"] for node in net.nodes.values()) - before
-        left = sum(m.state is not State.ALIVE for n in net.nodes.values() for m in n.members.others.values())
+        left = sum(
+            m.state is not MemberState.ALIVE for n in net.nodes.values() for m in n.members.others.values()
+        )
         seen = f"{stops} stops, {died} views of a false death, {left} left"
         print(f"{size} members, seed {seed}: {seen}", flush=True)
 
--- a/switchline/fleet/chain.py
+++ b/switchline/fleet/chain.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from switchline.fleet.messages import Count, Incarnation, Stamp
+from switchline.fleet.messages import Count, HybridTimestamp, Incarnation
 
 FIRST = ""  # the hash before the first record
 SUM_BYTES = 12
@@ -35,7 +35,7 @@
     n: Count
     name: Text  # of the gateway
     life: Incarnation
-    at: Stamp
+    at: HybridTimestamp
     wall: float
     own: float
     kind: Text
--- a/switchline/fleet/fact_kinds.py
+++ b/switchline/fleet/fact_kinds.py
@@ -69,8 +69,12 @@
     HIGHEST_VERSION = "highest version"  # the decision with the higher version
 
 
+_MERGE_RULES: dict[str, MergeRule] = {
+    **dict.fromkeys(OPERATOR_KINDS, MergeRule.NEWEST_CALL),
+    **dict.fromkeys(VERSIONED_KINDS, MergeRule.HIGHEST_VERSION),
+}
+
+
 def merge_rule(kind: str) -> MergeRule:
     """Return how two entries of a kind are merged."""
-    if kind in VERSIONED_KINDS:
-        return MergeRule.HIGHEST_VERSION
-    return MergeRule.NEWEST_CALL if kind in OPERATOR_KINDS else MergeRule.OWNER
+    return _MERGE_RULES.get(kind, MergeRule.OWNER)
--- a/switchline/fleet/facts.py
+++ b/switchline/fleet/facts.py
@@ -1,203 +1,293 @@
-"""Facts that the fleet shares: a bounded table, whose merge is the same in any order and any number of times.
+"""Facts that gateways share by gossip: a bounded table, whose merge is a join of a semilattice.
 
-Each kind has an order in which one entry overrides another; the merge of a name is the highest. Facts of a
-gateway about itself are ordered by its life and version. What operators take out by hand is the fleet's: the
-newest call wins, equal times by a fixed order, and a call from a clock too far ahead is not believed.
+The merge gives the same table in any order and any number of times (a state-based CRDT; Shapiro, Preguica,
+Baquero, Zawirski, 2011). `precedence` is the one rule of which entry overrides another; `has_expired` the
+one rule of when an entry is forgotten. What operators call is the fleet's: the newest call wins, and a call
+from a clock too far ahead is not believed. Pure.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
-from switchline.fleet.fact_kinds import OPERATOR_KINDS, SHARED_KINDS, VERSIONED_KINDS, FactKind
-from switchline.fleet.messages import LONGEST_NAME, LONGEST_VALUE, Entry, Incarnation
+from switchline.fleet.fact_kinds import (
+    OPERATOR_KINDS,
+    SHARED_KINDS,
+    VERSIONED_KINDS,
+    FactKind,
+    MergeRule,
+    merge_rule,
+)
+from switchline.fleet.messages import MAX_NAME_CHARS, MAX_VALUE_CHARS, Entry, Incarnation
 
-MOST_ENTRIES, MOST_OF_ORIGIN = 4_096, 64
-MOST_DECISIONS = 256  # names of one such kind
-CLOCK_MS = 300_000.0  # by which clocks may differ
-LASTS_MS = 86_400_000.0  # what was put back is remembered for so long: longer than anyone is cut off
-WITHDRAWN_MS = 600_000.0  # a withdrawn fact is remembered
-ORPHAN_MS = 60_000.0  # a fact whose origin is gone
+MAX_ENTRIES = 4_096
+MAX_ENTRIES_OF_ORIGIN = 64
+MAX_DECISIONS = 256  # names of one versioned kind
+MAX_CLOCK_SKEW_MS = 300_000.0
+SHARED_LASTS_MS = 86_400_000.0  # a decision, and an override that was taken back: longer than any partition
+WITHDRAWN_LASTS_MS = 600_000.0
+ORPHAN_LASTS_MS = 60_000.0  # a fact whose origin's incarnation is gone
+MAX_PLACE_DIGITS = 5
+OVERRIDE_DOWN = "down"  # value of an operators' override that holds
 
-Key = tuple[str, str, str]  # kind, name, and the origin where the kind has one
 
+class FactKey(NamedTuple):
+    """Which fact an entry is a version of; `origin` is empty for a shared kind."""
 
-def key_of(entry: Entry) -> Key:
-    return entry.kind, entry.name, "" if entry.kind in SHARED_KINDS else entry.origin
+    kind: str
+    name: str
+    origin: str
 
 
-def order_of(entry: Entry) -> tuple[Any, ...]:
-    """Of two entries with one key the higher one holds: total, so that a merge is the same everywhere."""
+class FactLimitError(Exception):
+    """A fact of this gateway that the bounds don't allow."""
+
+
+def key_of(entry: Entry) -> FactKey:
+    """Return the key of the fact that an entry is a version of."""
+    return FactKey(entry.kind, entry.name, "" if entry.kind in SHARED_KINDS else entry.origin)
+
+
+def precedence(entry: Entry) -> tuple[Any, ...]:
+    """Return the rank of an entry among those of its key: the highest holds.
+
+    The order is total, so that the merge is the same everywhere: where the rule's own fields are equal, a
+    withdrawal, and then the other fields decide.
+    """
     value = (entry.value is None, entry.value or "")
-    if entry.kind in VERSIONED_KINDS:
-        return (entry.version, value, entry.origin, entry.life, entry.at)
-    if entry.kind in OPERATOR_KINDS:
-        return (entry.at, value, entry.origin, entry.life, entry.version)
-    return (entry.life, entry.version, entry.at, value)
+    match merge_rule(entry.kind):
+        case MergeRule.HIGHEST_VERSION:
+            return (entry.version, value, entry.origin, entry.incarnation, entry.at)
+        case MergeRule.NEWEST_CALL:
+            return (entry.at, value, entry.origin, entry.incarnation, entry.version)
+        case MergeRule.OWNER:
+            return (entry.incarnation, entry.version, entry.at, value)
 
 
 def higher(one: Entry, other: Entry) -> Entry:
-    return one if order_of(one) >= order_of(other) else other
+    """Return the one of two entries of a key that holds."""
+    return one if precedence(one) >= precedence(other) else other
+
 
+def has_expired(entry: Entry, wall_ms: float) -> bool:
+    """Return whether an entry has ended by its own age; it is forgotten, and not taken again.
 
-class TooMuch(Exception):
-    """A fact that the table's bounds don't allow."""
+    Decisions end after `SHARED_LASTS_MS`, as do overrides that were taken back; an override that holds never
+    does. Of a gateway's own facts withdrawals end, after `WITHDRAWN_LASTS_MS`.
+    """
+    age_ms = wall_ms - entry.at
+    match merge_rule(entry.kind):
+        case MergeRule.HIGHEST_VERSION:
+            return age_ms > SHARED_LASTS_MS
+        case MergeRule.NEWEST_CALL:
+            return entry.value != OVERRIDE_DOWN and age_ms > SHARED_LASTS_MS
+        case MergeRule.OWNER:
+            return entry.value is None and age_ms > WITHDRAWN_LASTS_MS
 
 
 @dataclass(slots=True)
-class Held:
-    """An entry in the table."""
+class StoredFact:
+    """The entry of a key that holds.
+
+    Attributes:
+        entry: The entry.
+        orphaned_s: Since when its origin's incarnation is gone; 0 while it is present.
+    """
 
     entry: Entry
-    orphaned: float = 0.0  # since when (seconds on the caller's clock) its origin is gone; 0: it lives
+    orphaned_s: float = 0.0
 
 
 class Facts:
-    """Owns the table. Times are seconds on a clock that never steps; `wall` is milliseconds of wall time."""
-
-    def __init__(self, origin: str, life: Incarnation) -> None:
-        self.origin, self.life = origin, life
-        self.table: dict[Key, Held] = {}
-        self.kinds: dict[str, dict[Key, Held]] = {}  # the same, by kind
-        self.of: dict[str, int] = {}  # how many entries are of an origin
-        self.version = 0
+    """Owns the table of facts. `now_s` is of a clock that never steps, `wall_ms` of the wall clock."""
+
+    def __init__(self, origin: str, incarnation: Incarnation) -> None:
+        """`origin`: this gateway's name."""
+        self.origin = origin
+        self.incarnation = incarnation
+        self.table: dict[FactKey, StoredFact] = {}
+        self.kinds: dict[str, dict[FactKey, StoredFact]] = {}  # the same entries by kind
+        self.count_of_origin: dict[str, int] = {}
+        self.last_version = 0
         self.refused: dict[str, int] = {"full": 0, "clock": 0, "own": 0}
-        self.changed: Callable[[Entry], None] = lambda entry: None
+        self.changed: Callable[[Entry], None] = lambda entry: None  # called with each entry that is new here
 
-    # ---- telling ----
+    # Writing.
 
-    def tell(self, wall: float, kind: str, name: str, value: str | None) -> Entry | None:
-        """Tell a fact, or (None) withdraw it; gives the entry if that changes anything. Raises TooMuch.
+    def tell(self, wall_ms: float, kind: str, name: str, value: str | None) -> Entry | None:
+        """Write a fact, or withdraw it.
 
-        `wall` is when it became so; of an operator's call, the time of the call.
+        Args:
+            wall_ms: When it became so; of an operators' override, the time of the call.
+            kind: The kind of the fact.
+            name: What it is about; empty for this gateway itself.
+            value: The value; None to withdraw the fact.
+
+        Returns:
+            The entry; None if nothing changes.
+
+        Raises:
+            FactLimitError: The fact is too long, or one too many.
         """
-        if len(value or "") > LONGEST_VALUE or len(name) > LONGEST_NAME:
-            raise TooMuch(f"{kind} {name[:LONGEST_NAME]!r}: too long to be told")
-        key = kind, name, "" if kind in OPERATOR_KINDS else self.origin
-        held = self.table.get(key)
-        if held is not None or value is None:
-            known = held.entry if held is not None else None
-            same = (known.value if known is not None else None) == value
-            if same and (kind not in OPERATOR_KINDS or (known is not None and known.at >= wall)):
-                return None
-        if held is None and self.of.get(self.origin, 0) >= MOST_OF_ORIGIN and kind not in OPERATOR_KINDS:
-            raise TooMuch(f"{kind} {name!r}: {MOST_OF_ORIGIN} facts of one gateway are the most")
-        self.version += 1
-        entry = Entry(kind, name, self.origin, self.life, self.version, wall, value)
-        if not self.merge(wall, entry):
+        if len(value or "") > MAX_VALUE_CHARS or len(name) > MAX_NAME_CHARS:
+            raise FactLimitError(f"{kind} {name[:MAX_NAME_CHARS]!r}: too long to be told")
+        is_override = kind in OPERATOR_KINDS
+        key = FactKey(kind, name, "" if is_override else self.origin)
+        stored = self.table.get(key)
+        if self._is_known(stored, wall_ms, value, is_override):
+            return None
+        at_bound = self.count_of_origin.get(self.origin, 0) >= MAX_ENTRIES_OF_ORIGIN
+        if stored is None and at_bound and not is_override:
+            raise FactLimitError(
+                f"{kind} {name!r}: {MAX_ENTRIES_OF_ORIGIN} facts of one gateway are the most"
+            )
+        self.last_version += 1
+        entry = Entry(kind, name, self.origin, self.incarnation, self.last_version, wall_ms, value)
+        if not self.merge(wall_ms, entry):
             if self.table.get(key) is None:
-                raise TooMuch(f"{kind} {name!r}: the table holds {MOST_ENTRIES} entries")
+                raise FactLimitError(f"{kind} {name!r}: the table holds {MAX_ENTRIES} entries")
             return None
         return entry
 
-    def offer(self, wall: float, kind: str, name: str, value: str | None) -> None:
-        """Tell or withdraw a fact as far as the bounds allow: what is over them is left out and counted."""
+    @staticmethod
+    def _is_known(stored: StoredFact | None, wall_ms: float, value: str | None, is_override: bool) -> bool:
+        """Return whether a value is the one that holds; an override must not be of a newer call either."""
+        if stored is None:
+            return value is None and not is_override
+        return stored.entry.value == value and (not is_override or stored.entry.at >= wall_ms)
+
+    def offer(self, wall_ms: float, kind: str, name: str, value: str | None) -> None:
+        """Write or withdraw a fact as `tell`, but count one that the bounds don't allow, and leave it out."""
         try:
-            self.tell(wall, kind, name, value)
-        except TooMuch:
+            self.tell(wall_ms, kind, name, value)
+        except FactLimitError:
             self.refused["own"] += 1
 
-    def decide(self, wall: float, kind: str, name: str, value: str) -> Entry | None:
-        """Put a decision above the one that holds; None where the table is full."""
-        entry = Entry(kind, name, self.origin, self.life, self.count(kind, name) + 1, wall, value)
-        return entry if self.merge(wall, entry) else None
-
-    def count(self, kind: str, name: str) -> int:
-        """The version of the decision that holds; 0 where there is none."""
-        held = self.table.get((kind, name, ""))
-        return held.entry.version if held is not None else 0
-
-    def merge(self, wall: float, entry: Entry) -> bool:
-        """Take an entry if it overrides what is there; whether it did."""
-        if entry.kind in OPERATOR_KINDS and entry.at > wall + CLOCK_MS:
+    def decide(self, wall_ms: float, kind: str, name: str, value: str) -> Entry | None:
+        """Write the next version of a decision; return None where the table is full."""
+        version = self.version(kind, name) + 1
+        entry = Entry(kind, name, self.origin, self.incarnation, version, wall_ms, value)
+        return entry if self.merge(wall_ms, entry) else None
+
+    def begin_incarnation(self, incarnation: Incarnation) -> None:
+        """Write all facts of this gateway anew, as of a later incarnation."""
+        self.incarnation = incarnation
+        for stored in list(self.table.values()):
+            old = stored.entry
+            if old.kind not in SHARED_KINDS and old.origin == self.origin:
+                self.last_version += 1
+                entry = Entry(
+                    old.kind, old.name, self.origin, incarnation, self.last_version, old.at, old.value
+                )
+                self.merge(entry.at, entry)
+
+    # Merging.
+
+    def merge(self, wall_ms: float, entry: Entry) -> bool:
+        """Take an entry if it overrides the one that holds; return whether it did.
+
+        An entry that has expired, is over a bound, or is an override from a clock too far ahead is refused.
+        """
+        if entry.kind in OPERATOR_KINDS and entry.at > wall_ms + MAX_CLOCK_SKEW_MS:
             self.refused["clock"] += 1
             return False
         key = key_of(entry)
-        held = self.table.get(key)
-        if held is not None:
-            if held.entry == entry or higher(held.entry, entry) == held.entry:
+        stored = self.table.get(key)
+        if stored is not None:
+            if stored.entry == entry or higher(stored.entry, entry) == stored.entry:
                 return False
-            self._count(held.entry, -1)
-            held.entry, held.orphaned = entry, 0.0
+            self._count(stored.entry, -1)
+            stored.entry = entry
+            stored.orphaned_s = 0.0
         else:
-            if self.over(wall, entry):
+            if has_expired(entry, wall_ms):
                 return False
-            if entry.kind in VERSIONED_KINDS:
-                over = len(self.kinds.get(entry.kind, ())) >= MOST_DECISIONS
-            else:
-                over = entry.kind not in OPERATOR_KINDS and self.of.get(entry.origin, 0) >= MOST_OF_ORIGIN
-            if over or len(self.table) >= MOST_ENTRIES:
+            if self._is_over_bound(entry):
                 self.refused["full"] += 1
                 return False
-            self.table[key] = self.kinds.setdefault(entry.kind, {})[key] = Held(entry)
+            self.table[key] = self.kinds.setdefault(entry.kind, {})[key] = StoredFact(entry)
         self._count(entry, 1)
         self.changed(entry)
         return True
 
+    def _is_over_bound(self, entry: Entry) -> bool:
+        """Return whether the table has no room for one more key of this entry's kind and origin."""
+        if len(self.table) >= MAX_ENTRIES:
+            return True
+        if entry.kind in VERSIONED_KINDS:
+            return len(self.kinds.get(entry.kind, ())) >= MAX_DECISIONS
+        of_origin = self.count_of_origin.get(entry.origin, 0)
+        return entry.kind not in OPERATOR_KINDS and of_origin >= MAX_ENTRIES_OF_ORIGIN
+
     def _count(self, entry: Entry, step: int) -> None:
-        left = self.of.get(entry.origin, 0) + step
-        if left:
-            self.of[entry.origin] = left
+        count = self.count_of_origin.get(entry.origin, 0) + step
+        if count:
+            self.count_of_origin[entry.origin] = count
         else:
-            self.of.pop(entry.origin, None)
+            self.count_of_origin.pop(entry.origin, None)
 
-    def over(self, wall: float, entry: Entry) -> bool:
-        """Whether an entry has ended by its own time: told again, it would bring back what is forgotten."""
-        if entry.kind in VERSIONED_KINDS:
-            return wall - entry.at > LASTS_MS
-        if entry.kind in OPERATOR_KINDS:
-            return entry.value != "down" and wall - entry.at > LASTS_MS
-        return entry.value is None and wall - entry.at > WITHDRAWN_MS
-
-    # ---- the end of facts ----
-
-    def tidy(self, now: float, wall: float, life_of: Callable[[str], Incarnation | None]) -> None:
-        """Forget what has ended, and, some time after its end, what was told by a life that is gone."""
-        for key, held in list(self.table.items()):
-            entry = held.entry
-            if entry.kind not in SHARED_KINDS and entry.origin != self.origin:
-                if life_of(entry.origin) == entry.life:
-                    held.orphaned = 0.0
-                elif not held.orphaned:
-                    held.orphaned = now
-                elif (now - held.orphaned) * 1000 > ORPHAN_MS:
-                    self._drop(key, held)
-                    continue
-            if self.over(wall, entry):
-                self._drop(key, held)
-
-    def _drop(self, key: Key, held: Held) -> None:
-        del self.table[key], self.kinds[key[0]][key]
-        if not self.kinds[key[0]]:
-            del self.kinds[key[0]]
-        self._count(held.entry, -1)
-
-    # ---- reading ----
+    # Expiry.
+
+    def expire(
+        self, now_s: float, wall_ms: float, incarnation_of: Callable[[str], Incarnation | None]
+    ) -> None:
+        """Forget facts that have expired, and those whose origin's incarnation is gone for `ORPHAN_LASTS_MS`.
+
+        Args:
+            now_s: The time.
+            wall_ms: The wall time.
+            incarnation_of: Gives the incarnation of a member that is present, by its name.
+        """
+        for key, stored in list(self.table.items()):
+            orphaned = self._is_orphaned_for_long(stored, now_s, incarnation_of)
+            if orphaned or has_expired(stored.entry, wall_ms):
+                self._drop(key, stored)
+
+    def _is_orphaned_for_long(
+        self, stored: StoredFact, now_s: float, incarnation_of: Callable[[str], Incarnation | None]
+    ) -> bool:
+        entry = stored.entry
+        if entry.kind in SHARED_KINDS or entry.origin == self.origin:
+            return False
+        if incarnation_of(entry.origin) == entry.incarnation:
+            stored.orphaned_s = 0.0
+        elif not stored.orphaned_s:
+            stored.orphaned_s = now_s
+        else:
+            return (now_s - stored.orphaned_s) * 1000 > ORPHAN_LASTS_MS
+        return False
+
+    def _drop(self, key: FactKey, stored: StoredFact) -> None:
+        del self.table[key], self.kinds[key.kind][key]
+        if not self.kinds[key.kind]:
+            del self.kinds[key.kind]
+        self._count(stored.entry, -1)
+
+    # Reading.
 
     def entries(self) -> Iterable[Entry]:
-        return (held.entry for held in self.table.values())
+        """Return all entries that hold."""
+        return (stored.entry for stored in self.table.values())
 
     def value(self, kind: str, name: str, origin: str = "") -> str | None:
-        held = self.table.get((kind, name, origin))
-        return held.entry.value if held is not None else None
+        """Return the value of a fact; None where it is unknown or withdrawn."""
+        stored = self.table.get(FactKey(kind, name, origin))
+        return stored.entry.value if stored is not None else None
+
+    def version(self, kind: str, name: str) -> int:
+        """Return the version of a decision that holds; 0 where there is none."""
+        stored = self.table.get(FactKey(kind, name, ""))
+        return stored.entry.version if stored is not None else 0
 
     def place(self, origin: str) -> int | None:
-        """A gateway's place among all, as it tells it; None for what is none."""
+        """Return a gateway's place among all, as it tells it; None for what is none."""
         value = self.value(FactKind.PLACE, "", origin)
-        return int(value) if value is not None and value.isdecimal() and len(value) < 6 else None
-
-    def of_kind(self, kind: str) -> dict[tuple[str, str], Held]:
-        """By name and origin."""
-        return {(key[1], key[2]): held for key, held in self.kinds.get(kind, {}).items()}
-
-    def begin(self, life: Incarnation) -> None:
-        """From here on this gateway tells as a later life, and tells anew all that it has told."""
-        self.life = life
-        for held in list(self.table.values()):
-            entry = held.entry
-            if entry.kind not in SHARED_KINDS and entry.origin == self.origin:
-                self.version += 1
-                given = entry.kind, entry.name, self.origin, life, self.version, entry.at, entry.value
-                self.merge(entry.at, Entry(*given))
+        if value is None or not value.isdecimal() or len(value) > MAX_PLACE_DIGITS:
+            return None
+        return int(value)
+
+    def of_kind(self, kind: str) -> dict[tuple[str, str], StoredFact]:
+        """Return the facts of a kind by name and origin."""
+        return {(key.name, key.origin): stored for key, stored in self.kinds.get(kind, {}).items()}
--- a/switchline/fleet/gossip_queue.py
+++ b/switchline/fleet/gossip_queue.py
@@ -1,81 +1,96 @@
-"""What a gateway has yet to tell the others, the least told first (as memberlist's broadcast queue). Pure."""
+"""What a gateway has yet to pass on, the least transmitted first (memberlist's broadcast queue). Pure."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Hashable, Iterator
 
-from switchline.fleet.messages import MOST_DATAGRAM, Entry, Rumor
+from switchline.fleet.messages import MAX_DATAGRAM_BYTES, Entry, MemberUpdate
 
-MOST_NEWS = 4_096  # pieces of news that wait to be told; exchanges tell what is over it
-REPEATS, LEAST_REPEATS = 4.0, 8  # times log10 of the members that each tells a piece of news; at least
-ROOM = MOST_DATAGRAM - 120  # bytes of a datagram for news: beside the frame and the fields
-RUMOR_BYTES, ENTRY_BYTES = 48, 72  # about, of one; with the lengths of its texts
-LOOKED_AT = 40  # pieces, for one datagram
+MAX_QUEUED = 4_096  # items; what is dropped over it reaches the others by exchanges
+RETRANSMIT_FACTOR = 4.0  # times log10 of the members: how often each passes an item on
+LEAST_RETRANSMITS = 8
+GOSSIP_BYTES = MAX_DATAGRAM_BYTES - 120  # of a datagram, without the frame and the other fields
+UPDATE_BYTES = 48  # about, without the texts in it
+ENTRY_BYTES = 72  # likewise
+MAX_EXAMINED = 40  # items, for one datagram
 
-Piece = Rumor | Entry
+Item = MemberUpdate | Entry
 
 
-def size_of(piece: Piece) -> int:
-    """About how many bytes of a datagram it takes."""
-    if isinstance(piece, Rumor):
-        return RUMOR_BYTES + len(piece.name) + len(piece.by)
-    return ENTRY_BYTES + len(piece.name) + len(piece.origin) + 2 * len(piece.value or "")
+def estimated_bytes(item: Item) -> int:
+    """Return about how many bytes of a datagram an item takes."""
+    if isinstance(item, MemberUpdate):
+        return UPDATE_BYTES + len(item.name) + len(item.suspected_by)
+    return ENTRY_BYTES + len(item.name) + len(item.origin) + 2 * len(item.value or "")
+
+
+def retransmit_limit(members: int) -> int:
+    """Return how often an item is passed on in a fleet of so many members."""
+    return max(LEAST_RETRANSMITS, math.ceil(RETRANSMIT_FACTOR * math.log10(members + 1)))
 
 
 class GossipQueue:
-    """Owns the pieces, by how often each was told: to pick some costs the same however many wait."""
+    """Owns the items, by how often each was transmitted: a choice costs the same however many wait."""
 
     def __init__(self) -> None:
-        self.told: dict[Hashable, int] = {}  # by what a piece is of: how often it was told
-        self.queues: dict[int, dict[Hashable, Piece]] = {}  # by that number, in order of their coming
+        self._transmits: dict[Hashable, int] = {}  # by an item's key
+        self._queues: dict[int, dict[Hashable, Item]] = {}  # by that number, in order of arrival
 
     def __len__(self) -> int:
-        return len(self.told)
+        return len(self._transmits)
 
-    def add(self, key: Hashable, piece: Piece) -> None:
-        """A new piece, in place of an older one of the same."""
+    def add(self, key: Hashable, item: Item) -> None:
+        """Add an item, in place of an older one of the same key."""
         self._drop(key)
-        if len(self.told) >= MOST_NEWS:
-            self._drop(next(iter(self.queues[max(self.queues)])))
-        self._put(key, piece, 0)
+        if len(self._transmits) >= MAX_QUEUED:
+            self._drop(next(iter(self._queues[max(self._queues)])))
+        self._put(key, item, 0)
 
-    def _put(self, key: Hashable, piece: Piece, told: int) -> None:
-        self.told[key] = told
-        self.queues.setdefault(told, {})[key] = piece
+    def _put(self, key: Hashable, item: Item, transmits: int) -> None:
+        self._transmits[key] = transmits
+        self._queues.setdefault(transmits, {})[key] = item
 
     def _drop(self, key: Hashable) -> None:
-        if (told := self.told.pop(key, None)) is not None:
-            del self.queues[told][key]
-            if not self.queues[told]:
-                del self.queues[told]
-
-    def _next(self) -> Iterator[tuple[Hashable, Piece, int]]:
-        looked = 0
-        for told in sorted(self.queues):
-            for key, piece in self.queues[told].items():
-                yield key, piece, told
-                looked += 1
-                if looked >= LOOKED_AT:
+        if (transmits := self._transmits.pop(key, None)) is not None:
+            del self._queues[transmits][key]
+            if not self._queues[transmits]:
+                del self._queues[transmits]
+
+    def _candidates(self) -> Iterator[tuple[Hashable, Item, int]]:
+        """Yield the items with the fewest transmissions: key, item and transmissions."""
+        examined = 0
+        for transmits in sorted(self._queues):
+            for key, item in self._queues[transmits].items():
+                yield key, item, transmits
+                examined += 1
+                if examined >= MAX_EXAMINED:
                     return
 
-    def pick(self, size: int, first: Rumor | None) -> tuple[list[Rumor], list[Entry]]:
-        """As many as a datagram holds, and `first` before them; those told often enough are done.
+    def pick(self, members: int, first: MemberUpdate | None) -> tuple[list[MemberUpdate], list[Entry]]:
+        """Return what one datagram carries; items that were transmitted often enough leave the queue.
 
-        `size` is how many members there are.
+        Args:
+            members: Members that are present.
+            first: An update that goes first, outside the queue.
         """
-        rumors, entries, room = ([first] if first else []), list[Entry](), ROOM
-        if not self.told:
-            return rumors, entries
+        updates = [first] if first else []
+        entries: list[Entry] = []
+        if not self._transmits:
+            return updates, entries
+        left_bytes = GOSSIP_BYTES
         picked = []
-        for key, piece, told in self._next():
-            if (takes := size_of(piece)) <= room:
-                room -= takes
-                picked.append((key, piece, told))
-        most = max(LEAST_REPEATS, math.ceil(REPEATS * math.log10(size + 1)))
-        for key, piece, told in picked:
-            rumors.append(piece) if isinstance(piece, Rumor) else entries.append(piece)
+        for key, item, transmits in self._candidates():
+            if (takes := estimated_bytes(item)) <= left_bytes:
+                left_bytes -= takes
+                picked.append((key, item, transmits))
+        limit = retransmit_limit(members)
+        for key, item, transmits in picked:
+            if isinstance(item, MemberUpdate):
+                updates.append(item)
+            else:
+                entries.append(item)
             self._drop(key)
-            if told + 1 < most:
-                self._put(key, piece, told + 1)
-        return rumors, entries
+            if transmits + 1 < limit:
+                self._put(key, item, transmits + 1)
+        return updates, entries
--- a/switchline/fleet/members.py
+++ b/switchline/fleet/members.py
@@ -1,312 +1,343 @@
-"""Who is in the fleet: SWIM's failure detection with Lifeguard's refinements and memberlist's practice.
+"""The table of members, and the merge of claims about them: SWIM's dissemination component. Pure.
 
-Das, Gupta, Motivala: SWIM (2002). Dadgar, Phillips, Currey: Lifeguard (2017): local health that lengthens the
-own time-outs, suspicions that end sooner the more members share them, and the suspected told first.
-What is said of a member has an order (life, incarnation, state); the highest holds, so no order of messages
-matters. A life is one process; only a member itself begins a new incarnation, to refute a suspicion.
+Claims about a member have a total order (incarnation, refutation, state); the highest holds, so the order in
+which messages arrive does not matter. Only a member itself begins a new incarnation, or refutes a suspicion.
+`switchline.fleet.suspicion` has the rules of time, `switchline.fleet.member_sampling` the choice of members.
 """
 
 from __future__ import annotations
 
 import math
 import random
-from collections.abc import Callable, Iterable
+from collections import Counter
+from collections.abc import Callable
 from dataclasses import dataclass
+from enum import StrEnum
 from typing import Any
 
-from switchline.fleet.messages import Incarnation, Rumor, State
+from switchline.fleet.member_sampling import MemberSampler, ProbeRing
+from switchline.fleet.messages import Incarnation, MemberState, MemberUpdate
+from switchline.fleet.suspicion import (
+    FORGET_S,
+    MAX_CONFIRMATIONS,
+    RECHECK_S,
+    RECHECKERS,
+    STALL_PENALTY,
+    LocalHealth,
+    is_minority,
+    is_widely_suspected,
+    suspicion_timeout_s,
+)
 
 Address = tuple[str, int]
 
-MOST_MEMBERS = 5_000
-CONFIRMED = 3  # members, beside the first, whose suspicion ends one's time to refute soonest
-LOOK_S = 1.0  # for a last probe of one that few suspect
-LOOKERS = 6.0  # members, by lot, that probe a suspected one at once
-LEAST_S, MOST_S = 1.1, 3.0  # for a suspicion: shared by that many; of one member alone
-SLOWER = 2.0  # a fleet's size is felt from here on: suspicions last longer by log10(members) / this
-GONE_S = 600.0  # the dead are remembered: to know a minority, and not to be raised by old news
-HEALTH_MOST = 8  # of the local health: the own time-outs are at most so many times longer, and one
-PROBE_S, ANSWER_S = 0.4, 0.1  # between two probes; for the answer to a direct one
-LATELY_S = 3.0  # since a member was heard: in a fleet of any size some dozen are heard from in that time
-SILENT_S = 3.0  # a gap between two of the own ticks from which on this process was stopped
+MAX_MEMBERS = 5_000
+
+
+class MemberEvent(StrEnum):
+    """What is counted of members, by the names that operators see."""
+
+    SUSPECTED = "suspected"
+    DIED = "died"
+    LEFT = "left"
+    JOINED = "joined"
+    REFUTED = "refuted"  # a suspicion of this member, by itself
 
 
 @dataclass(slots=True)
 class Member:
-    """One member as it is known here."""
-
-    rumor: Rumor
-    since: float  # this state
-    heard: float  # the last message of its own
-    confirmed: frozenset[str] = frozenset()  # who suspects it; of most members nobody does
-    ends: float = math.inf  # of the suspicion
-    looked: bool = False  # it was probed once more before its end
+    """One other member as it is known here. Times are seconds.
+
+    Attributes:
+        update: The claim that holds.
+        since: When it came to hold.
+        heard: When the last message of the member itself came.
+        suspecters: Who suspects it.
+        dead_at: When it is declared dead, unless it refutes the suspicion.
+        rechecked: Whether it was probed once more before that.
+    """
+
+    update: MemberUpdate
+    since: float
+    heard: float
+    suspecters: frozenset[str] = frozenset()
+    dead_at: float = math.inf
+    rechecked: bool = False
 
     @property
-    def state(self) -> State:
-        return self.rumor.state
+    def state(self) -> MemberState:
+        """The state that holds."""
+        return self.update.state
 
     @property
     def address(self) -> Address:
-        return self.rumor.host, self.rumor.port
+        """Where the member is reached."""
+        return self.update.host, self.update.port
 
     @property
-    def here(self) -> bool:
-        return self.rumor.state in (State.ALIVE, State.SUSPECT)
+    def is_present(self) -> bool:
+        """Whether it is alive, or only suspected."""
+        return self.update.state in (MemberState.ALIVE, MemberState.SUSPECT)
+
 
+def alive_claim(name: str, incarnation: Incarnation, address: Address) -> MemberUpdate:
+    """Return a member's first claim about itself: that it is alive at this address."""
+    return MemberUpdate(name, incarnation, 0, MemberState.ALIVE, *address)
 
-def order_of(rumor: Rumor) -> tuple[Any, ...]:
-    """Of two rumors of one name the higher holds; total, so that a merge is the same everywhere."""
-    return (rumor.life, rumor.incarnation, rumor.state, rumor.host, rumor.port)
+
+def precedence(update: MemberUpdate) -> tuple[Any, ...]:
+    """Return the rank of a claim: of two about one member the higher holds.
+
+    The order is total, so that the merge is the same everywhere.
+    """
+    return (update.incarnation, update.refutation, update.state, update.host, update.port)
 
 
 class Members:
-    """Owns what is known of each member. Decides nothing of time but when suspicions end."""
+    """Owns what is known of each member."""
 
-    def __init__(self, me: Rumor, chance: random.Random) -> None:
-        self.me, self.chance = me, chance
+    def __init__(self, me: MemberUpdate, chance: random.Random) -> None:
+        """`me`: this member's claim about itself; `chance`: source of its random choices."""
+        self.me = me
         self.others: dict[str, Member] = {}
-        # Of the others, those that are here and those that are suspected: looked through with each datagram.
+        # Of the others, those that are present and those that are suspected: needed for each datagram.
         self.present: dict[str, Member] = {}
-        self.doubted: dict[str, Member] = {}
-        self.ring: list[str] = []  # whom to probe next, from the end: all once, in an order of chance
-        self.health = 0  # Lifeguard's: 0 is well
-        self.taken_over = False  # a later life of this name is there: this one is quiet
-        self.refused = 0  # members beyond the bound
-        self.changed: Callable[[Rumor], None] = lambda rumor: None  # to be told on
-        self.denied: Callable[[], None] = lambda: None  # of a suspicion of this one: it is urgent
-        self.began: Callable[[Incarnation], None] = lambda life: None  # of a life above one that has ended
-        self.counts = {"suspected": 0, "died": 0, "left": 0, "joined": 0, "refuted": 0}
-
-    # ---- reading ----
-
-    def here(self) -> list[Member]:
-        return list(self.present.values())
+        self.suspected: dict[str, Member] = {}
+        self.health = LocalHealth()
+        self.superseded = False  # a later process has this name: this one is silent
+        self.over_bound = 0  # members that were not taken
+        self.counts: Counter[str] = Counter(dict.fromkeys(MemberEvent, 0))
+        self.ring = ProbeRing(self.present, chance)
+        self.sampler = MemberSampler(self.present, chance)
+        self.updated: Callable[[MemberUpdate], None] = lambda update: None  # with each claim that is new
+        self.refuted: Callable[[], None] = lambda: None  # after a suspicion of this member
+        self.began: Callable[[Incarnation], None] = lambda incarnation: None  # a later one of this member
+        self._chance = chance
+
+    # Reading.
 
     @property
     def size(self) -> int:
-        """Members that are here, this one too."""
+        """Members that are present, this one too."""
         return 1 + len(self.present)
 
-    def life_of(self, name: str) -> Incarnation | None:
-        """The life of a member that is here."""
-        if name == self.me.name:
-            return self.me.life
-        member = self.others.get(name)
-        return member.rumor.life if member is not None and member.here else None
-
     @property
-    def stayed(self) -> int:
+    def not_left(self) -> int:
         """Members that did not leave, this one too; the dead are among them."""
-        return 1 + sum(member.state is not State.LEFT for member in self.others.values())
+        return 1 + sum(member.state is not MemberState.LEFT for member in self.others.values())
 
     @property
     def minority(self) -> bool:
-        """Whether half or more of those that did not leave are lost to this one."""
-        return self.size * 2 <= self.stayed
+        """Whether half or more of the fleet is lost to this member."""
+        return is_minority(self.size, self.not_left)
 
-    def lasts(self, confirmed: int) -> float:
-        """Seconds for a suspicion that so many others share (Lifeguard's logarithm)."""
-        scale = max(1.0, math.log10(max(1, self.size)) / SLOWER)
-        needed = min(CONFIRMED, max(0, self.size - 2))
-        part = 1.0 if needed == 0 else min(1.0, math.log(confirmed + 1) / math.log(needed + 1))
-        return (MOST_S - (MOST_S - LEAST_S) * part) * scale * self.doubt
+    def incarnation_of(self, name: str) -> Incarnation | None:
+        """Return the incarnation of a member that is present."""
+        if name == self.me.name:
+            return self.me.incarnation
+        member = self.others.get(name)
+        return member.update.incarnation if member is not None and member.is_present else None
 
-    @property
-    def doubt(self) -> float:
-        """How much longer a member that hears badly waits before it declares another dead: twice at most."""
-        return 1 + min(self.health, 2) / 2
+    def later_claim(self, name: str, incarnation: Incarnation) -> MemberUpdate | None:
+        """Return what is known of a later incarnation of a member than this one."""
+        if name == self.me.name:
+            return self.me if incarnation < self.me.incarnation else None
+        member = self.others.get(name)
+        return member.update if member is not None and incarnation < member.update.incarnation else None
 
-    # ---- what is heard ----
+    # Claims about the others.
 
-    def heard(self, name: str, life: Incarnation, now: float) -> None:
+    def note_heard(self, name: str, incarnation: Incarnation, now_s: float) -> None:
+        """Note a message of a member itself."""
         member = self.others.get(name)
-        if member is not None and member.rumor.life == life:
-            member.heard = now
-
-    def take(self, rumor: Rumor, now: float) -> bool:
-        """Take what is said of a member; whether it changes anything here."""
-        if rumor.name == self.me.name:
-            return self._of_me(rumor)
-        member = self.others.get(rumor.name)
+        if member is not None and member.update.incarnation == incarnation:
+            member.heard = now_s
+
+    def merge(self, update: MemberUpdate, now_s: float) -> bool:
+        """Take a claim if it overrides the one that holds; return whether it changed anything."""
+        if update.name == self.me.name:
+            return self._merge_about_self(update)
+        member = self.others.get(update.name)
         if member is None:
-            return self._meet(rumor, now)
-        known = member.rumor
-        if order_of(rumor) <= order_of(known):
-            same = rumor.life == known.life and rumor.incarnation == known.incarnation
-            if same and rumor.state is State.SUSPECT is known.state:
-                return self._confirm(member, rumor)
-            return False
-        was_here = member.here
-        member.rumor, member.since = rumor, now
-        member.confirmed = frozenset()
-        member.ends, member.looked = math.inf, False
-        self._place(rumor.name, member)
-        if rumor.state is State.SUSPECT:
-            self.counts["suspected"] += 1
-            self._doubt(member, now)
-        elif rumor.state is State.ALIVE and not was_here:
-            member.heard = now
-            self.counts["joined"] += 1
-            self._into_ring(rumor.name)
-        elif rumor.state in (State.DEAD, State.LEFT) and was_here:
-            self.counts["died" if rumor.state is State.DEAD else "left"] += 1
-        self.changed(rumor)
+            return self._add(update, now_s)
+        if precedence(update) <= precedence(member.update):
+            return self._is_confirmation(member, update) and self._confirm(member, update)
+        was_present = member.is_present
+        member.update = update
+        member.since = now_s
+        member.suspecters = frozenset()
+        member.dead_at = math.inf
+        member.rechecked = False
+        self._index(update.name, member)
+        if update.state is MemberState.SUSPECT:
+            self.counts[MemberEvent.SUSPECTED] += 1
+            self._begin_suspicion(member, now_s)
+        elif update.state is MemberState.ALIVE and not was_present:
+            member.heard = now_s
+            self.counts[MemberEvent.JOINED] += 1
+            self.ring.insert(update.name)
+        elif was_present and not member.is_present:
+            died = update.state is MemberState.DEAD
+            self.counts[MemberEvent.DIED if died else MemberEvent.LEFT] += 1
+        self.updated(update)
         return True
 
-    def _meet(self, rumor: Rumor, now: float) -> bool:
-        if len(self.others) >= MOST_MEMBERS:
-            self.refused += 1
+    def _add(self, update: MemberUpdate, now_s: float) -> bool:
+        """Take a member that was unknown."""
+        if len(self.others) >= MAX_MEMBERS:
+            self.over_bound += 1
             return False
-        member = self.others[rumor.name] = Member(rumor, now, now)
-        self._place(rumor.name, member)
-        if rumor.state is State.SUSPECT:
-            self._doubt(member, now)
-        if member.here:
-            self.counts["joined"] += 1
-            self._into_ring(rumor.name)
-        self.changed(rumor)
+        member = self.others[update.name] = Member(update, now_s, now_s)
+        self._index(update.name, member)
+        if update.state is MemberState.SUSPECT:
+            self._begin_suspicion(member, now_s)
+        if member.is_present:
+            self.counts[MemberEvent.JOINED] += 1
+            self.ring.insert(update.name)
+        self.updated(update)
         return True
 
-    def _place(self, name: str, member: Member) -> None:
-        for which, among in ((self.present, member.here), (self.doubted, member.state is State.SUSPECT)):
-            if among:
-                which[name] = member
+    def _index(self, name: str, member: Member) -> None:
+        """Put a member among those that are present and suspected, or take it from there."""
+        for index, belongs in (
+            (self.present, member.is_present),
+            (self.suspected, member.state is MemberState.SUSPECT),
+        ):
+            if belongs:
+                index[name] = member
             else:
-                which.pop(name, None)
-
-    def _doubt(self, member: Member, now: float) -> None:
-        """A suspicion begins. By lot a few probe the suspected next: to share it, or hear that it lives."""
-        member.confirmed |= {member.rumor.by}
-        member.ends = now + self.lasts(0)
-        if member.rumor.by != self.me.name and self.chance.random() * self.size < LOOKERS:
-            self.ring.append(member.rumor.name)
-
-    def _into_ring(self, name: str) -> None:
-        if name not in self.ring:
-            self.ring.insert(self.chance.randint(0, len(self.ring)), name)
-
-    def _confirm(self, member: Member, rumor: Rumor) -> bool:
-        """One more suspects it: its time gets shorter, and the others are told of this one as well."""
-        if not rumor.by or rumor.by in member.confirmed or len(member.confirmed) > CONFIRMED:
+                index.pop(name, None)
+
+    def _begin_suspicion(self, member: Member, now_s: float) -> None:
+        """Begin the timeout; a few members, at random, probe the suspected one next."""
+        member.suspecters |= {member.update.suspected_by}
+        member.dead_at = now_s + self._timeout_s(0)
+        by_another = member.update.suspected_by != self.me.name
+        if by_another and self._chance.random() * self.size < RECHECKERS:
+            self.ring.probe_next(member.update.name)
+
+    @staticmethod
+    def _is_confirmation(member: Member, update: MemberUpdate) -> bool:
+        """Return whether a claim is a further suspicion of what is suspected already."""
+        known = member.update
+        same = update.incarnation == known.incarnation and update.refutation == known.refutation
+        return same and update.state is MemberState.SUSPECT is known.state
+
+    def _confirm(self, member: Member, update: MemberUpdate) -> bool:
+        """Take a further member's suspicion: it shortens the timeout, and is passed on."""
+        by = update.suspected_by
+        if not by or by in member.suspecters or len(member.suspecters) > MAX_CONFIRMATIONS:
+            return False
+        member.suspecters |= {by}
+        timeout_s = self._timeout_s(len(member.suspecters) - 1)
+        member.dead_at = min(member.dead_at, member.since + timeout_s)
+        self.updated(update)
+        return True
+
+    def _timeout_s(self, confirmations: int) -> float:
+        return suspicion_timeout_s(confirmations, self.size, self.health)
+
+    # Claims about this member.
+
+    def _merge_about_self(self, update: MemberUpdate) -> bool:
+        """Take a claim about this name: of a later process, an earlier one, or a wrong one of this one."""
+        if update.incarnation > self.me.incarnation:
+            return self._merge_later_self(update)
+        if update.incarnation < self.me.incarnation or self.superseded:
+            return False
+        if update.state is MemberState.ALIVE or update.refutation < self.me.refutation:
+            return False
+        if self.me.state is MemberState.LEFT:
             return False
-        member.confirmed |= {rumor.by}
-        member.ends = min(member.ends, member.since + self.lasts(len(member.confirmed) - 1))
-        self.changed(rumor)
+        self.counts[MemberEvent.REFUTED] += 1
+        self.health.worsen(1)
+        self.refute(update.refutation + 1)
         return True
 
-    def _of_me(self, rumor: Rumor) -> bool:
-        """Somebody speaks of this name: of an earlier life, a later one, or wrongly of this one."""
-        if rumor.life > self.me.life:
-            if rumor.state in (State.ALIVE, State.SUSPECT):
-                self.taken_over = True  # another process has this name; what it says holds
-                return False
-            # A later life has ended, or the clock that lives are counted by was set back: go on above it.
-            me = self.me
-            self.me = Rumor(me.name, (rumor.life[0] + 1, me.life[1]), 0, State.ALIVE, me.host, me.port)
-            self.taken_over = False
-            self.began(self.me.life)
-            self.changed(self.me)
-            return True
-        if rumor.life < self.me.life or self.taken_over:
+    def _merge_later_self(self, update: MemberUpdate) -> bool:
+        """Take a claim about a later process of this name.
+
+        While that lives it has the name, and this one is silent. Once it has ended, or where the clock of
+        incarnations was set back, this one begins an incarnation above it.
+        """
+        if update.state in (MemberState.ALIVE, MemberState.SUSPECT):
+            self.superseded = True
             return False
-        if rumor.state is not State.ALIVE and rumor.incarnation >= self.me.incarnation:
-            if self.me.state is State.LEFT:
-                return False
-            self.counts["refuted"] += 1
-            self.worse(1)
-            self.renew(rumor.incarnation + 1)
-            return True
-        return False
-
-    def renew(self, incarnation: int) -> None:
-        """Say of oneself, above all that was said before, that one is here."""
-        me = self.me
-        self.me = Rumor(me.name, me.life, incarnation, State.ALIVE, me.host, me.port)
-        self.changed(self.me)
-        self.denied()
+        incarnation = update.incarnation[0] + 1, self.me.incarnation[1]
+        self.me = self._claim(MemberState.ALIVE, incarnation, 0)
+        self.superseded = False
+        self.began(incarnation)
+        self.updated(self.me)
+        return True
+
+    def _claim(self, state: MemberState, incarnation: Incarnation, refutation: int) -> MemberUpdate:
+        return MemberUpdate(self.me.name, incarnation, refutation, state, self.me.host, self.me.port)
+
+    def refute(self, refutation: int) -> None:
+        """Claim that this member is alive, above all that was claimed before."""
+        self.me = self._claim(MemberState.ALIVE, self.me.incarnation, refutation)
+        self.updated(self.me)
+        self.refuted()
 
     def leave(self) -> None:
-        me = self.me
-        self.me = Rumor(me.name, me.life, me.incarnation, State.LEFT, me.host, me.port)
-        self.changed(self.me)
+        """Claim that this member leaves."""
+        self.me = self._claim(MemberState.LEFT, self.me.incarnation, self.me.refutation)
+        self.updated(self.me)
 
-    # ---- suspicion ----
+    # The passing of time.
 
-    def suspect(self, name: str, now: float) -> None:
-        """It has not answered, neither this one nor those that were asked to ping it."""
+    def suspect(self, name: str, now_s: float) -> None:
+        """Suspect a member: neither it nor those that were asked to probe it have answered."""
         member = self.others.get(name)
-        if member is None or not member.here:
+        if member is None or not member.is_present:
             return
-        known = member.rumor
-        said = Rumor(name, known.life, known.incarnation, State.SUSPECT, known.host, known.port, self.me.name)
-        self.take(said, now)
-
-    def expire(self, now: float) -> None:
+        known = member.update
+        self.merge(
+            MemberUpdate(
+                name,
+                known.incarnation,
+                known.refutation,
+                MemberState.SUSPECT,
+                known.host,
+                known.port,
+                self.me.name,
+            ),
+            now_s,
+        )
+
+    def declare_dead(self, now_s: float) -> None:
         """Declare those dead whose time to refute is over.
 
-        Where few share a suspicion, its refutation may just not have come here: one more probe is due.
+        Where few share a suspicion, the refutation may just not have come here: one more probe is due first.
         """
-        found = []
-        for name, member in self.doubted.items():
-            if member.ends > now:
+        dead = []
+        for name, member in self.suspected.items():
+            if member.dead_at > now_s:
                 continue
-            if len(member.confirmed) <= min(CONFIRMED, self.size - 2) and not member.looked:
-                member.looked, member.ends = True, now + LOOK_S * self.doubt
-                self.ring.append(name)
+            if member.rechecked or is_widely_suspected(len(member.suspecters), self.size):
+                dead.append(name)
             else:
-                found.append(name)
-        for name in found:
-            known = self.others[name].rumor
-            self.take(Rumor(name, known.life, known.incarnation, State.DEAD, known.host, known.port), now)
-
-    def woke(self, now: float) -> None:
-        """This process was stopped: what it has not heard meanwhile says nothing of the others."""
-        self.worse(3)
-        for member in self.doubted.values():
-            member.since, member.ends = now, now + self.lasts(len(member.confirmed) - 1)
-
-    def forget(self, now: float) -> None:
-        """The dead and those that left are forgotten after a time."""
+                member.rechecked = True
+                member.dead_at = now_s + RECHECK_S * self.health.suspicion_multiplier
+                self.ring.probe_next(name)
+        for name in dead:
+            known = self.others[name].update
+            self.merge(
+                MemberUpdate(
+                    name, known.incarnation, known.refutation, MemberState.DEAD, known.host, known.port
+                ),
+                now_s,
+            )
+
+    def resume(self, now_s: float) -> None:
+        """Begin suspicions anew after this process stood still: what it missed says nothing of the others."""
+        self.health.worsen(STALL_PENALTY)
+        for member in self.suspected.values():
+            member.since = now_s
+            member.dead_at = now_s + self._timeout_s(len(member.suspecters) - 1)
+
+    def forget(self, now_s: float) -> None:
+        """Forget members that are dead, or left, for `FORGET_S`."""
         for name, member in list(self.others.items()):
-            if not member.here and now - member.since > GONE_S:
+            if not member.is_present and now_s - member.since > FORGET_S:
                 del self.others[name]
-
-    # ---- local health ----
-
-    def worse(self, by: int) -> None:
-        self.health = min(HEALTH_MOST, self.health + by)
-
-    def better(self) -> None:
-        self.health = max(0, self.health - 1)
-
-    # ---- whom to ask ----
-
-    def next_probe(self) -> Member | None:
-        """Round-robin in an order of chance: each is probed once before anyone is again."""
-        for _ in range(len(self.ring) + 1):
-            if not self.ring:
-                self.ring = list(self.present)
-                self.chance.shuffle(self.ring)
-                if not self.ring:
-                    return None
-            name = self.ring.pop()
-            if (member := self.present.get(name)) is not None:
-                return member
-        return None
-
-    def some(self, number: int, without: Iterable[str] = ()) -> list[Member]:
-        """A few members by chance that are here."""
-        left = set(without)
-        may = self.here() if not left else [m for name, m in self.present.items() if name not in left]
-        return self.chance.sample(may, min(number, len(may)))
-
-    def helpers(self, number: int, target: str, now: float) -> list[Member]:
-        """A few members by chance that were heard from lately; others only where those are too few.
-
-        Where many died at once most of all are dead and not known to be: they help nobody, and their silence
-        would look as if this one heard badly.
-        """
-        lately = [m for n, m in self.present.items() if n != target and now - m.heard <= LATELY_S]
-        found = self.chance.sample(lately, min(number, len(lately)))
-        return found + self.some(number - len(found), [target, *(m.rumor.name for m in found)])
--- a/switchline/fleet/messages.py
+++ b/switchline/fleet/messages.py
@@ -1,40 +1,41 @@
-"""What goes over the line, and the seal on it.
+"""The messages that gateways send one another, as they are on the wire.
 
-A frame is a version, the fleet's mark, a keyed checksum (BLAKE2b) and a body in MessagePack. Bodies are
-arrays: a newer version adds fields at their end, and an older one reads as far as it knows.
+Bodies are arrays in MessagePack: the names of fields are free, their order, types and defaults are not. A
+newer version adds fields at the end, and an older one reads as far as it knows. `switchline.fleet.frames`
+wraps bodies in authenticated frames. Membership follows SWIM (Das, Gupta, Motivala, 2002) with the message
+kinds of memberlist.
 """
 
 from __future__ import annotations
 
-import hashlib
-import hmac
-from enum import IntEnum
+from enum import IntEnum, IntFlag
 from typing import Annotated
 
 import msgspec
 
-VERSION = 1
-MARK_BYTES, SUM_BYTES = 4, 16
-HEAD_BYTES = 1 + MARK_BYTES + SUM_BYTES
-MOST_DATAGRAM = 1_200  # bytes: below any path's usual limit, so nothing is split on its way
-MOST_EXCHANGE = 4 * 1024 * 1024  # bytes of one side's whole state
-LONGEST_NAME, LONGEST_VALUE = 64, 512  # characters; bytes
-MOST_HOSTS, MOST_SPENT = 4_096, 1_024  # of a list, and customers, in one answer
-LONGEST_KEY = 256  # characters of a customer's key
-LIST, SPENDING = 1, 2  # what an exchange may ask for beside all that is known: bits
-
-Name = Annotated[str, msgspec.Meta(max_length=LONGEST_NAME)]
+MAX_DATAGRAM_BYTES = 1_200  # below any path's usual MTU, so that no datagram is fragmented
+MAX_EXCHANGE_BYTES = 4 * 1024 * 1024  # of one side's state
+MAX_NAME_CHARS = 64
+MAX_VALUE_CHARS = 512
+MAX_LISTED_HOSTS = 4_096  # in one answer
+MAX_QUOTAS = 1_024  # customers in one answer
+MAX_CUSTOMER_KEY_CHARS = 256
+
+Name = Annotated[str, msgspec.Meta(max_length=MAX_NAME_CHARS)]
 Count = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
-Incarnation = tuple[
-    Count, Count
-]  # which start of a process: a count or a time, and chance; the higher is the later
-Stamp = tuple[Count, Count]  # of the fleet's order (hybrid.py): milliseconds of wall time, and a count
+WallTimeMs = Annotated[float, msgspec.Meta(ge=0, le=1e15)]
 Port = Annotated[int, msgspec.Meta(ge=1, le=65_535)]
 Host = Annotated[str, msgspec.Meta(max_length=15, pattern=r"^\d{1,3}(\.\d{1,3}){3}$")]
 
+Incarnation = tuple[Count, Count]
+"""Which start of a process, the higher the later: a time (ms) or a count, and a random number."""
+
+HybridTimestamp = tuple[Count, Count]
+"""Of a hybrid logical clock: milliseconds of wall time, and a count; see `switchline.fleet.hybrid_clock`."""
 
-class State(IntEnum):
-    """Of a member, in the order in which one overrides another of the same incarnation."""
+
+class MemberState(IntEnum):
+    """State of a member, in the order in which one overrides another of the same incarnation."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -42,182 +43,166 @@
     LEFT = 3
 
 
-class Kind(IntEnum):
-    """Of a datagram."""
+class MessageKind(IntEnum):
+    """Kind of a datagram, as in SWIM and memberlist. All of them carry gossip."""
 
     PING = 0
     ACK = 1
-    ASK = 2  # ping another for me
-    NACK = 3  # it has not answered me either, but I am here
-    NEWS = 4
+    PING_REQ = 2  # asks for an indirect probe: ping the target on the sender's behalf
+    NACK = 3  # answers a PING_REQ: the target has not acknowledged so far
+    GOSSIP = 4
+
 
+class Wanted(IntFlag):
+    """What a gateway asks for in an exchange, in addition to members and facts."""
 
-class Rumor(msgspec.Struct, array_like=True, frozen=True):
-    """What somebody says of a member; `by` is who suspects it."""
+    NOTHING = 0
+    LIST = 1  # the endpoint list, where the other side's is newer
+    QUOTAS = 2  # what is left of customers' quotas
+
+
+class MemberUpdate(msgspec.Struct, array_like=True, frozen=True):
+    """A claim about a member's state (SWIM's alive, suspect and confirm messages).
+
+    Attributes:
+        name: The member's name.
+        incarnation: Which start of its process.
+        refutation: SWIM's incarnation number: the member raises it to refute a suspicion.
+        state: The state that is claimed.
+        host: The member's address.
+        port: The member's port.
+        suspected_by: Of a suspicion: the member that suspects it; else empty.
+    """
 
     name: Name
-    life: Incarnation
-    incarnation: Count
-    state: State
+    incarnation: Incarnation
+    refutation: Count
+    state: MemberState
     host: Host
     port: Port
-    by: Name = ""
+    suspected_by: Name = ""
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """A fact: of a kind, about a name, told by an origin in one of its lives.
-
-    `at` is the origin's wall clock in milliseconds; `value` is None where the fact is withdrawn.
+    """One version of a fact.
+
+    Attributes:
+        kind: A `FactKind`, or a kind of a later release.
+        name: What the fact is about; empty for the origin itself.
+        origin: The gateway that wrote it.
+        incarnation: The origin's, as it wrote it.
+        version: Rises with each entry of an incarnation, or with each version of a decision.
+        at: When it became so, in milliseconds of the origin's wall clock.
+        value: The value; None where the fact is withdrawn.
     """
 
     kind: Name
     name: Name
     origin: Name
-    life: Incarnation
+    incarnation: Incarnation
     version: Count
-    at: Annotated[float, msgspec.Meta(ge=0, le=1e15)]
-    value: Annotated[str, msgspec.Meta(max_length=LONGEST_VALUE)] | None
+    at: WallTimeMs
+    value: Annotated[str, msgspec.Meta(max_length=MAX_VALUE_CHARS)] | None
 
 
 class Datagram(msgspec.Struct, array_like=True, frozen=True):
-    """One message: what it is, and what is told along with it."""
+    """One message by UDP, with the gossip it carries.
+
+    Attributes:
+        sender: The sender's name.
+        incarnation: The sender's.
+        number: Rises with each message of an incarnation, so that a replay is known.
+        kind: What the message is.
+        seq: Of a ping, and of the answers to it.
+        target: Of a PING and a PING_REQ: who is pinged.
+        host: Of a PING_REQ: the target's address; else where the sender is reached.
+        port: The port at that address; 0 for none.
+        updates: Gossip on members.
+        entries: Gossip on facts.
+        timestamp: The sender's last of its hybrid logical clock.
+    """
 
     sender: Name
-    life: Incarnation
-    number: Count  # rises with each message of a life: an old one is a replay
-    kind: Kind
-    seq: Count = 0  # of a ping, and of the answer to it
-    target: Name = ""  # who is pinged; of an ASK, whom to ping
-    host: str = ""  # of an ASK: where the target is; else where its sender is
+    incarnation: Incarnation
+    number: Count
+    kind: MessageKind
+    seq: Count = 0
+    target: Name = ""
+    host: str = ""
     port: Annotated[int, msgspec.Meta(ge=0, le=65_535)] = 0
-    rumors: list[Rumor] = []
+    updates: list[MemberUpdate] = []
     entries: list[Entry] = []
-    stamp: Stamp = (0, 0)  # the sender's last
+    timestamp: HybridTimestamp = (0, 0)
+
 
+class ListedHost(msgspec.Struct, array_like=True, frozen=True):
+    """A backend of an endpoint list, in the terms of the discovery protocol.
 
-class HostRow(msgspec.Struct, array_like=True, frozen=True):
-    """A backend of a list, in discovery's words."""
+    Attributes:
+        host: The backend's name.
+        dial: The address by which the list's owner reaches it.
+        site: Its zone.
+        block: Its number of a failure domain within the zone.
+        health: Its state.
+        born_ms: When it started, in milliseconds of wall time.
+    """
 
     host: Annotated[str, msgspec.Meta(max_length=256)]
     dial: Annotated[str, msgspec.Meta(max_length=64)]
     site: Name
     block: int
     health: Annotated[str, msgspec.Meta(max_length=16)]
-    born_ms: Annotated[float, msgspec.Meta(ge=0, le=1e15)]
+    born_ms: WallTimeMs
 
 
-class Listed(msgspec.Struct, array_like=True, frozen=True):
-    """A whole list of backends, and its number."""
+class EndpointList(msgspec.Struct, array_like=True, frozen=True):
+    """A complete endpoint list, and its number."""
 
     seq: Count
-    hosts: Annotated[list[HostRow], msgspec.Meta(max_length=MOST_HOSTS)]
+    hosts: Annotated[list[ListedHost], msgspec.Meta(max_length=MAX_LISTED_HOSTS)]
+
 
+class RemainingQuota(msgspec.Struct, array_like=True, frozen=True):
+    """What a gateway knows to be left of a customer's quota.
 
-class Spent(msgspec.Struct, array_like=True, frozen=True):
-    """What all gateways have left (units) of a customer's quota; `even`: the even share of one gateway."""
+    Attributes:
+        key: The customer's key.
+        plan: The customer's plan.
+        even: The even share of one gateway, as a ratio of the quota.
+        left: Units that all gateways have left together.
+    """
 
-    key: Annotated[str, msgspec.Meta(max_length=LONGEST_KEY)]
+    key: Annotated[str, msgspec.Meta(max_length=MAX_CUSTOMER_KEY_CHARS)]
     plan: Name
     even: Annotated[float, msgspec.Meta(gt=0, le=1)]
     left: Annotated[float, msgspec.Meta(ge=0, le=1e9)]
 
 
 class Exchange(msgspec.Struct, array_like=True, frozen=True):
-    """All that one side knows; `answer` tells which side of a push-pull it is.
-
-    A gateway that has just begun may want more of the other side (bits): its list of backends where that is
-    newer than `seq`, and customers' spending. `spent` is None as long as the other side does not know itself.
+    """One side's state in an anti-entropy exchange by TCP (memberlist's push-pull).
+
+    Attributes:
+        sender: The sender's name.
+        incarnation: The sender's.
+        number: Rises with each message of an incarnation, so that a replay is known.
+        answer: Whether this is the answer to the other side's state.
+        updates: All members that the sender knows.
+        entries: All facts that the sender knows.
+        wants: Bits of `Wanted`: what the sender asks for.
+        seq: The number of the sender's endpoint list; -1 where it has none.
+        listed: Of an answer: the endpoint list, if it was wanted and is newer.
+        spent: Of an answer: the quotas, if they were wanted and are known.
+        timestamp: The sender's last of its hybrid logical clock.
     """
 
     sender: Name
-    life: Incarnation
+    incarnation: Incarnation
     number: Count
     answer: bool
-    rumors: list[Rumor]
+    updates: list[MemberUpdate]
     entries: list[Entry]
     wants: Count = 0
     seq: Annotated[int, msgspec.Meta(ge=-1, le=2**63 - 1)] = -1
-    listed: Listed | None = None
-    spent: Annotated[list[Spent], msgspec.Meta(max_length=MOST_SPENT)] | None = None
-    stamp: Stamp = (0, 0)
-
-
-class Refused(Exception):
-    """A frame that is not taken; `reason` is one word."""
-
-    def __init__(self, reason: str) -> None:
-        super().__init__(reason)
-        self.reason = reason
-
-
-class Seal:
-    """Seals bodies, and opens frames of the same fleet and secret alone."""
-
-    def __init__(self, fleet: str, secret: bytes) -> None:
-        self.key = hashlib.blake2b(secret, digest_size=32, person=b"line of a fleet").digest()
-        self.head = bytes([VERSION]) + hashlib.blake2b(fleet.encode(), digest_size=MARK_BYTES).digest()
-        self.encoder = msgspec.msgpack.Encoder()
-        self.datagrams = msgspec.msgpack.Decoder(Datagram)
-        self.exchanges = msgspec.msgpack.Decoder(Exchange)
-
-    def checksum(self, body: bytes) -> bytes:
-        return hashlib.blake2b(self.head + body, digest_size=SUM_BYTES, key=self.key).digest()
-
-    def close(self, message: Datagram | Exchange) -> bytes:
-        body = self.encoder.encode(message)
-        return self.head + self.checksum(body) + body
-
-    def _open(self, frame: bytes, most: int) -> bytes:
-        """The body of a frame; raises Refused. What is too long is not even summed."""
-        if len(frame) > most:
-            raise Refused("oversize")
-        if len(frame) <= HEAD_BYTES:
-            raise Refused("garbage")
-        if frame[0] != VERSION:
-            raise Refused("version")
-        if frame[1 : 1 + MARK_BYTES] != self.head[1:]:
-            raise Refused("fleet")
-        body = frame[HEAD_BYTES:]
-        if not hmac.compare_digest(frame[1 + MARK_BYTES : HEAD_BYTES], self.checksum(body)):
-            raise Refused("key")
-        return body
-
-    def datagram(self, frame: bytes) -> Datagram:
-        try:
-            return self.datagrams.decode(self._open(frame, MOST_DATAGRAM))
-        except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-            raise Refused("garbage") from error
-
-    def exchange(self, frame: bytes) -> Exchange:
-        try:
-            return self.exchanges.decode(self._open(frame, MOST_EXCHANGE))
-        except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-            raise Refused("garbage") from error
-
-
-class Window:
-    """Which numbers of one sender's life have come: the highest, and a bit for each of the last 64."""
-
-    __slots__ = ("bits", "highest", "life")
-
-    WIDTH = 64
-
-    def __init__(self, life: Incarnation) -> None:
-        self.life, self.highest, self.bits = life, 0, 0
-
-    def fresh(self, life: Incarnation, number: int) -> bool:
-        """Whether this message is new; notes it. An older life's message never is."""
-        if life != self.life:
-            if life < self.life:
-                return False
-            self.life, self.highest, self.bits = life, 0, 0
-        if number > self.highest:
-            step = number - self.highest
-            self.bits = ((self.bits << step) | 1) & ((1 << self.WIDTH) - 1) if step < self.WIDTH else 1
-            self.highest = number
-            return True
-        back = self.highest - number
-        if back >= self.WIDTH or self.bits >> back & 1:
-            return False
-        self.bits |= 1 << back
-        return True
+    listed: EndpointList | None = None
+    spent: Annotated[list[RemainingQuota], msgspec.Meta(max_length=MAX_QUOTAS)] | None = None
+    timestamp: HybridTimestamp = (0, 0)
--- a/switchline/fleet/outage.py
+++ b/switchline/fleet/outage.py
@@ -1,7 +1,8 @@
-"""Whether the whole fleet lost power, judged by what its gateways tell of their own lives. Pure.
+"""Whether the whole fleet lost power, judged by what its gateways publish of their own downtimes. Pure.
 
-A process that begins after a death tells for a while how long its gateway was down, by its own clock on both
-ends, so that clocks that differ say nothing wrong. Nobody's own guess counts: it takes most of those heard.
+A process that begins after a crash publishes for a while how long its gateway was down, by its own clock on
+both ends, so that clocks that differ do no harm. No gateway's own guess counts: it takes a majority of those
+that are present.
 """
 
 from __future__ import annotations
@@ -11,45 +12,66 @@
 from dataclasses import dataclass
 from statistics import median
 
-UNKNOWN = "?"  # its disk tells of no earlier life
-RISEN_S = 20.0  # since a process began: about a backend's slow start
-OLD_S = 10.0  # down for so much longer than the others: more likely its disk holds an old copy
-MOST_S = 600.0  # a longer downtime is no power loss that anyone's backends are still cold from
-DIGITS = 12  # of a downtime as it is told
+UNKNOWN_DOWNTIME = "?"  # published where the disk tells of no earlier process
+DOWNTIME_PUBLISHED_S = 20.0  # since a process began: about a backend's slow start
+OLD_DISK_S = 10.0  # down for so much longer than the others: more likely its disk holds an old copy
+MAX_OUTAGE_S = 600.0  # after a longer downtime no backend is cold from it
+MAX_DOWNTIME_CHARS = 12
+LEAST_OTHERS = 2  # whose downtimes show that a disk is old
 
 
-def read_down(value: str | None) -> float | None:
-    """Seconds that a gateway tells it was down: NaN where it does not know, None where it tells nothing."""
+def decode_downtime(value: str | None) -> float | None:
+    """Return the seconds that a gateway publishes as its downtime.
+
+    Returns:
+        The downtime; NaN where the gateway does not know it, or the value is spoilt; None where it publishes
+        none.
+    """
     if value is None:
         return None
     try:
-        down = float(value) if len(value) <= DIGITS else math.nan
+        downtime_s = float(value) if len(value) <= MAX_DOWNTIME_CHARS else math.nan
     except ValueError:
-        return math.nan  # unknown, or spoilt
-    return down if math.isfinite(down) and down >= 0 else math.nan
+        return math.nan
+    return downtime_s if math.isfinite(downtime_s) and downtime_s >= 0 else math.nan
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
-    """What this gateway makes of it: `common`, most lost power; `old`, its disk is behind theirs."""
+class OutageVerdict:
+    """What this gateway makes of the downtimes.
+
+    Attributes:
+        common: Whether most of the fleet lost power.
+        old: Whether this gateway's disk holds an older state than the others'.
+        restarted: Gateways that began lately, this one too.
+        heard: All that are present.
+        down_s: The median downtime, if the outage was common; else 0.
+    """
 
     common: bool
     old: bool
-    risen: int  # gateways that began lately, this one too
-    heard: int  # all that are here
-    down_s: float  # of the outage, if it was common
+    restarted: int
+    heard: int
+    down_s: float
+
 
+def judge_outage(own: float | None, others: Iterable[float | None]) -> OutageVerdict:
+    """Judge whether the outage was common, and whether the own disk is old.
 
-def judge(own: float | None, others: Iterable[float | None]) -> Verdict:
-    """`own` and `others` as `read_down` gives them; others are those that are here.
+    It is common once most of those that are present began lately, at least two, and one of them knows of an
+    earlier process: else a fleet starts for the first time. A gateway that is alone in this joins a fleet
+    that was up.
 
-    It is common once most of those here began lately, at least two, and one of them knows of an earlier life:
-    else a fleet just starts for the first time. Who is alone in a running fleet joins it.
+    Args:
+        own: This gateway's downtime, as `decode_downtime` gives it.
+        others: Likewise of each other gateway that is present.
     """
-    told = list(others)
-    risen = [down for down in (own, *told) if down is not None]
-    known = [down for down in risen if not math.isnan(down) and down <= MOST_S]
-    common = own is not None and len(risen) >= 2 and 2 * len(risen) > 1 + len(told) and bool(known)
-    usual = [down for down in told if down is not None and not math.isnan(down)]
-    old = own is not None and not math.isnan(own) and len(usual) >= 2 and own > median(usual) + OLD_S
-    return Verdict(common, old, len(risen), 1 + len(told), median(known) if common else 0.0)
+    downtimes = list(others)
+    restarted = [down_s for down_s in (own, *downtimes) if down_s is not None]
+    known = [down_s for down_s in restarted if not math.isnan(down_s) and down_s <= MAX_OUTAGE_S]
+    is_majority = len(restarted) >= 2 and 2 * len(restarted) > 1 + len(downtimes)
+    common = own is not None and is_majority and bool(known)
+    of_others = [down_s for down_s in downtimes if down_s is not None and not math.isnan(down_s)]
+    comparable = own is not None and not math.isnan(own) and len(of_others) >= LEAST_OTHERS
+    old = comparable and own is not None and own > median(of_others) + OLD_DISK_S
+    return OutageVerdict(common, old, len(restarted), 1 + len(downtimes), median(known) if common else 0.0)
--- a/switchline/fleet_runtime/list_repair.py
+++ b/switchline/fleet_runtime/list_repair.py
@@ -12,8 +12,15 @@
 
 from switchline.audit.recorder import Noted
 from switchline.discovery.client import Discovery, DiscoveryError, read_list
-from switchline.fleet.messages import LIST, Exchange, Listed
-from switchline.fleet.staleness import StaleList, agreed, leaves_none, number, seq_of
+from switchline.fleet.fact_kinds import FactKind
+from switchline.fleet.messages import EndpointList, Exchange, Wanted
+from switchline.fleet.staleness import (
+    StaleListWatch,
+    agreed_changes,
+    parse_list_number,
+    removes_all,
+    seq_or_no_list,
+)
 from switchline.fleet_runtime.transport import Peers
 from switchline.policy import interface as api
 from switchline.service.driver import Driver
@@ -32,8 +39,8 @@
         self, driver: Driver, discovery: Discovery, recovery: Recovery, chance: random.Random
     ) -> None:
         self.driver, self.discovery, self.recovery, self.chance = driver, discovery, recovery, chance
-        self.behind = StaleList()
-        self.lists: dict[str, Listed] = {}  # by their gateways
+        self.behind = StaleListWatch()
+        self.lists: dict[str, EndpointList] = {}  # by their gateways
         self.seq = -1  # of the newest list that it was brought up to
         self.taken: set[tuple[str, str]] = set()  # hosts and what became of them, by others' word
         self.ask_at = 0.0
@@ -42,15 +49,18 @@
         self.noted: Noted = lambda kind, of, version, cause: None  # of the audit
 
     def own(self) -> int:
-        return seq_of(self.discovery.version)
+        return seq_or_no_list(self.discovery.version)
 
     def look(self, peers: Peers) -> None:
         """Called now and then."""
         now, node = time.monotonic(), peers.node
         if self.own() >= self.seq and self.taken:
             self.taken.clear()  # its agent tells as much as the others did
-        told = {name: number(node.facts.value("list", "", name)) for name in node.members.present}
-        behind = self.behind.look(now, self.own(), told.values()) and not node.members.minority
+        told = {
+            name: parse_list_number(node.facts.value(FactKind.LIST, "", name))
+            for name in node.members.present
+        }
+        behind = self.behind.is_stale(now, self.own(), told.values()) and not node.members.minority
         if behind and not self.is_behind:
             newest = max((seq for seq in told.values() if seq is not None), default=-1)
             log.warning("the list here is behind: %d, most have a newer one, up to %d", self.own(), newest)
@@ -59,16 +69,16 @@
             log.info("the list here is level again: %d", self.own())
             self.noted("level", "list", str(self.own()), "its agent tells as much as the others'")
             self.lists.clear()
-            node.wants &= ~LIST
+            node.wants &= ~Wanted.LIST
         self.is_behind = behind
         if not behind or now < self.ask_at:
             return
         newer = [n for n, seq in told.items() if seq is not None and seq > max(self.own(), self.seq)]
         if newer:
             self.ask_at = now + ASK_S
-            node.wants, node.list_seq = node.wants | LIST, self.own()
+            node.wants, node.list_seq = node.wants | Wanted.LIST, self.own()
             some = self.chance.sample(sorted(newer), min(ASKED, len(newer)))
-            node.ask_of([node.members.present[name].address for name in some])
+            node.exchange_with([node.members.present[name].address for name in some])
 
     def learn(self, told: Exchange) -> None:
         """Another's list; what two tell alike binds."""
@@ -80,11 +90,11 @@
             del self.lists[next(iter(self.lists))]
         self.lists[told.sender] = told.listed
         newer = [listed for listed in self.lists.values() if listed.seq > self.own()]
-        found = agreed(own, newer)
+        found = agreed_changes(own, newer)
         changes = [host for host in found if (str(host["host"]), str(host["health"])) not in self.taken]
         if len(newer) > 1:
             self.seq = max(self.seq, sorted(listed.seq for listed in newer)[-2])
-        if not changes or leaves_none(own, found):
+        if not changes or removes_all(own, found):
             return
         try:
             members = read_list({"seq": self.seq, "whole": False, "hosts": changes}).members
--- a/switchline/fleet_runtime/recovery.py
+++ b/switchline/fleet_runtime/recovery.py
@@ -21,9 +21,23 @@
 from switchline.discovery.client import Discovery, DiscoveryError, read_list
 from switchline.fleet.fact_kinds import FactKind
 from switchline.fleet.members import Members
-from switchline.fleet.messages import LIST, MOST_HOSTS, MOST_SPENT, SPENDING, Exchange, HostRow, Listed, Spent
-from switchline.fleet.outage import RISEN_S, UNKNOWN, Verdict, judge, read_down
-from switchline.fleet.staleness import bound_by, leaves_none, seq_of
+from switchline.fleet.messages import (
+    MAX_LISTED_HOSTS,
+    MAX_QUOTAS,
+    EndpointList,
+    Exchange,
+    ListedHost,
+    RemainingQuota,
+    Wanted,
+)
+from switchline.fleet.outage import (
+    DOWNTIME_PUBLISHED_S,
+    UNKNOWN_DOWNTIME,
+    OutageVerdict,
+    decode_downtime,
+    judge_outage,
+)
+from switchline.fleet.staleness import binding_changes, removes_all, seq_or_no_list
 from switchline.fleet_runtime.transport import Peers, Word
 from switchline.operators.overrides import OperatorOverrides
 from switchline.policy import gateway_status
@@ -72,12 +86,12 @@
         self.down_s = recovery.down_s()
         self.peers: Peers | None = None
         self.stage, self.stage_at = Stage.FACTS, self.began
-        self.risen_until, self.doubt_until = self.began + RISEN_S, self.began + DOUBT_S
-        self.verdict = Verdict(False, False, 0, 1, 0.0)
+        self.risen_until, self.doubt_until = self.began + DOWNTIME_PUBLISHED_S, self.began + DOUBT_S
+        self.verdict = OutageVerdict(False, False, 0, 1, 0.0)
         self.taken: set[tuple[str, str]] = set()  # kind and name
         # Others that were met in this life: until when what they brought from before theirs is taken.
         self.met: dict[str, float] = {}
-        self.newest: Listed | None = None  # list of another's
+        self.newest: EndpointList | None = None  # list of another's
         self.asked: set[str] = set()  # for spending, and not heard yet
         self.ready = False  # this one can tell of spending itself
         self.held_back = False  # a list of discovery
@@ -89,16 +103,16 @@
     # ---- what it tells ----
 
     def words(self) -> Iterator[Word]:
-        down = UNKNOWN if math.isnan(self.down_s) else f"{self.down_s:.1f}"
+        down = UNKNOWN_DOWNTIME if math.isnan(self.down_s) else f"{self.down_s:.1f}"
         yield Word(FactKind.DOWNTIME, "", down if time.monotonic() < self.risen_until else None)
 
-    def listed(self, seq: int) -> Listed | None:
+    def listed(self, seq: int) -> EndpointList | None:
         """The list here, if it is newer than what another has."""
         hosts, version = self.recovery.listed(), self.discovery.version
-        if hosts is None or version is None or version <= seq or len(hosts) > MOST_HOSTS:
+        if hosts is None or version is None or version <= seq or len(hosts) > MAX_LISTED_HOSTS:
             return None
         rows = [
-            HostRow(
+            ListedHost(
                 str(host["host"]),
                 str(host["dial"]),
                 str(host.get("site") or ""),
@@ -108,14 +122,14 @@
             )
             for host in hosts
         ]
-        return Listed(version, rows)
+        return EndpointList(version, rows)
 
-    def spent(self) -> list[Spent] | None:
+    def spent(self) -> list[RemainingQuota] | None:
         """What is spent of quotas, as this one knows; None as long as it asks itself."""
         if not self.ready:
             return None
-        told = gateway_status.spending(self.driver.gateway, now_ms(), MOST_SPENT)
-        return [Spent(one.key, one.plan, one.even, one.left) for one in told]
+        told = gateway_status.spending(self.driver.gateway, now_ms(), MAX_QUOTAS)
+        return [RemainingQuota(one.key, one.plan, one.even, one.left) for one in told]
 
     def settle(self) -> None:
         """This process takes over from another one, which knows better: it only answers the others."""
@@ -125,17 +139,17 @@
     def attach(self, peers: Peers) -> None:
         """The line is open, or open anew."""
         self.peers, node = peers, peers.node
-        node.listed, node.spent = self.listed, self.spent
+        node.newer_list, node.known_quotas = self.listed, self.spent
 
     # ---- before clients ----
 
     async def hear(self, peers: Peers) -> None:
         """Wait, no longer than a bound, until what must be known before clients is known."""
         node = peers.node
-        node.wants, node.list_seq = LIST, seq_of(self.discovery.version)
+        node.wants, node.list_seq = Wanted.LIST, seq_or_no_list(self.discovery.version)
         ask_at = self.began
         while (left := self.began + HEAR_S - time.monotonic()) > 0:
-            others = len(node.members.here())
+            others = len(node.members.present)
             if others and len(node.exchanged_with) >= min(ENOUGH, others):
                 await asyncio.sleep(min(LATER_S, left))
                 break
@@ -143,12 +157,12 @@
                 break
             if time.monotonic() >= ask_at:
                 ask_at = time.monotonic() + ASK_S
-                node.ask_more(ENOUGH - 1)
+                node.exchange_with_some(ENOUGH - 1)
             await asyncio.sleep(min(LOOK_S, left))
         self.adopt(anew=True)
         self.take_list()
         self.verdict = self.judged()
-        node.wants = 0
+        node.wants = Wanted.NOTHING
         self.waited_ms = round((time.monotonic() - self.began) * 1000)
         log.info(
             "recovery: heard %d other gateways in %d ms; of them come %d that are out by hand, %d of a list",
@@ -162,15 +176,15 @@
             why = "it is older than the others'" if self.verdict.old else "it tells of no earlier life"
             self.turn(Stage.SPENDING, f"the disk can't be relied on: {why}")
             node, ends, ask_at = self.peers.node, time.monotonic() + SPENDING_S, 0.0
-            node.wants = SPENDING
+            node.wants = Wanted.QUOTAS
             near = self.nearest()
             self.asked = set(near)
             while self.asked and time.monotonic() < ends:
                 if time.monotonic() >= ask_at:
                     ask_at = time.monotonic() + ASK_S
-                    node.ask_of([near[name] for name in sorted(self.asked)][:2])
+                    node.exchange_with([near[name] for name in sorted(self.asked)][:2])
                 await asyncio.sleep(LOOK_S)
-            node.wants = 0
+            node.wants = Wanted.NOTHING
             log.info("recovery: %d customers' spending came from others", self.customers)
             if self.asked:
                 log.info("recovery: no word of spending from %s", ", ".join(sorted(self.asked)))
@@ -212,16 +226,16 @@
         The addresses in it are those that the other gateway reaches backends by. Discovery is asked for all
         that it knows then, as its changes would not undo what a peer erred in.
         """
-        newer, own, seq = self.newest, self.recovery.listed(), seq_of(self.discovery.version)
+        newer, own, seq = self.newest, self.recovery.listed(), seq_or_no_list(self.discovery.version)
         if newer is None or own is None or newer.seq <= seq:
             return
-        changes = list(bound_by(own, newer))
+        changes = list(binding_changes(own, newer))
         try:
             found = read_list({"seq": newer.seq, "whole": False, "hosts": changes})
         except DiscoveryError as error:
             self.spoilt += 1
             return log.info("recovery: another gateway's list is left out: %s", error)
-        if leaves_none(own, changes):
+        if removes_all(own, changes):
             return  # nobody has use for it
         log.info("recovery: another gateway's list is newer: %d, here %d", newer.seq, seq)
         self.noted("brought up", "list", str(newer.seq), "at the start, by another gateway's list")
@@ -235,7 +249,7 @@
         Of an older one its drains; an empty one, where backends are known, is held back. Later both hold.
         """
         hosts = raw.get("hosts") or []
-        known = max(seq_of(self.discovery.version), self.newest.seq if self.newest else -1)
+        known = max(seq_or_no_list(self.discovery.version), self.newest.seq if self.newest else -1)
         own = self.recovery.listed()
         behind = raw.get("whole") and (int(raw["seq"]) < known or not hosts)
         if not behind or not own or time.monotonic() >= self.doubt_until:
@@ -250,7 +264,7 @@
 
     def meet(self, members: Members) -> None:
         """Who is met for the first time in this life was not there to be asked at its start."""
-        until = time.monotonic() + RISEN_S
+        until = time.monotonic() + DOWNTIME_PUBLISHED_S
         self.met = {name: at for name, at in self.met.items() if name in members.others}
         self.met |= {name: until for name in members.present.keys() - self.met.keys()}
 
@@ -266,9 +280,9 @@
         now, facts = time.monotonic(), self.peers.node.facts
         for kind, bans in self.hands.items():
             newer: dict[str, tuple[bool, float]] = {}
-            for (name, _), held in facts.of_kind(kind).items():
-                entry, out = held.entry, held.entry.value == "down"
-                brought = entry.at <= entry.life[0] and now < self.met.get(entry.origin, 0.0)
+            for (name, _), stored in facts.of_kind(kind).items():
+                entry, out = stored.entry, stored.entry.value == "down"
+                brought = entry.at <= entry.incarnation[0] and now < self.met.get(entry.origin, 0.0)
                 asked = (anew or brought) and (out or name in bans.out)
                 if ((kind, name) in self.taken or asked) and entry.at > bans.since(name):
                     newer[name] = out, entry.at
@@ -282,13 +296,13 @@
 
     # ---- stages ----
 
-    def judged(self) -> Verdict:
+    def judged(self) -> OutageVerdict:
         """Whether the fleet lost power, as far as this one has heard."""
         if self.peers is None:
             return self.verdict
         members, facts = self.peers.node.members, self.peers.node.facts
-        others = [read_down(facts.value(FactKind.DOWNTIME, "", name)) for name in members.present]
-        return judge(self.down_s if time.monotonic() < self.risen_until else None, others)
+        others = [decode_downtime(facts.value(FactKind.DOWNTIME, "", name)) for name in members.present]
+        return judge_outage(self.down_s if time.monotonic() < self.risen_until else None, others)
 
     def look(self) -> None:
         """Called now and then: follow the fleet's word, and the stages."""
@@ -306,7 +320,7 @@
 
     def turn_cold(self) -> None:
         found = self.verdict
-        said = f"{found.risen} of {found.heard} gateways began lately, down for {found.down_s:.1f} s"
+        said = f"{found.restarted} of {found.heard} gateways began lately, down for {found.down_s:.1f} s"
         self.turn(Stage.COLD, f"the fleet lost power: {said}")
         back = now_ms() - (time.monotonic() - self.began) * 1000
         self.driver.give(api.FleetOutage(back - (found.down_s + SINCE_S) * 1000, back))
@@ -336,7 +350,7 @@
             "stage_s": round(time.monotonic() - self.stage_at, 2),
             "common": verdict.common,
             "old_disk": verdict.old,
-            "risen": verdict.risen,
+            "risen": verdict.restarted,
             "heard": verdict.heard,
             "down_s": None if math.isnan(self.down_s) else round(self.down_s, 1),
             "waiting_for": sorted(self.asked),
--- a/switchline/fleet_runtime/transport.py
+++ b/switchline/fleet_runtime/transport.py
@@ -16,9 +16,12 @@
 
 from switchline.clock import now_ms
 from switchline.config import Address, FleetLink
-from switchline.fleet.facts import TooMuch
-from switchline.fleet.messages import MOST_EXCHANGE, Entry, Incarnation, Seal, State
-from switchline.fleet.node import Node
+from switchline.fleet.endpoint import ProtocolEndpoint
+from switchline.fleet.fact_kinds import FactKind
+from switchline.fleet.facts import FactLimitError
+from switchline.fleet.frames import FrameCodec
+from switchline.fleet.members import alive_claim
+from switchline.fleet.messages import MAX_EXCHANGE_BYTES, Entry, Incarnation, MemberState
 
 log = logging.getLogger(__name__)
 
@@ -80,8 +83,8 @@
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.line, self.words = line, words
-        seal = Seal(line.fleet, line.secret)
-        self.node = Node(name, life, line.advertise, line.seeds, seal, chance, self.loop.time(), now_ms())
+        me, codec = alive_claim(name, life, line.advertise), FrameCodec(line.fleet, line.secret)
+        self.node = ProtocolEndpoint(me, line.seeds, codec, chance, self.loop.time(), now_ms())
         self.transport: asyncio.DatagramTransport | None = None
         self.server: asyncio.Server | None = None
         self.timer: asyncio.TimerHandle | None = None
@@ -122,7 +125,7 @@
     def leave(self) -> None:
         """Tell the others that this gateway ends."""
         if self.transport is not None:
-            self.node.leave(self.loop.time())
+            self.node.leave()
             self._flush()
 
     def close(self) -> None:
@@ -153,7 +156,7 @@
         if self.spoilt.get(host, 0) >= SPOILT_PER_S:
             self.node.refuse("flood")
             return
-        if not self.node.receive(now, now_ms(), data):
+        if not self.node.receive_datagram(now, now_ms(), data):
             if not self.spoilt:
                 self.spoilt_at = now
             if host in self.spoilt or len(self.spoilt) < MOST_HOSTS:
@@ -166,10 +169,10 @@
         self.node.refuse("unsent")  # the system could not send one: as lost on its way
 
     def _flush(self) -> None:
-        for to, frame in self.node.take():
+        for to, frame in self.node.take_datagrams():
             if self.transport is not None and not self.transport.is_closing():
                 self.transport.sendto(frame, to)
-        for to in self.node.exchanges():
+        for to in self.node.take_exchanges():
             if self.begun < MOST_OUT:
                 self.begun += 1
                 self._spawn(self._exchange(to))
@@ -205,13 +208,13 @@
         for word in self.words():
             try:
                 self.node.tell(word.at or now_ms(), word.kind, word.name, word.value)
-            except TooMuch as error:
+            except FactLimitError as error:
                 if (word.kind, word.name) not in self.over_said:
                     self.over_said.add((word.kind, word.name))
                     log.warning("not told to the other gateways: %s", error)
 
     def say(self, word: Word) -> None:
-        """Tell one fact at once; raises TooMuch."""
+        """Tell one fact at once; raises FactLimitError."""
         self.node.tell(word.at or now_ms(), word.kind, word.name, word.value)
         self.spread()
 
@@ -228,8 +231,8 @@
             told = ", ".join(f"{why} {number}" for why, number in sorted(new.items()) if number)
             log.warning("line to other gateways: dropped in the last %d s: %s", REPORT_S, told)
         self.reported = dict(refused)
-        if self.quiet is not self.node.members.taken_over:
-            self.quiet = self.node.members.taken_over
+        if self.quiet is not self.node.members.superseded:
+            self.quiet = self.node.members.superseded
             said = "another process has this name" if self.quiet else "this process has its name again"
             log.warning("line to other gateways: %s", said)
 
@@ -237,7 +240,7 @@
 
     async def _read(self, reader: asyncio.StreamReader) -> bytes:
         length = int.from_bytes(await reader.readexactly(LENGTH_BYTES), "big")
-        if length > MOST_EXCHANGE:
+        if length > MAX_EXCHANGE_BYTES:
             raise ValueError("too long")
         return await reader.readexactly(length)
 
@@ -249,8 +252,8 @@
         try:
             async with asyncio.timeout(EXCHANGE_S):
                 frame = await self._read(reader)
-                if self.node.exchanged(self.loop.time(), now_ms(), frame, False):
-                    self._write(writer, self.node.state(True))
+                if self.node.receive_exchange(self.loop.time(), now_ms(), frame, False):
+                    self._write(writer, self.node.exchange_frame(True))
                     await writer.drain()
                     self._flush()
                     self._arm()
@@ -269,9 +272,9 @@
         try:
             async with asyncio.timeout(EXCHANGE_S):
                 reader, writer = await asyncio.open_connection(*to, local_addr=(self.line.listen[0], 0))
-                self._write(writer, self.node.state(False))
+                self._write(writer, self.node.exchange_frame(False))
                 frame = await self._read(reader)
-            if self.node.exchanged(self.loop.time(), now_ms(), frame, True):
+            if self.node.receive_exchange(self.loop.time(), now_ms(), frame, True):
                 self._flush()
                 self._arm()
         except (OSError, ValueError, EOFError):
@@ -288,13 +291,13 @@
         states = [member.state for member in members.others.values()]
         return {
             "fleet.members": members.size,
-            "fleet.suspect": sum(state is State.SUSPECT for state in states),
-            "fleet.dead": sum(state is State.DEAD for state in states),
+            "fleet.suspect": sum(state is MemberState.SUSPECT for state in states),
+            "fleet.dead": sum(state is MemberState.DEAD for state in states),
             "fleet.facts": len(self.node.facts.table),
             "fleet.minority": int(members.minority),
-            "fleet.quiet": int(members.taken_over),
+            "fleet.quiet": int(members.superseded),
             "fleet.sent": self.node.sent,
-            "fleet.received": self.node.taken,
+            "fleet.received": self.node.received,
             "fleet.dropped": sum(self.node.refused.values()),
         }
 
@@ -303,27 +306,27 @@
         now, wall, members = self.loop.time(), now_ms(), self.node.members
         me = members.me
         rows: dict[str, dict[str, Any]] = {
-            me.name: {"state": "self", "life": list(me.life), "address": f"{me.host}:{me.port}"}
+            me.name: {"state": "self", "life": list(me.incarnation), "address": f"{me.host}:{me.port}"}
         }
         for name, member in sorted(members.others.items()):
             rows[name] = {
                 "state": member.state.name.lower(),
-                "life": list(member.rumor.life),
+                "life": list(member.update.incarnation),
                 "address": "{}:{}".format(*member.address),
                 "heard_s": round(now - member.heard, 2),
                 "since_s": round(now - member.since, 2),
             }
-        for (_, origin), held in self.node.facts.of_kind("zone").items():
-            if origin in rows and held.entry.value is not None:
-                rows[origin]["zone"] = held.entry.value
-        facts = [self._fact(held.entry, wall) for held in self.node.facts.table.values()]
+        for (_, origin), stored in self.node.facts.of_kind(FactKind.ZONE).items():
+            if origin in rows and stored.entry.value is not None:
+                rows[origin]["zone"] = stored.entry.value
+        facts = [self._fact(stored.entry, wall) for stored in self.node.facts.table.values()]
         facts.sort(key=lambda fact: (fact["kind"], fact["name"], fact["origin"]))
         return {
             "name": me.name,
             "fleet": self.line.fleet,
             "minority": members.minority,
-            "quiet": members.taken_over,
-            "health": members.health,
+            "quiet": members.superseded,
+            "health": members.health.score,
             "counts": dict(members.counts),
             "members": rows,
             "facts": facts,
--- a/switchline/operators/fleet_calls.py
+++ b/switchline/operators/fleet_calls.py
@@ -14,8 +14,8 @@
 
 from switchline.clock import now_ms
 from switchline.fleet.fact_kinds import FactKind
-from switchline.fleet.facts import TooMuch
-from switchline.fleet.messages import Entry, State
+from switchline.fleet.facts import FactLimitError
+from switchline.fleet.messages import Entry, MemberState
 from switchline.fleet_runtime.transport import Peers, Word
 from switchline.operators.overrides import OperatorOverrides
 from switchline.operators.server import Said
@@ -82,7 +82,7 @@
         if self.peers is not None:
             try:
                 self.peers.say(Word(kind, name, value))
-            except TooMuch as error:
+            except FactLimitError as error:
                 log.warning("not told to the other gateways: %s", error)
 
     def look(self) -> None:
@@ -100,7 +100,7 @@
             others, calls = self.others(), self.calls.items()
             lack = [n for n in others if not all(self.has(n, kind, name, at) for (kind, name), at in calls)]
             known = self.peers.node.members.others
-            self.peers.node.ask_of([known[name].address for name in lack[:AT_ONCE]])
+            self.peers.node.exchange_with([known[name].address for name in lack[:AT_ONCE]])
 
     # ---- a call here ----
 
@@ -112,7 +112,7 @@
         at = (bans.out if out else bans.back).get(name, now_ms())
         try:
             self.peers.say(Word(kind, name, "down" if out else "up", at))
-        except TooMuch as error:
+        except FactLimitError as error:
             return Said(503, f"it holds here alone: {error}\n")
         self.take(kind, name, at)
         self.calls[kind, name] = at
@@ -136,7 +136,7 @@
         if self.peers is None:
             return []
         members = self.peers.node.members.others
-        return sorted(name for name, member in members.items() if member.state is not State.LEFT)
+        return sorted(name for name, member in members.items() if member.state is not MemberState.LEFT)
 
     def waits_for(self, kind: str, name: str, at: float) -> bool:
         """Whether a member that is here has not got it yet."""
--- a/switchline/service/service.py
+++ b/switchline/service/service.py
@@ -36,7 +36,7 @@
     from switchline.audit.recorder import Audit
     from switchline.fleet.messages import Entry, Exchange
     from switchline.fleet.quarantine import Quarantine
-    from switchline.fleet.staleness import Divergence
+    from switchline.fleet.staleness import VersionDivergence
     from switchline.fleet_runtime.list_repair import ListRepair
     from switchline.fleet_runtime.recovery import FleetRecovery
     from switchline.fleet_runtime.transport import Peers, Word
@@ -140,7 +140,7 @@
         self.quarantine: Quarantine | None = None  # whether it is shut out, as its list stays behind
         self.lags = ""  # what this gateway acts on that is behind
         self.drained = False  # by an operator
-        self.divergence: Divergence | None = None  # what most others have another version of
+        self.divergence: VersionDivergence | None = None  # what most others have another version of
         self.list_repair: ListRepair | None = None  # whether the list here is behind theirs
         self.zone_coordinator: ZoneCoordinator | None = None  # zones as one act of the fleet
         self.emptying: asyncio.Task[None] | None = None  # until nothing is left of a hand-over
@@ -189,7 +189,7 @@
         of_line |= self.fleet_recovery.gauges() if self.fleet_recovery is not None else {}
         of_line |= self.list_repair.gauges() if self.list_repair is not None else {}
         of_line |= self.zone_coordinator.gauges() if self.zone_coordinator is not None else {}
-        of_line |= {"fleet.differs": len(self.divergence.told)} if self.divergence is not None else {}
+        of_line |= {"fleet.differs": len(self.divergence.shown)} if self.divergence is not None else {}
         of_line |= {"fleet.shut_out": int(self.quarantine.out)} if self.quarantine is not None else {}
         of_line |= self.audit.gauges() if self.audit is not None else {}
         return self.clients.gauges() | self.backends.gauges() | self.budget.gauges() | of_state | of_line
@@ -297,9 +297,9 @@
             self.recovery.keep_hand(kind, name, out, since)
 
     def is_floor(self, name: str) -> bool:
-        from switchline.fleet.staleness import floors_of
+        from switchline.fleet.staleness import parse_floors
 
-        return bool(floors_of([name]))
+        return bool(parse_floors([name]))
 
     def knows_gateway(self, name: str) -> bool:
         return self.peers is not None and name in (self.config.name, *self.peers.node.members.others)
@@ -342,12 +342,12 @@
         if config.line is None and config.audit is None:
             return
         from switchline.audit.recorder import Audit, build_digest
-        from switchline.fleet.messages import VERSION
+        from switchline.fleet.frames import PROTOCOL_VERSION
 
         life = int(now_ms()), random.Random(f"{config.seed} audit").getrandbits(40)
         self.audit = Audit(config.name, life, config.audit, self.acts)
         self.note("program", "", f"{config.release} {build_digest()}", "start")
-        self.note("format", "", str(VERSION), "start")
+        self.note("format", "", str(PROTOCOL_VERSION), "start")
         self.note("quota", "", LEASED, "start")
         self.note_config("start")
         self.note_list()
@@ -406,7 +406,7 @@
         if self.config.line is None or self.peers is not None:
             return
         from switchline.fleet.fact_kinds import FLEET_WIDE
-        from switchline.fleet.staleness import Divergence
+        from switchline.fleet.staleness import VersionDivergence
         from switchline.fleet_runtime.transport import Peers, next_life
         from switchline.operators.fleet_calls import FleetCalls
         from switchline.zones.coordination import ZoneCoordinator
@@ -423,15 +423,15 @@
             self.zone_coordinator = ZoneCoordinator(self.driver, random.Random(f"{self.config.seed} zones"))
             self.zone_coordinator.noted = self.note
         if self.audit is not None:
-            self.audit.follow(self.peers.node.order, life)
+            self.audit.follow(self.peers.node.clock, life)
         self.zone_coordinator.attach(self.peers)
         if self.recovery is not None:
             if not self.upgrade.told.is_set():  # else the other process knows better, and has told the others
                 self.zone_coordinator.recall(self.recovery.acts)
             self.zone_coordinator.keep = self.recovery.keep_act
-        self.divergence = Divergence()
-        self.peers.node.told = self.heard
-        self.peers.node.learned = self.learn
+        self.divergence = VersionDivergence()
+        self.peers.node.fact_changed = self.heard
+        self.peers.node.answered = self.learn
         self.peers.looked = self.look
         await self.peers.open()
 
@@ -449,28 +449,28 @@
             self.shut(self.list_repair, self.peers)
         self.note("ready", "", "yes" if self.clients.takes_clients else "no")
 
-    def compare(self, peers: Peers, divergence: Divergence) -> None:
+    def compare(self, peers: Peers, divergence: VersionDivergence) -> None:
         """Tell staff where most other gateways have another configuration or program than this one."""
         node, own = peers.node, {"config": self.config.digest, "release": self.config.release}
         for kind, mine in own.items():
             others = [node.facts.value(kind, "", name) for name in node.members.present]
-            if divergence.look(self.loop.time(), kind, mine, others):
-                theirs = divergence.told.get(kind)
+            if divergence.update(self.loop.time(), kind, mine, others):
+                theirs = divergence.shown.get(kind)
                 said = f"most have {theirs}" if theirs else "most have the same now"
                 log.warning("the %s here is %s: %s", kind, mine, said)
                 self.note("differs" if theirs else "alike", kind, "", said)
 
     def shut(self, list_repair: ListRepair, peers: Peers) -> None:
         """Go out, or come back, as its list stays behind the others' and most of them grant it."""
-        from switchline.fleet.quarantine import Quarantine
-        from switchline.fleet.staleness import floors_of
+        from switchline.fleet.quarantine import Quarantine, StalenessView
+        from switchline.fleet.staleness import parse_floors
 
         if self.quarantine is None:
             self.quarantine = Quarantine(peers.line.shut_out_s, self.loop.time())
         was, one = self.quarantine.out, self.quarantine
         spared, floors = (self.hands[kind].out if kind in self.hands else () for kind in (SPARE, FLOOR))
-        given = list_repair.own(), list_repair.is_behind, spared, floors_of(floors)
-        out = one.look(peers.node, self.loop.time(), now_ms(), *given)
+        view = StalenessView(list_repair.own(), list_repair.is_behind, spared, parse_floors(floors))
+        out = one.evaluate(peers.node, self.loop.time(), now_ms(), view)
         self.lag(one.kind)
         if out == was or self.clients.ending:
             return
--- a/switchline/zones/agreement.py
+++ b/switchline/zones/agreement.py
@@ -11,10 +11,10 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
+from switchline.fleet.endpoint import ProtocolEndpoint
 from switchline.fleet.fact_kinds import FactKind
 from switchline.fleet.facts import Facts
-from switchline.fleet.messages import State
-from switchline.fleet.node import Node
+from switchline.fleet.messages import MemberState
 from switchline.zones.decision import (
     RAMP_STEPS,
     Directive,
@@ -156,7 +156,7 @@
 
     def evaluate(
         self,
-        node: Node,
+        endpoint: ProtocolEndpoint,
         now_s: float,
         wall_ms: float,
         observations: Mapping[str, LocalObservation],
@@ -165,7 +165,7 @@
         """Publish what this gateway observed, write the decisions that are due, and return the directives.
 
         Args:
-            node: The gateway's protocol endpoint in the fleet.
+            endpoint: The gateway's protocol endpoint in the fleet.
             now_s: Seconds on a clock that never steps.
             wall_ms: Milliseconds of wall time.
             observations: What the gateway observes, by each zone that its endpoint list names.
@@ -174,7 +174,7 @@
         Returns:
             The directives by zone; of a zone without one the gateway's own evidence holds.
         """
-        evaluation = Evaluation(node, now_s, wall_ms, observations)
+        evaluation = Evaluation(endpoint, now_s, wall_ms, observations)
         self._note_stall(now_s)
         self._forget_unlisted(evaluation)
         for zone in observations:
@@ -187,7 +187,7 @@
         reports = self.publisher.collect(evaluation, left_since_s)
         self.publisher.update_questions(evaluation, reports)
         if self.publisher.publish(evaluation, reports, left_since_s):
-            node.urge()
+            endpoint.gossip_now()
         self.publisher.publish_load(evaluation, load_per_s)
         self._decide_all(evaluation, reports)
         questions = self.publisher.questions
@@ -229,8 +229,8 @@
 
     def _decide_all(self, evaluation: Evaluation, reports: Mapping[str, list[ReceivedReport]]) -> None:
         """Write the decisions that are due; a gateway in a minority, or whose name is taken, writes none."""
-        members = evaluation.node.members
-        if members.minority or members.taken_over:
+        members = evaluation.endpoint.members
+        if members.minority or members.superseded:
             return
         for zone in sorted(self.publisher.questions):
             if zone not in evaluation.observations:
@@ -251,7 +251,7 @@
         if decision.state != ZoneState.UP:
             fresh_s = evaluation.now_s - REPORT_FRESH_S
             reports = [report.without_losses_before(fresh_s) for report in reports]
-        present = evaluation.node.members.present
+        present = evaluation.endpoint.members.present
         return ZoneCase(
             zone=zone,
             decision=decision,
@@ -294,7 +294,7 @@
             return
         if self._is_own_turn(progress, evaluation.now_s):
             basis = RampBasis(
-                self._loads(evaluation.node, evaluation.now_s),
+                self._loads(evaluation.endpoint, evaluation.now_s),
                 self.places,
                 self._remaining_backends(evaluation, case.zone),
             )
@@ -344,20 +344,20 @@
         if value is None:
             return
         if evaluation.facts.decide(evaluation.wall_ms, FactKind.ZONE_DECISION, name, value) is not None:
-            evaluation.node.urge()
+            evaluation.endpoint.gossip_now()
             self.progress[zone].write_at_s = None
 
-    def _loads(self, node: Node, now_s: float) -> dict[int, float]:
+    def _loads(self, endpoint: ProtocolEndpoint, now_s: float) -> dict[int, float]:
         """Return by place the load of each gateway of the own zone that has not surely ended."""
-        facts, loads = node.facts, dict[int, float]()
-        for name, member in node.members.others.items():
-            ended = member.state is State.DEAD and now_s - member.since > DEAD_KEEPS_PART_S
-            gone = ended or member.state is State.LEFT
+        facts, loads = endpoint.facts, dict[int, float]()
+        for name, member in endpoint.members.others.items():
+            ended = member.state is MemberState.DEAD and now_s - member.since > DEAD_KEEPS_PART_S
+            gone = ended or member.state is MemberState.LEFT
             if not gone and facts.value(FactKind.ZONE, "", name) == self.zone:
                 place = facts.place(name)
                 if place is not None and place < self.places:
                     loads[place] = decode_load(facts.value(FactKind.LOAD, "", name))
-        loads[self.place] = decode_load(facts.value(FactKind.LOAD, "", node.members.me.name))
+        loads[self.place] = decode_load(facts.value(FactKind.LOAD, "", endpoint.members.me.name))
         return loads
 
     def _is_panic(self, evaluation: Evaluation, zone: str) -> bool:
@@ -383,7 +383,7 @@
         Returns:
             The directive; None where there is no decision, or a minority must go by its own evidence.
         """
-        facts, members = evaluation.facts, evaluation.node.members
+        facts, members = evaluation.facts, evaluation.endpoint.members
         decision = self.decision(facts, zone)
         progress = self._track(facts, zone, evaluation.now_s)
         if not progress.version:
--- a/switchline/zones/decision.py
+++ b/switchline/zones/decision.py
@@ -10,7 +10,7 @@
 
 from switchline.fleet.fact_kinds import FactKind
 from switchline.fleet.facts import Facts
-from switchline.fleet.messages import LONGEST_VALUE
+from switchline.fleet.messages import MAX_VALUE_CHARS
 
 RAMP_STEPS = 8
 MAX_FLAPS = 2  # the return takes twice as long for each
@@ -78,7 +78,7 @@
 def encode_decision(decision: ZoneDecision) -> str | None:
     """Return the value of a `FactKind.ZONE_DECISION`; None where it is too long for a fact."""
     value = msgspec.json.encode(decision).decode()
-    return value if len(value) <= LONGEST_VALUE else None
+    return value if len(value) <= MAX_VALUE_CHARS else None
 
 
 def decode_decision(value: str | None) -> ZoneDecision:
@@ -106,4 +106,4 @@
 
 def version_on(facts: Facts, observers: str, zone: str) -> int:
     """Return the version of that decision; 0 where none was ever made."""
-    return facts.count(FactKind.ZONE_DECISION, decision_name(observers, zone))
+    return facts.version(FactKind.ZONE_DECISION, decision_name(observers, zone))
--- a/switchline/zones/publisher.py
+++ b/switchline/zones/publisher.py
@@ -6,11 +6,11 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
+from switchline.fleet.endpoint import ProtocolEndpoint
 from switchline.fleet.fact_kinds import FactKind
 from switchline.fleet.facts import Facts
 from switchline.fleet.messages import Entry
-from switchline.fleet.node import Node
-from switchline.fleet.quarantine import outside
+from switchline.fleet.quarantine import quarantined_members
 from switchline.zones.decision import ZoneState, decode_decision, target_of
 from switchline.zones.reports import (
     EMPTY_REPORT,
@@ -37,13 +37,13 @@
     """One evaluation of all zones by one gateway.
 
     Attributes:
-        node: The gateway's protocol endpoint in the fleet.
+        endpoint: The gateway's protocol endpoint in the fleet.
         now_s: Seconds on a clock that never steps.
         wall_ms: Milliseconds of wall time.
         observations: What the gateway observes, by each zone that its endpoint list names.
     """
 
-    node: Node
+    endpoint: ProtocolEndpoint
     now_s: float
     wall_ms: float
     observations: Mapping[str, LocalObservation]
@@ -51,7 +51,7 @@
     @property
     def facts(self) -> Facts:
         """The facts that this gateway knows."""
-        return self.node.facts
+        return self.endpoint.facts
 
 
 @dataclass(slots=True)
@@ -97,12 +97,12 @@
             left_since_s: By zone that is left: since when.
         """
         reports = self._collect_received(evaluation)
-        if quarantined := outside(evaluation.facts):
+        if quarantined := quarantined_members(evaluation.facts):
             reports = {
                 zone: [one for one in found if one.observer not in quarantined]
                 for zone, found in reports.items()
             }
-        me = evaluation.node.members.me.name
+        me = evaluation.endpoint.members.me.name
         for zone, found in reports.items():
             report = self.own_report(evaluation, zone, left_since_s)
             if report.lost or report.healthy:
@@ -115,14 +115,14 @@
         published = evaluation.facts.of_kind(FactKind.ZONE_REPORT)
         for key in self._received.keys() - published.keys():
             del self._received[key]
-        for (zone, origin), held in published.items():
-            if zone not in reports or origin not in evaluation.node.members.present:
+        for (zone, origin), stored in published.items():
+            if zone not in reports or origin not in evaluation.endpoint.members.present:
                 continue
             known = self._received.get((zone, origin))
-            if known is None or known[0] is not held.entry:
-                report = decode_report(held.entry.value) or EMPTY_REPORT
+            if known is None or known[0] is not stored.entry:
+                report = decode_report(stored.entry.value) or EMPTY_REPORT
                 origin_zone = evaluation.facts.value(FactKind.ZONE, "", origin) or ""
-                known = held.entry, receive_report(report, origin, origin_zone, evaluation.now_s)
+                known = stored.entry, receive_report(report, origin, origin_zone, evaluation.now_s)
                 self._received[zone, origin] = known
             reports[zone].append(known[1])
         return reports
@@ -151,8 +151,8 @@
         """Put zones in question where anybody reports a loss, or some have left them or return."""
         decided = {
             target_of(name)
-            for (name, _), held in evaluation.facts.of_kind(FactKind.ZONE_DECISION).items()
-            if decode_decision(held.entry.value).state != ZoneState.UP
+            for (name, _), stored in evaluation.facts.of_kind(FactKind.ZONE_DECISION).items()
+            if decode_decision(stored.entry.value).state != ZoneState.UP
         }
         for zone in evaluation.observations:
             if zone in decided or any(report.lost for report in reports[zone]):
@@ -181,7 +181,7 @@
         A report with more losses, the first answers, or an answer that refutes a loss goes out after
         `LOSS_PUBLISH_GAP_S`; any other after `PUBLISH_GAP_S`, longer in a large fleet.
         """
-        gap_s = PUBLISH_GAP_S * max(1.0, evaluation.node.members.size / PUBLISH_GAP_MEMBERS)
+        gap_s = PUBLISH_GAP_S * max(1.0, evaluation.endpoint.members.size / PUBLISH_GAP_MEMBERS)
         self._withdraw_ended(evaluation)
         first_loss = False
         for zone in self.questions:
@@ -217,7 +217,7 @@
     ) -> bool:
         """Return whether this gateway had an answer from a lost backend, and no other reports one."""
         known = list(reports)
-        me = evaluation.node.members.me.name
+        me = evaluation.endpoint.members.me.name
         answered_at = latest_times(one.healthy for one in known if one.observer != me)
         lost_at = latest_times(one.lost for one in known)
         own = receive_report(report, me, self.zone, evaluation.now_s)
--- a/switchline/zones/stored_decisions.py
+++ b/switchline/zones/stored_decisions.py
@@ -15,7 +15,7 @@
 
 def to_row(entry: Entry) -> Row:
     """Return a decision as the value of its row."""
-    return [entry.origin, *entry.life, entry.version, entry.at, entry.value]
+    return [entry.origin, *entry.incarnation, entry.version, entry.at, entry.value]
 
 
 def from_row(name: str, row: Row) -> Entry | None:
--- a/testbed/network/fleet_link.py
+++ b/testbed/network/fleet_link.py
@@ -8,14 +8,15 @@
 from collections import Counter as Counts
 from collections.abc import Callable, Iterable
 
+from switchline.fleet.endpoint import ProtocolEndpoint
+from switchline.fleet.frames import FrameCodec
 from switchline.fleet.gossip_queue import GossipQueue
-from switchline.fleet.members import Address, Member
-from switchline.fleet.messages import Entry, Incarnation, Rumor, Seal, State
-from switchline.fleet.node import Node
+from switchline.fleet.members import Address, Member, alive_claim
+from switchline.fleet.messages import Entry, Incarnation, MemberState, MemberUpdate
 
 WALL_MS = 1.8e12
 LATE_S = 0.5
-SEAL = Seal("lab", b"a secret of the lab's own")
+SEAL = FrameCodec("lab", b"a secret of the lab's own")
 
 
 class Net:
@@ -28,7 +29,7 @@
         self.chance = random.Random(seed)
         self.now = 1_000.0
         self.trip_s, self.jitter_s = trip_s, jitter_s
-        self.nodes: dict[Address, Node] = {}
+        self.nodes: dict[Address, ProtocolEndpoint] = {}
         self.stopped: dict[Address, float] = {}  # until when
         self.loss = self.duplicate = 0.0
         self.cut: Callable[[Address, Address], bool] = lambda a, b: False
@@ -46,14 +47,12 @@
 
     def add(
         self, number: int, seeds: Iterable[int] = (0,), life: Incarnation | None = None, name: str = ""
-    ) -> Node:
+    ) -> ProtocolEndpoint:
         """Start a node; one of the same number before it is gone without a word."""
         address = address_of(number)
         given = life or (int(self.wall(address)), self.chance.getrandbits(30))
-        node = Node(
-            name or f"g{number}",
-            given,
-            address,
+        node = ProtocolEndpoint(
+            alive_claim(name or f"g{number}", given, address),
             tuple(address_of(one) for one in seeds),
             SEAL,
             random.Random(self.chance.getrandbits(64)),
@@ -91,13 +90,13 @@
                     self.held[to].append(frame)
                 continue
             for waited in self.held.pop(to, []):
-                node.receive(self.now, self.wall(to), waited)
+                node.receive_datagram(self.now, self.wall(to), waited)
             if frame is None:
                 if self.due.get(to) not in (None, at):
                     continue  # it was called earlier
                 node.tick(self.now, self.wall(to))
             else:
-                node.receive(self.now, self.wall(to), frame)
+                node.receive_datagram(self.now, self.wall(to), frame)
             due = max(node.due(self.now), self.now + 0.005)
             if frame is None or due < self.due.get(to, 0.0) - 0.001:
                 self.due[to] = due
@@ -108,8 +107,8 @@
         self.now = ends
         return until is not None and until()
 
-    def carry(self, source: Address, node: Node) -> None:
-        for to, frame in node.take():
+    def carry(self, source: Address, node: ProtocolEndpoint) -> None:
+        for to, frame in node.take_datagrams():
             self.counts["datagrams"] += 1
             self.counts["bytes"] += len(frame)
             if self.fates:
@@ -121,10 +120,10 @@
                 continue
             for _ in range(1 + (self.chance.random() < self.duplicate)):
                 self.push(self.now + self.trip_s + self.chance.random() * self.jitter_s, to, frame, source)
-        for to in node.exchanges():
+        for to in node.take_exchanges():
             self.exchange(source, node, to)
 
-    def exchange(self, source: Address, node: Node, to: Address) -> None:
+    def exchange(self, source: Address, node: ProtocolEndpoint, to: Address) -> None:
         """Both sides' whole state, over TCP: it comes whole or not at all."""
         other = self.nodes.get(to)
         if other is None or self.cut(source, to) or self.cut(to, source):
@@ -132,8 +131,8 @@
         if self.stopped.get(to, 0.0) > self.now:
             return
         self.counts["exchanges"] += 1
-        if other.exchanged(self.now, self.wall(to), node.state(False), False):
-            node.exchanged(self.now, self.wall(source), other.state(True), True)
+        if other.receive_exchange(self.now, self.wall(to), node.exchange_frame(False), False):
+            node.receive_exchange(self.now, self.wall(source), other.exchange_frame(True), True)
 
     # ---- what is seen ----
 
@@ -142,20 +141,20 @@
         if self.watched != name:
             self.watched, self.known_dead = name, 0
             for node in self.nodes.values():
-                if self.sees(node, name) is State.DEAD:
+                if self.sees(node, name) is MemberState.DEAD:
                     self.known_dead += 1
                 self._listen(node)
         return True
 
-    def _listen(self, node: Node) -> None:
-        tell = node._news_of_member
+    def _listen(self, node: ProtocolEndpoint) -> None:
+        tell = node.queue_update
 
-        def changed(rumor: Rumor) -> None:
-            if rumor.name == self.watched and rumor.state is State.DEAD:
+        def changed(rumor: MemberUpdate) -> None:
+            if rumor.name == self.watched and rumor.state is MemberState.DEAD:
                 self.known_dead += 1
             tell(rumor)
 
-        node.members.changed = changed
+        node.members.updated = changed
 
     def count_facts(self, kind: str) -> None:
         """Count each node that comes to know a fact of a kind."""
@@ -164,13 +163,13 @@
             self.counts["facts"] += entry.kind == kind
 
         for node in self.nodes.values():
-            node.told = told
+            node.fact_changed = told
 
-    def sees(self, node: Node, name: str) -> State | None:
+    def sees(self, node: ProtocolEndpoint, name: str) -> MemberState | None:
         member = node.members.others.get(name)
         return member.state if member is not None else None
 
-    def all_see(self, name: str, states: set[State], part: float = 1.0) -> bool:
+    def all_see(self, name: str, states: set[MemberState], part: float = 1.0) -> bool:
         """Whether so large a part of the others sees a member in one of these states."""
         views = [self.sees(node, name) for node in self.nodes.values() if node.members.me.name != name]
         return sum(view in states for view in views) >= part * len(views)
@@ -179,7 +178,8 @@
         """Whether all nodes see each other alive."""
         names = {node.members.me.name for node in self.nodes.values()}
         return all(
-            {m.rumor.name for m in node.members.others.values() if m.state is State.ALIVE} >= names - {own}
+            {m.update.name for m in node.members.others.values() if m.state is MemberState.ALIVE}
+            >= names - {own}
             for node in self.nodes.values()
             if (own := node.members.me.name)
         )
@@ -195,8 +195,9 @@
     for node in net.nodes.values():
         members = node.members
         members.others = {r.name: Member(r, net.now, net.now) for r in rumors if r is not members.me}
-        members.present = dict(members.others)
-        node.news = GossipQueue()
+        members.present.clear()
+        members.present.update(members.others)
+        node.queue = GossipQueue()
 
 
 def fleet(size: int, seed: int, settle_s: float = 20.0, met: bool = False) -> Net:
--- a/tests/audit/test_audit.py
+++ b/tests/audit/test_audit.py
@@ -22,7 +22,7 @@
 from switchline.audit.segments import MOST_SEGMENTS, AuditError, Segments, Writer, lines, paths
 from switchline.config import ConfigError, parse_audit, parse_config
 from switchline.fleet.chain import FIRST, GAP, Head, Record, read, verify, write
-from switchline.fleet.hybrid_clock import AHEAD_MS, HybridClock
+from switchline.fleet.hybrid_clock import MAX_AHEAD_MS, HybridClock
 from testbed.fixture import Plays
 
 LIFE = (7, 3)
@@ -98,12 +98,12 @@
         assert all((at, count) < stamp for at, count, _ in before[one])
         before[one].add((*stamp, one))
         if chance.random() < 0.5:
-            clocks[other].hear(clocks[one].last, wall + off[other])
+            clocks[other].observe(clocks[one].last, wall + off[other])
             before[other] |= before[one]
         before[one] = set(sorted(before[one])[-50:])
     liar = clocks[0].last
-    clocks[0].hear((int(1e15), 0), 1e12)
-    assert clocks[0].last == liar and clocks[0].refused == 1 and AHEAD_MS == 300_000
+    clocks[0].observe((int(1e15), 0), 1e12)
+    assert clocks[0].last == liar and clocks[0].refused == 1 and MAX_AHEAD_MS == 300_000
 
 
 # ---- files ----
--- a/tests/fleet/test_fleet_protocol.py
+++ b/tests/fleet/test_fleet_protocol.py
@@ -15,24 +15,28 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from switchline.config import ConfigError, parse_config
+from switchline.fleet.endpoint import ProtocolEndpoint
 from switchline.fleet.fact_kinds import FactKind
-from switchline.fleet.facts import CLOCK_MS, MOST_OF_ORIGIN, WITHDRAWN_MS, Facts, TooMuch
-from switchline.fleet.members import GONE_S, Members
+from switchline.fleet.facts import (
+    MAX_CLOCK_SKEW_MS,
+    MAX_ENTRIES_OF_ORIGIN,
+    WITHDRAWN_LASTS_MS,
+    FactLimitError,
+    Facts,
+)
+from switchline.fleet.frames import PROTOCOL_VERSION, FrameCodec, FrameRefusedError, ReplayWindow
+from switchline.fleet.members import Members
 from switchline.fleet.messages import (
-    LIST,
-    MOST_DATAGRAM,
-    VERSION,
+    MAX_DATAGRAM_BYTES,
     Datagram,
     Entry,
     Exchange,
-    Kind,
-    Refused,
-    Rumor,
-    Seal,
-    State,
-    Window,
+    MemberState,
+    MemberUpdate,
+    MessageKind,
+    Wanted,
 )
-from switchline.fleet.node import Node
+from switchline.fleet.suspicion import FORGET_S
 from testbed.network.fleet_link import SEAL, WALL_MS, Net, address_of, fleet
 
 LIFE = (5, 1)
@@ -42,42 +46,44 @@
 
 
 def ping(number: int = 1, **given: Any) -> Datagram:
-    return Datagram("g1", LIFE, number, Kind.PING, seq=7, target="g0", host="127.0.0.1", port=7, **given)
+    return Datagram(
+        "g1", LIFE, number, MessageKind.PING, seq=7, target="g0", host="127.0.0.1", port=7, **given
+    )
 
 
 def test_what_is_spoilt_foreign_or_too_long_is_refused_by_its_reason() -> None:
-    frame = SEAL.close(ping())
-    assert SEAL.datagram(frame) == ping()
+    frame = SEAL.encode(ping())
+    assert SEAL.decode_datagram(frame) == ping()
     spoilt = {
         "garbage": frame[:10],
-        "version": bytes([VERSION + 1]) + frame[1:],
-        "fleet": Seal("other", b"a secret of the lab's own").close(ping()),
-        "key": Seal("lab", b"another secret of theirs").close(ping()),
-        "oversize": frame + b"x" * MOST_DATAGRAM,
+        "version": bytes([PROTOCOL_VERSION + 1]) + frame[1:],
+        "fleet": FrameCodec("other", b"a secret of the lab's own").encode(ping()),
+        "key": FrameCodec("lab", b"another secret of theirs").encode(ping()),
+        "oversize": frame + b"x" * MAX_DATAGRAM_BYTES,
     }
     for reason, bad in spoilt.items():
-        with pytest.raises(Refused) as error:
-            SEAL.datagram(bad)
+        with pytest.raises(FrameRefusedError) as error:
+            SEAL.decode_datagram(bad)
         assert error.value.reason == reason
     body = msgspec.msgpack.encode([1, 2, "not a message"])
-    with pytest.raises(Refused) as error:
-        SEAL.datagram(SEAL.head + SEAL.checksum(body) + body)
+    with pytest.raises(FrameRefusedError) as error:
+        SEAL.decode_datagram(SEAL.prefix + SEAL.checksum(body) + body)
     assert error.value.reason == "garbage"
 
 
 def test_a_newer_message_is_read_as_far_as_it_is_known() -> None:
     body = msgspec.msgpack.encode([*msgspec.to_builtins(ping()), "a field of later", {"more": 1}])
-    assert SEAL.datagram(SEAL.head + SEAL.checksum(body) + body) == ping()
+    assert SEAL.decode_datagram(SEAL.prefix + SEAL.checksum(body) + body) == ping()
 
 
 def test_numbers_come_once_whatever_their_order_and_an_older_life_never() -> None:
-    window = Window((2, 0))
-    assert [window.fresh((2, 0), n) for n in (5, 3, 5, 4, 3, 100, 36, 37, 37)] == [
+    window = ReplayWindow((2, 0))
+    assert [window.accept((2, 0), n) for n in (5, 3, 5, 4, 3, 100, 36, 37, 37)] == [
         *(True, True, False, True, False),
         *(True, False, True, False),
     ]
-    assert not window.fresh((1, 9), 1_000)
-    assert window.fresh((3, 0), 1) and not window.fresh((2, 0), 101)
+    assert not window.accept((1, 9), 1_000)
+    assert window.accept((3, 0), 1) and not window.accept((2, 0), 101)
 
 
 @settings(max_examples=300)
@@ -85,16 +91,18 @@
 def test_fuzzed_frames_change_nothing_and_raise_nothing(noise: bytes, place: int, byte: int) -> None:
     net = Net(1)
     node = net.add(0)
-    frame = bytearray(SEAL.close(ping(rumors=[Rumor("g2", (1, 1), 0, State.ALIVE, "127.0.0.1", 9)])))
+    frame = bytearray(
+        SEAL.encode(ping(updates=[MemberUpdate("g2", (1, 1), 0, MemberState.ALIVE, "127.0.0.1", 9)]))
+    )
     if place < len(frame):
         changed = frame[place] != byte
         frame[place] = byte
-        assert node.receive(1.0, WALL_MS, bytes(frame)) is not changed
-    assert not node.receive(1.0, WALL_MS, noise)
-    assert not node.exchanged(1.0, WALL_MS, noise, False)
-    sealed = SEAL.head + SEAL.checksum(noise) + noise
-    node.receive(1.0, WALL_MS, sealed)
-    node.exchanged(1.0, WALL_MS, sealed, True)
+        assert node.receive_datagram(1.0, WALL_MS, bytes(frame)) is not changed
+    assert not node.receive_datagram(1.0, WALL_MS, noise)
+    assert not node.receive_exchange(1.0, WALL_MS, noise, False)
+    sealed = SEAL.prefix + SEAL.checksum(noise) + noise
+    node.receive_datagram(1.0, WALL_MS, sealed)
+    node.receive_exchange(1.0, WALL_MS, sealed, True)
     assert set(node.members.others) <= {"g1", "g2"}
 
 
@@ -106,9 +114,9 @@
     kind=st.sampled_from(["ready", FactKind.HELD_BACKEND]),
     name=names,
     origin=st.sampled_from(["g0", "g1", "g2"]),
-    life=st.tuples(st.integers(1, 2), st.integers(0, 1)),
+    incarnation=st.tuples(st.integers(1, 2), st.integers(0, 1)),
     version=st.integers(1, 3),
-    at=st.sampled_from([WALL_MS, WALL_MS - 5, WALL_MS + 10 * CLOCK_MS]),
+    at=st.sampled_from([WALL_MS, WALL_MS - 5, WALL_MS + 10 * MAX_CLOCK_SKEW_MS]),
     value=st.sampled_from([None, "down", "up"]),
 )
 
@@ -117,7 +125,7 @@
     facts = Facts("me", LIFE)
     for entry in some:
         facts.merge(WALL_MS, entry)
-    return {key: held.entry for key, held in facts.table.items()}
+    return {key: stored.entry for key, stored in facts.table.items()}
 
 
 @settings(max_examples=400)
@@ -135,8 +143,8 @@
 def told(facts: Facts) -> dict[str, tuple[str | None, float]]:
     """What is known of backends out by hand."""
     return {
-        name: (held.entry.value, held.entry.at)
-        for (name, _), held in facts.of_kind(FactKind.HELD_BACKEND).items()
+        name: (stored.entry.value, stored.entry.at)
+        for (name, _), stored in facts.of_kind(FactKind.HELD_BACKEND).items()
     }
 
 
@@ -144,7 +152,7 @@
     facts = Facts("g0", LIFE)
     assert facts.tell(WALL_MS, FactKind.HELD_BACKEND, "b1", "down")
     assert facts.tell(WALL_MS, FactKind.HELD_BACKEND, "b1", "down") is None  # nothing new
-    call = Entry(FactKind.HELD_BACKEND, "b1", "g1", (9, 9), 1, WALL_MS + CLOCK_MS + 1, "up")
+    call = Entry(FactKind.HELD_BACKEND, "b1", "g1", (9, 9), 1, WALL_MS + MAX_CLOCK_SKEW_MS + 1, "up")
     assert not facts.merge(WALL_MS, call) and facts.refused["clock"] == 1
     assert told(facts) == {"b1": ("down", WALL_MS)}
     assert facts.merge(WALL_MS, msgspec.structs.replace(call, at=WALL_MS + 1))
@@ -153,8 +161,8 @@
     )  # an older call than the one that holds
     assert told(facts) == {"b1": ("up", WALL_MS + 1)}
     assert facts.tell(WALL_MS, "ready", "", "yes") and facts.tell(WALL_MS, "ready", "", None)
-    later = WALL_MS + WITHDRAWN_MS + 1
-    facts.tidy(2, later, lambda name: LIFE)
+    later = WALL_MS + WITHDRAWN_LASTS_MS + 1
+    facts.expire(2, later, lambda name: LIFE)
     assert facts.value("ready", "", "g0") is None and ("ready", "", "g0") not in facts.table
     old = Entry("ready", "", "g1", LIFE, 1, WALL_MS, None)
     assert not facts.merge(later, old)  # what has ended is not brought back by who still tells it
@@ -162,29 +170,29 @@
 
 def test_bounds_are_refused_at_the_origin_and_orphans_are_forgotten() -> None:
     facts = Facts("g0", LIFE)
-    for number in range(MOST_OF_ORIGIN):
+    for number in range(MAX_ENTRIES_OF_ORIGIN):
         facts.tell(WALL_MS, "x", str(number), "v")
-    with pytest.raises(TooMuch):
+    with pytest.raises(FactLimitError):
         facts.tell(WALL_MS, "x", "more", "v")
-    with pytest.raises(TooMuch):
+    with pytest.raises(FactLimitError):
         facts.tell(WALL_MS, "x", "0", "v" * 1000)
-    greedy = [Entry("x", str(n), "g1", LIFE, 1, WALL_MS, "v") for n in range(MOST_OF_ORIGIN + 9)]
-    assert sum(facts.merge(WALL_MS, entry) for entry in greedy) == MOST_OF_ORIGIN
+    greedy = [Entry("x", str(n), "g1", LIFE, 1, WALL_MS, "v") for n in range(MAX_ENTRIES_OF_ORIGIN + 9)]
+    assert sum(facts.merge(WALL_MS, entry) for entry in greedy) == MAX_ENTRIES_OF_ORIGIN
     assert facts.refused["full"] == 9
     lives = {"g1": LIFE}
-    facts.tidy(10, WALL_MS, lives.get)
-    assert facts.of["g1"] == MOST_OF_ORIGIN
+    facts.expire(10, WALL_MS, lives.get)
+    assert facts.count_of_origin["g1"] == MAX_ENTRIES_OF_ORIGIN
     lives["g1"] = (6, 1)  # a later life: what the earlier one told ends
-    facts.tidy(20, WALL_MS, lives.get)
-    facts.tidy(100, WALL_MS, lives.get)
-    assert "g1" not in facts.of and facts.of["g0"] == MOST_OF_ORIGIN
+    facts.expire(20, WALL_MS, lives.get)
+    facts.expire(100, WALL_MS, lives.get)
+    assert "g1" not in facts.count_of_origin and facts.count_of_origin["g0"] == MAX_ENTRIES_OF_ORIGIN
 
 
 # ---- members ----
 
 
-def rumor(name: str, life: int, incarnation: int, state: State, by: str = "") -> Rumor:
-    return Rumor(name, (life, 0), incarnation, state, "127.0.0.1", 7, by)
+def rumor(name: str, life: int, incarnation: int, state: MemberState, by: str = "") -> MemberUpdate:
+    return MemberUpdate(name, (life, 0), incarnation, state, "127.0.0.1", 7, by)
 
 
 rumors = st.builds(
@@ -192,7 +200,7 @@
     st.sampled_from(["g1", "g2"]),
     st.integers(1, 2),
     st.integers(0, 2),
-    st.sampled_from(list(State)),
+    st.sampled_from(list(MemberState)),
     st.sampled_from(["", "g3"]),
 )
 
@@ -200,13 +208,15 @@
 @settings(max_examples=400)
 @given(st.lists(rumors, max_size=12), st.randoms(use_true_random=False))
 def test_what_is_known_of_members_does_not_depend_on_the_order_of_rumors(
-    some: list[Rumor], lot: random.Random
+    some: list[MemberUpdate], lot: random.Random
 ) -> None:
-    def known(given: list[Rumor]) -> dict[str, Any]:
-        members = Members(rumor("g0", 1, 0, State.ALIVE), random.Random(1))
+    def known(given: list[MemberUpdate]) -> dict[str, Any]:
+        members = Members(rumor("g0", 1, 0, MemberState.ALIVE), random.Random(1))
         for one in given:
-            members.take(one, 0.0)
-        return {n: (m.rumor.life, m.rumor.incarnation, m.rumor.state) for n, m in members.others.items()}
+            members.merge(one, 0.0)
+        return {
+            n: (m.update.incarnation, m.update.refutation, m.update.state) for n, m in members.others.items()
+        }
 
     other = [*some, *some[:3]]
     lot.shuffle(other)
@@ -228,17 +238,21 @@
 def test_two_lives_of_one_name_never_merge_and_the_later_one_holds() -> None:
     net = fleet(6, 1)
     first = net.nodes[address_of(3)]
-    other = net.add(30, seeds=(0,), name="g3", life=(first.members.me.life[0] + 1, 1))  # at another address
+    other = net.add(
+        30, seeds=(0,), name="g3", life=(first.members.me.incarnation[0] + 1, 1)
+    )  # at another address
     net.run(10)
-    assert first.members.taken_over and not other.members.taken_over
+    assert first.members.superseded and not other.members.superseded
     for node in net.nodes.values():
         if node.members.me.name != "g3":
             member = node.members.others["g3"]
-            assert member.rumor.life == other.members.me.life and member.address == address_of(30)
+            assert member.update.incarnation == other.members.me.incarnation and member.address == address_of(
+                30
+            )
     net.remove(30)  # the later one dies: the first has its name again, above it
     net.run(60)
-    assert not first.members.taken_over and first.members.me.life > other.members.me.life
-    assert net.all_see("g3", {State.ALIVE})
+    assert not first.members.superseded and first.members.me.incarnation > other.members.me.incarnation
+    assert net.all_see("g3", {MemberState.ALIVE})
 
 
 def test_a_name_that_comes_back_has_a_higher_life_and_facts_of_the_old_one_end() -> None:
@@ -249,7 +263,7 @@
     net.remove(4)
     new = net.add(4, seeds=(0,))
     net.run(5)
-    assert net.all_see("g4", {State.ALIVE}) and new.members.me.life > old.members.me.life
+    assert net.all_see("g4", {MemberState.ALIVE}) and new.members.me.incarnation > old.members.me.incarnation
     new.tell(net.wall(address_of(4)), "ready", "", "no")
     net.run(3)
     assert {n.facts.value("ready", "", "g4") for n in net.nodes.values()} == {"no"}
@@ -259,13 +273,13 @@
 def test_a_death_is_known_to_all_and_leaving_is_not_a_death(seed: int) -> None:
     net = fleet(20, seed)
     net.remove(7)
-    assert net.run(10, lambda: net.all_see("g7", {State.DEAD}))
+    assert net.run(10, lambda: net.all_see("g7", {MemberState.DEAD}))
     leaver = net.nodes[address_of(8)]
-    leaver.leave(net.now)
+    leaver.leave()
     net.carry(address_of(8), leaver)
     net.remove(8)
-    assert net.run(10, lambda: net.all_see("g8", {State.LEFT}))
-    net.run(GONE_S + 30)
+    assert net.run(10, lambda: net.all_see("g8", {MemberState.LEFT}))
+    net.run(FORGET_S + 30)
     assert not any("g7" in node.members.others for node in net.nodes.values())
 
 
@@ -325,7 +339,7 @@
         net.remove(number)
     dead = {f"g{n}" for n in range(42)}
     # With the dead asked for help as often as the living, each seems unwell to itself: 40 s and more.
-    assert net.run(25, lambda: all(net.all_see(name, {State.DEAD}) for name in dead))
+    assert net.run(25, lambda: all(net.all_see(name, {MemberState.DEAD}) for name in dead))
     assert all(node.members.minority for node in net.nodes.values())
     assert net.whole()
 
@@ -348,40 +362,44 @@
 def test_pings_and_the_number_of_the_list_that_is_asked_for_are_apart() -> None:
     net = fleet(3, 1)
     node = net.nodes[address_of(0)]
-    node.wants, node.list_seq = LIST, 41
+    node.wants, node.list_seq = Wanted.LIST, 41
     net.run(5.0)
-    assert SEAL.exchange(node.state(False)).seq == 41 and node.seq > 5  # of pings: it never goes back
+    assert (
+        SEAL.decode_exchange(node.exchange_frame(False)).seq == 41 and node.prober.seq > 5
+    )  # of pings: it never goes back
 
 
 def test_a_fact_over_the_bound_of_its_gateway_is_left_out_where_it_is_only_offered() -> None:
     facts = Facts("g0", LIFE)
-    for number in range(MOST_OF_ORIGIN + 3):
+    for number in range(MAX_ENTRIES_OF_ORIGIN + 3):
         facts.offer(WALL_MS, "zone-met", str(number), "1")
-    assert len(facts.table) == MOST_OF_ORIGIN and facts.refused["own"] == 3
+    assert len(facts.table) == MAX_ENTRIES_OF_ORIGIN and facts.refused["own"] == 3
 
 
 def test_a_replayed_datagram_and_one_of_its_own_change_nothing() -> None:
     net = fleet(3, 10)
     node, other = net.nodes[address_of(0)], net.nodes[address_of(1)]
     other.tell(net.wall(address_of(1)), "x", "", "1")
-    other._send(address_of(0), Kind.NEWS)
-    frame = other.take()[-1][1]
-    assert node.receive(net.now, WALL_MS, frame) and not node.receive(net.now, WALL_MS, frame)
+    other.send(address_of(0), MessageKind.GOSSIP)
+    frame = other.take_datagrams()[-1][1]
+    assert node.receive_datagram(net.now, WALL_MS, frame) and not node.receive_datagram(
+        net.now, WALL_MS, frame
+    )
     assert node.refused["replay"] == 1
-    assert not other.receive(net.now, WALL_MS, frame) and other.refused["own"] == 1
-    state = other.state(False)
-    assert not node.exchanged(net.now, WALL_MS, state, True)  # not the answer that was waited for
-    assert isinstance(SEAL.exchange(state), Exchange)
+    assert not other.receive_datagram(net.now, WALL_MS, frame) and other.refused["own"] == 1
+    state = other.exchange_frame(False)
+    assert not node.receive_exchange(net.now, WALL_MS, state, True)  # not the answer that was waited for
+    assert isinstance(SEAL.decode_exchange(state), Exchange)
 
 
 def test_a_datagram_stays_under_its_bound_however_much_there_is_to_tell() -> None:
     net = fleet(4, 11)
-    node: Node = net.nodes[address_of(0)]
-    for number in range(MOST_OF_ORIGIN):
+    node: ProtocolEndpoint = net.nodes[address_of(0)]
+    for number in range(MAX_ENTRIES_OF_ORIGIN):
         node.tell(WALL_MS, "kind" * 10, "n" * 50 + str(number), "\u20ac" * 400)
     for _ in range(30):
-        node._send(address_of(1), Kind.NEWS)
-    assert max(len(frame) for _, frame in node.take()) <= MOST_DATAGRAM
+        node.send(address_of(1), MessageKind.GOSSIP)
+    assert max(len(frame) for _, frame in node.take_datagrams()) <= MAX_DATAGRAM_BYTES
 
 
 # ---- the configuration ----
@@ -440,8 +458,10 @@
         net.add(3, seeds=(0,))
         net.run(1.3)
     assert net.run(20, net.whole)
-    lives = {node.members.others["g3"].rumor.life for a, node in net.nodes.items() if a != address_of(3)}
-    assert lives == {net.nodes[address_of(3)].members.me.life}
+    lives = {
+        node.members.others["g3"].update.incarnation for a, node in net.nodes.items() if a != address_of(3)
+    }
+    assert lives == {net.nodes[address_of(3)].members.me.incarnation}
 
 
 class AnyPlay(RuleBasedStateMachine):
@@ -490,16 +510,16 @@
         for node in self.net.nodes.values():
             for member in node.members.others.values():
                 alive = self.net.nodes[member.address].members.me
-                assert member.rumor.life <= alive.life and member.rumor.name == alive.name
+                assert member.update.incarnation <= alive.incarnation and member.update.name == alive.name
 
     def teardown(self) -> None:
         self.cuts.clear()
         self.net.loss = self.net.duplicate = 0.0
         assert self.net.run(90, self.net.whole)
         self.net.run(60)  # exchanges: whatever was missed is repaired
-        lives = {node.members.me.life for node in self.net.nodes.values()}
+        lives = {node.members.me.incarnation for node in self.net.nodes.values()}
         of_living = [
-            {(e.kind, e.name, e.value) for e in node.facts.entries() if e.life in lives}
+            {(e.kind, e.name, e.value) for e in node.facts.entries() if e.incarnation in lives}
             for node in self.net.nodes.values()
         ]
         assert all(one == of_living[0] for one in of_living)
--- a/tests/fleet/test_outage.py
+++ b/tests/fleet/test_outage.py
@@ -15,9 +15,9 @@
 from hypothesis import strategies as st
 
 from switchline import ctl
-from switchline.fleet.messages import LIST, SPENDING, Entry, Exchange, HostRow, Listed, Spent
-from switchline.fleet.outage import OLD_S, judge, read_down
-from switchline.fleet.staleness import bound_by
+from switchline.fleet.messages import EndpointList, Entry, Exchange, ListedHost, RemainingQuota, Wanted
+from switchline.fleet.outage import OLD_DISK_S, decode_downtime, judge_outage
+from switchline.fleet.staleness import binding_changes
 from switchline.fleet_runtime import recovery as fleet_recovery
 from switchline.fleet_runtime.recovery import DOUBT_S, FleetRecovery, Stage
 from switchline.policy import Gateway, gateway_status
@@ -70,13 +70,13 @@
         (3_000.0, [3_000.0, 3_000.0], False),  # after so long no backend is cold from it
     ]
     for own, others, common in cases:
-        assert judge(own, others).common is common, (own, others)
+        assert judge_outage(own, others).common is common, (own, others)
 
 
 def test_a_disk_that_was_down_far_longer_than_the_others_holds_an_old_copy() -> None:
-    assert judge(2.0 + OLD_S + 1, [2.0, 2.0, math.nan]).old
-    assert not judge(2.0 + OLD_S + 1, [2.0]).old  # never one peer's word
-    assert not judge(2.0, [200.0, 200.0]).old and not judge(math.nan, [2.0, 2.0]).old
+    assert judge_outage(2.0 + OLD_DISK_S + 1, [2.0, 2.0, math.nan]).old
+    assert not judge_outage(2.0 + OLD_DISK_S + 1, [2.0]).old  # never one peer's word
+    assert not judge_outage(2.0, [200.0, 200.0]).old and not judge_outage(math.nan, [2.0, 2.0]).old
 
 
 @settings(max_examples=200, deadline=None)
@@ -85,18 +85,18 @@
     own: float | None, others: list[float | None], seed: int
 ) -> None:
     mixed = random.Random(seed).sample(others, len(others))
-    assert judge(own, mixed) == judge(own, others)
-    if judge(own, others).common:
+    assert judge_outage(own, mixed) == judge_outage(own, others)
+    if judge_outage(own, others).common:
         assert sum(one is not None for one in (own, *others)) * 2 > 1 + len(others)
     if own is not None and all(one is None for one in others):
-        assert not judge(own, others).common and not judge(own, others).old
+        assert not judge_outage(own, others).common and not judge_outage(own, others).old
 
 
 @pytest.mark.parametrize("text", ["nan", "inf", "-1", "1e999", "9" * 40, "", "x", "1,0", "\u0661"])
 def test_a_downtime_that_is_spoilt_is_one_that_nobody_knows(text: str) -> None:
-    down = read_down(text)
+    down = decode_downtime(text)
     assert down is not None and (math.isnan(down) or down == 1.0)
-    assert read_down(None) is None and read_down("2.5") == 2.5
+    assert decode_downtime(None) is None and decode_downtime("2.5") == 2.5
 
 
 # ---- what others know ----
@@ -106,26 +106,26 @@
     net: Net = fleet(3, 1)
     asker, other = list(net.nodes.values())[:2]
     told: list[Exchange] = []
-    asker.learned = told.append
-    row = HostRow("h1", "127.0.0.1:80", "a", 0, "up", 5.0)
-    other.listed = lambda seq: Listed(7, [row]) if seq < 7 else None
-    other.spent = lambda: [Spent("c1", "bas", 0.5, 3.0)]
+    asker.answered = told.append
+    row = ListedHost("h1", "127.0.0.1:80", "a", 0, "up", 5.0)
+    other.newer_list = lambda seq: EndpointList(7, [row]) if seq < 7 else None
+    other.known_quotas = lambda: [RemainingQuota("c1", "bas", 0.5, 3.0)]
 
     def exchange(wants: int, seq: int) -> None:
         asker.wants, asker.list_seq = wants, seq
-        assert other.exchanged(net.now, 0.0, asker.state(False), False)
-        assert asker.exchanged(net.now, 0.0, other.state(True), True)
+        assert other.receive_exchange(net.now, 0.0, asker.exchange_frame(False), False)
+        assert asker.receive_exchange(net.now, 0.0, other.exchange_frame(True), True)
 
     exchange(0, -1)
     assert not told
-    exchange(LIST, 7)
+    exchange(Wanted.LIST, 7)
     assert not told  # it has that one
-    exchange(LIST, 6)
-    assert told[-1].listed == Listed(7, [row]) and told[-1].spent is None
-    exchange(SPENDING, 7)
-    assert told[-1].spent == [Spent("c1", "bas", 0.5, 3.0)] and told[-1].listed is None
-    other.spent = lambda: None  # it asks itself, and does not know yet
-    exchange(SPENDING, 7)
+    exchange(Wanted.LIST, 6)
+    assert told[-1].listed == EndpointList(7, [row]) and told[-1].spent is None
+    exchange(Wanted.QUOTAS, 7)
+    assert told[-1].spent == [RemainingQuota("c1", "bas", 0.5, 3.0)] and told[-1].listed is None
+    other.known_quotas = lambda: None  # it asks itself, and does not know yet
+    exchange(Wanted.QUOTAS, 7)
     assert len(told) == 2
 
 
@@ -137,11 +137,13 @@
         )
     ]
 
-    def row(name: str, health: str, born: float = 5.0) -> HostRow:
-        return HostRow(name, "127.9.9.9:9", "a", 0, health, born)
+    def row(name: str, health: str, born: float = 5.0) -> ListedHost:
+        return ListedHost(name, "127.9.9.9:9", "a", 0, health, born)
 
     rows = [row("kept", "up", 4.0), row("drained", "draining"), row("back", "up"), row("anew", "up", 9.0)]
-    found = {host["host"]: host for host in bound_by(own, Listed(7, [*rows, row("added", "up")]))}
+    found = {
+        host["host"]: host for host in binding_changes(own, EndpointList(7, [*rows, row("added", "up")]))
+    }
     assert {name: host["health"] for name, host in found.items()} == {
         "drained": "draining",
         "gone": "removed",
@@ -409,6 +411,8 @@
     assert one.spent() is None and [word.value for word in one.words()] == ["2.0"]
     one.settle()
     assert one.spent() == [] and [word.value for word in one.words()] == [None]
-    assert one.listed(6) == Listed(7, [HostRow("h1", "127.0.0.1:1", "", 0, "up", 0.0)]) and not one.listed(7)
+    assert one.listed(6) == EndpointList(
+        7, [ListedHost("h1", "127.0.0.1:1", "", 0, "up", 0.0)]
+    ) and not one.listed(7)
     empty = {"seq": 9, "whole": True, "hosts": []}
     assert kept.weigh(empty) is empty
--- a/tests/fleet/test_quarantine.py
+++ b/tests/fleet/test_quarantine.py
@@ -15,16 +15,16 @@
 from switchline.fleet.fact_kinds import FactKind
 from switchline.fleet.members import Address, Members
 from switchline.fleet.quarantine import (
-    LEVEL_S,
-    OUT,
-    PART,
-    WANTS,
-    YOUNG_S,
+    GRANT_DELAY_S,
+    MEMBERS_PER_QUARANTINED,
+    RECOVERY_S,
     Quarantine,
-    grants_each,
-    most_out,
+    QuarantineState,
+    StalenessView,
+    grants_of_each,
+    max_quarantined,
 )
-from switchline.fleet.staleness import Floors, floors_of
+from switchline.fleet.staleness import VersionFloors, parse_floors
 from testbed.fixture import Plays
 from testbed.network.fleet_link import Net, acquaint, address_of
 
@@ -39,13 +39,13 @@
         self.shuttings = [Quarantine(PATIENCE_S, self.net.now) for _ in range(size)]
         self.lists = [5] * size
         self.spared: set[str] = set()
-        self.floors = Floors()
+        self.floors = VersionFloors()
         self.gone: set[int] = set()
         for number in range(size):
             self.net.add(number)
             self.tell(number)
         acquaint(self.net)
-        self.run(YOUNG_S + 1.0)
+        self.run(GRANT_DELAY_S + 1.0)
 
     def tell(self, number: int) -> None:
         node = self.net.nodes[address_of(number)]
@@ -63,7 +63,8 @@
                 node, behind = self.net.nodes[address], self.lists[number] < max(self.lists)
                 self.tell(number)
                 wall = self.net.wall(address)
-                one.look(node, self.net.now, wall, self.lists[number], behind, self.spared, self.floors)
+                view = StalenessView(self.lists[number], behind, self.spared, self.floors)
+                one.evaluate(node, self.net.now, wall, view)
                 self.net.carry(address, node)
             most = max(most, len(self.out()))
         return most
@@ -75,8 +76,12 @@
 @given(st.integers(1, 5_000))
 def test_the_grants_of_all_suffice_for_no_more_than_the_part(members: int) -> None:
     needed = members // 2 + 1
-    assert members * grants_each(members) // needed <= most_out(members) <= members // PART
-    assert most_out(members) < members
+    assert (
+        members * grants_of_each(members) // needed
+        <= max_quarantined(members)
+        <= members // MEMBERS_PER_QUARANTINED
+    )
+    assert max_quarantined(members) < members
 
 
 def test_a_straggler_is_shut_out_after_its_time_and_back_once_it_is_level_for_a_while() -> None:
@@ -87,7 +92,7 @@
     fleet.run(2.0)
     assert fleet.out() == [3]
     fleet.lists[3] = 5
-    fleet.run(LEVEL_S - 2 * STEP_S)
+    fleet.run(RECOVERY_S - 2 * STEP_S)
     assert fleet.out() == [3]
     fleet.run(1.0)
     assert fleet.out() == []
@@ -100,7 +105,7 @@
     fleet.lists[3] = 4  # again so soon: it has to be level for longer
     fleet.run(PATIENCE_S + 2.0)
     fleet.lists[3] = 5
-    fleet.run(LEVEL_S + 1.0)
+    fleet.run(RECOVERY_S + 1.0)
     assert fleet.out() == [3]
 
 
@@ -108,7 +113,7 @@
     fleet = Fleet(12)
     for number in range(5):
         fleet.lists[number] = 4
-    assert 1 <= fleet.run(8.0) <= most_out(12)
+    assert 1 <= fleet.run(8.0) <= max_quarantined(12)
     small = Fleet(4)
     small.lists[0] = 4
     assert small.run(8.0) == 0
@@ -123,20 +128,29 @@
 
 def test_a_floor_makes_a_straggler_of_who_is_below_it_though_most_are_not_above() -> None:
     called = ["list 43", "list 7", "list x", "program 3", "program 1.4", "list 1" + "0" * 30, "config abcd"]
-    floors = floors_of([*called, "config ../x", "program 1.x", "nothing 7"])
-    assert floors == Floors(43, (3,), frozenset({"abcd"}))
-    assert not floors_of([]) and not floors_of(["list -1", "program", "config"])
-    assert floors.below(42, "3.1", "abcd") == "list" and floors.below(43, "2.9.9", "abcd") == "program"
-    assert floors.below(43, "3.0", "ffff") == "config" and not floors.below(43, "3.0.0", "abcd")
-    assert not floors.below(50, "a release that none can read", None)
-    for floor in (Floors(seq=6), Floors(release=(2,)), Floors(configs=frozenset({"beef"}))):
+    floors = parse_floors([*called, "config ../x", "program 1.x", "nothing 7"])
+    assert floors == VersionFloors(43, (3,), frozenset({"abcd"}))
+    assert not parse_floors([]) and not parse_floors(["list -1", "program", "config"])
+    assert (
+        floors.stale_version(42, "3.1", "abcd") == "list"
+        and floors.stale_version(43, "2.9.9", "abcd") == "program"
+    )
+    assert floors.stale_version(43, "3.0", "ffff") == "config" and not floors.stale_version(
+        43, "3.0.0", "abcd"
+    )
+    assert not floors.stale_version(50, "a release that none can read", None)
+    for floor in (
+        VersionFloors(list_seq=6),
+        VersionFloors(release=(2,)),
+        VersionFloors(configs=frozenset({"beef"})),
+    ):
         fleet = Fleet(6)
         node, one = fleet.net.nodes[address_of(0)], fleet.shuttings[0]
         node.facts.tell(0.0, "release", "", "1.9")
         node.facts.tell(0.0, "config", "", "abcd")
         begun = fleet.net.now
-        for now, word in ((begun, None), (begun + PATIENCE_S, WANTS)):
-            one.look(node, now, 0.0, 5, False, (), floor)
+        for now, word in ((begun, None), (begun + PATIENCE_S, QuarantineState.WANTED)):
+            one.evaluate(node, now, 0.0, StalenessView(5, False, (), floor))
             assert node.facts.value(FactKind.QUARANTINE, "", "g0") == word
 
 
@@ -146,20 +160,20 @@
         address = address_of(number)
         fleet.net.nodes[address].tell(fleet.net.wall(address), "release", "", "1.5" if number > 3 else "1.4")
     assert fleet.run(3 * PATIENCE_S) == 0
-    fleet.floors = floors_of(["program 1.5"])
-    assert 1 <= fleet.run(PATIENCE_S + 3.0) <= most_out(11) and set(fleet.out()) <= {0, 1, 2, 3}
+    fleet.floors = parse_floors(["program 1.5"])
+    assert 1 <= fleet.run(PATIENCE_S + 3.0) <= max_quarantined(11) and set(fleet.out()) <= {0, 1, 2, 3}
     for number in fleet.out():  # the new program starts there, or its facts say so
         address = address_of(number)
         fleet.net.nodes[address].tell(fleet.net.wall(address), "release", "", "1.5")
-    assert fleet.run(LEVEL_S + 6.0) <= most_out(11) and len(fleet.out()) >= 1
+    assert fleet.run(RECOVERY_S + 6.0) <= max_quarantined(11) and len(fleet.out()) >= 1
 
 
 def test_a_look_does_not_count_the_members_once_for_each_member(monkeypatch: pytest.MonkeyPatch) -> None:
     """With 200 members that took most of 8 cores, in all gateways four times a second."""
     counted: list[int] = []
-    real = Members.stayed.fget
+    real = Members.not_left.fget
     assert real is not None
-    monkeypatch.setattr(Members, "stayed", property(lambda self: counted.append(1) or real(self)))
+    monkeypatch.setattr(Members, "not_left", property(lambda self: counted.append(1) or real(self)))
     fleet = Fleet(30)
     fleet.lists[3] = 4
     looks = int(6.0 / STEP_S) * 30
@@ -190,7 +204,7 @@
 )
 def test_no_order_of_facts_shuts_out_more_than_the_part(steps: list[str], seed: int) -> None:
     fleet, chance = Fleet(11, seed), random.Random(seed)
-    limit = most_out(11)
+    limit = max_quarantined(11)
     for step in [*steps, "lag", "lag", "lag"]:
         number = chance.randrange(11)
         match step:
@@ -244,7 +258,7 @@
     )
     assert not played.result.breaches
     seen = played.of("view", g="g0", status=200)[0]["facts"]
-    assert ["shut", "", "g3", OUT] in seen
+    assert ["shut", "", "g3", QuarantineState.QUARANTINED] in seen
     logs = {name: (played.folder / f"gateways/{name}/life-1.log").read_text() for name in ("g1", "g3")}
     assert "shut out: its list is behind" in logs["g3"] and "shut out" not in logs["g1"]
     assert (
--- a/tests/fleet/test_staleness.py
+++ b/tests/fleet/test_staleness.py
@@ -8,8 +8,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from switchline.fleet.messages import Exchange, HostRow, Listed
-from switchline.fleet.staleness import APART_S, BEHIND_S, Divergence, StaleList, agreed, number, usual
+from switchline.fleet.messages import EndpointList, Exchange, ListedHost
+from switchline.fleet.staleness import (
+    DIVERGENT_S,
+    STALE_AFTER_S,
+    StaleListWatch,
+    VersionDivergence,
+    agreed_changes,
+    other_majority_version,
+    parse_list_number,
+)
 from switchline.fleet_runtime import list_repair
 from switchline.fleet_runtime.list_repair import ListRepair
 from testbed.fixture import Plays
@@ -23,21 +31,21 @@
     return [{"host": n, "dial": "127.0.0.1:1", "health": health[n], "born_ms": 0.0} for n in HOSTS]
 
 
-def listed(seq: int, **health: str) -> Listed:
+def listed(seq: int, **health: str) -> EndpointList:
     known = dict.fromkeys(HOSTS, "up") | health
-    rows = [HostRow(n, "127.9.9.9:9", "a", 0, how, 0.0) for n, how in known.items() if how != "gone"]
-    return Listed(seq, rows)
+    rows = [ListedHost(n, "127.9.9.9:9", "a", 0, how, 0.0) for n, how in known.items() if how != "gone"]
+    return EndpointList(seq, rows)
 
 
 def test_behind_is_who_lacks_for_a_while_what_most_have() -> None:
-    behind = StaleList()
-    assert not behind.look(10.0, 5, [6, 6, 5])  # two of four are not most
-    assert not behind.look(20.0, 5, [6, 6, 6, 5])
-    assert not behind.look(20.0 + BEHIND_S / 2, 5, [6, 6, 6, 5])
-    assert behind.look(20.0 + BEHIND_S, 5, [7, 6, 6, 5])
-    assert not behind.look(22.0, 6, [7, 6, 6, 5])  # level with most: a newcomer's list is only its own
-    assert not behind.look(23.0, 5, [6, 6, 6])
-    assert not behind.look(30.0, 5, []) and not behind.look(40.0, 5, [None, None, 6])
+    behind = StaleListWatch()
+    assert not behind.is_stale(10.0, 5, [6, 6, 5])  # two of four are not most
+    assert not behind.is_stale(20.0, 5, [6, 6, 6, 5])
+    assert not behind.is_stale(20.0 + STALE_AFTER_S / 2, 5, [6, 6, 6, 5])
+    assert behind.is_stale(20.0 + STALE_AFTER_S, 5, [7, 6, 6, 5])
+    assert not behind.is_stale(22.0, 6, [7, 6, 6, 5])  # level with most: a newcomer's list is only its own
+    assert not behind.is_stale(23.0, 5, [6, 6, 6])
+    assert not behind.is_stale(30.0, 5, []) and not behind.is_stale(40.0, 5, [None, None, 6])
 
 
 @settings(max_examples=200, deadline=None)
@@ -47,7 +55,9 @@
 def test_one_word_takes_nothing_away_and_no_words_add_anything(
     words: list[dict[str, str]], draining: set[str]
 ) -> None:
-    found = {host["host"]: host for host in agreed(own(*draining), [listed(9, **said) for said in words])}
+    found = {
+        host["host"]: host for host in agreed_changes(own(*draining), [listed(9, **said) for said in words])
+    }
     for name in HOSTS:
         against = [said.get(name, "up") for said in words]
         less = sum(how != "up" for how in against)
@@ -62,22 +72,26 @@
 
 
 def test_a_version_that_most_do_not_have_is_told_once_and_its_end_too() -> None:
-    apart = Divergence()
+    apart = VersionDivergence()
     others: list[str | None] = ["b", "b", "b", "a", None]
-    assert usual("a", others) is None and usual("a", [*others, "b"]) == "b" and usual("a", []) is None
+    assert (
+        other_majority_version("a", others) is None
+        and other_majority_version("a", [*others, "b"]) == "b"
+        and other_majority_version("a", []) is None
+    )
     newcomer: list[str | None] = ["b"] * 4
-    assert not apart.look(0.0, "config", "a", newcomer)
-    assert not apart.look(APART_S - 0.1, "config", "a", newcomer)
-    assert apart.look(APART_S, "config", "a", newcomer) and apart.told == {"config": "b"}
-    assert not apart.look(APART_S + 1, "config", "a", newcomer)
-    assert apart.look(APART_S + 2, "config", "b", newcomer) and not apart.told
-    assert not apart.look(99.0, "config", "b", ["b", "b", "b", "a"])  # nobody is told of a newcomer
+    assert not apart.update(0.0, "config", "a", newcomer)
+    assert not apart.update(DIVERGENT_S - 0.1, "config", "a", newcomer)
+    assert apart.update(DIVERGENT_S, "config", "a", newcomer) and apart.shown == {"config": "b"}
+    assert not apart.update(DIVERGENT_S + 1, "config", "a", newcomer)
+    assert apart.update(DIVERGENT_S + 2, "config", "b", newcomer) and not apart.shown
+    assert not apart.update(99.0, "config", "b", ["b", "b", "b", "a"])  # nobody is told of a newcomer
 
 
 @pytest.mark.parametrize("told", [None, "None", "", "-1", "1.5", "9" * 30, "x", "\u0661" * 20])
 def test_a_number_that_is_none_says_nothing(told: str | None) -> None:
-    assert number(told) is None
-    assert number("41") == 41
+    assert parse_list_number(told) is None
+    assert parse_list_number("41") == 41
 
 
 class Stuck:
@@ -100,7 +114,7 @@
     one = ListRepair(stuck, stuck, stuck, cast(Any, None))
     one.is_behind = True
 
-    def tell(sender: str, what: Listed) -> None:
+    def tell(sender: str, what: EndpointList) -> None:
         one.learn(Exchange(sender, (1, 1), 1, True, [], [], listed=what))
 
     for _ in range(3):
--- a/tests/linked_fleet.py
+++ b/tests/linked_fleet.py
@@ -48,7 +48,7 @@
             self.agreements.append(
                 ZoneAgreement(own(index), index, gateways, SlowStart(least, warm_s), chance)
             )
-            node.told = self._hears(index)
+            node.fact_changed = self._hears(index)
             for kind, value in (("zone", own(index)), ("index", str(index))):
                 node.tell(self.net.wall(address_of(index)), kind, "", value)
             self._begin(index)
--- a/tests/zones/test_zone_agreement.py
+++ b/tests/zones/test_zone_agreement.py
@@ -18,8 +18,8 @@
 from switchline import ctl
 from switchline.clock import now_ms
 from switchline.fleet.fact_kinds import FactKind
-from switchline.fleet.facts import MOST_DECISIONS, Facts, higher
-from switchline.fleet.messages import Entry, State
+from switchline.fleet.facts import MAX_DECISIONS, Facts, higher
+from switchline.fleet.messages import Entry, MemberState
 from switchline.policy import Gateway
 from switchline.policy import interface as api
 from switchline.state.recovery import holds
@@ -342,11 +342,11 @@
         table = Facts("g2", (1, 1))
         for entry in order:
             table.merge(3.0, entry)
-        found.add((table.count(FactKind.ZONE_DECISION, "a>b"), table.value(FactKind.ZONE_DECISION, "a>b")))
+        found.add((table.version(FactKind.ZONE_DECISION, "a>b"), table.value(FactKind.ZONE_DECISION, "a>b")))
     assert found == {(2, '["returning"]')}
-    for number in range(MOST_DECISIONS + 3):
+    for number in range(MAX_DECISIONS + 3):
         one.decide(1.0, FactKind.ZONE_DECISION, f"z>{number}", '["left"]')
-    assert len(one.of_kind(FactKind.ZONE_DECISION)) == MOST_DECISIONS and one.refused["full"] == 4
+    assert len(one.of_kind(FactKind.ZONE_DECISION)) == MAX_DECISIONS and one.refused["full"] == 4
 
 
 def test_a_dead_gateway_keeps_its_part_until_it_surely_has_ended() -> None:
@@ -363,7 +363,7 @@
         net.nodes[address_of(0)],
         ZoneAgreement("a", 0, 3, SlowStart(0.2, 16.0), random.Random(1)),
     )
-    assert node.members.others["g2"].state is State.DEAD
+    assert node.members.others["g2"].state is MemberState.DEAD
     assert set(agreement._loads(node, net.now)) == {0, 1, 2}
     assert set(agreement._loads(node, net.now + DEAD_KEEPS_PART_S)) == {0, 1}
 
