--- a/switchline/fleet_runtime/recovery.py
+++ b/switchline/fleet_runtime/recovery.py
@@ -3,7 +3,7 @@
 Before clients: what operators took out by hand, the newest list, and where its own disk is lost or old what
 is spent of customers' quotas. Then it may turn out that the whole fleet lost power: service returns in
 stages. Each wait is bounded. Only with both `fleet` and `state`; each alone does what it did. The table of
-what is trusted is in docs/power-loss.md.
+what is trusted is in docs/recovery.md.
 """
 
 from __future__ import annotations
@@ -16,9 +16,10 @@
 from enum import IntEnum
 from typing import Any
 
-from switchline.audit.recorder import Noted
+from switchline.audit.recorder import AuditCallback
 from switchline.clock import now_ms
-from switchline.discovery.client import Discovery, DiscoveryError, read_list
+from switchline.discovery.client import Discovery
+from switchline.discovery.endpoint_list import DiscoveryError, read_list
 from switchline.fleet.fact_kinds import FactKind
 from switchline.fleet.members import Members
 from switchline.fleet.messages import (
@@ -39,11 +40,11 @@
 )
 from switchline.fleet.staleness import binding_changes, removes_all, seq_or_no_list
 from switchline.fleet_runtime.transport import Peers, Word
-from switchline.operators.overrides import OperatorOverrides
+from switchline.operators.overrides import OperatorOverrides, OverrideChange
 from switchline.policy import gateway_status
 from switchline.policy import interface as api
 from switchline.service.driver import Driver
-from switchline.state.recovery import Recovery
+from switchline.state.persistence import StatePersistence
 
 log = logging.getLogger(__name__)
 
@@ -75,7 +76,7 @@
     def __init__(
         self,
         hands: Mapping[str, OperatorOverrides],
-        recovery: Recovery,
+        recovery: StatePersistence,
         driver: Driver,
         discovery: Discovery,
         index: int,
@@ -83,7 +84,7 @@
         self.hands, self.recovery, self.driver = hands, recovery, driver
         self.discovery, self.index = discovery, index
         self.began = time.monotonic()
-        self.down_s = recovery.down_s()
+        self.down_s = recovery.downtime_s()
         self.peers: Peers | None = None
         self.stage, self.stage_at = Stage.FACTS, self.began
         self.risen_until, self.doubt_until = self.began + DOWNTIME_PUBLISHED_S, self.began + DOUBT_S
@@ -98,7 +99,7 @@
         self.hosts = self.customers = self.spoilt = 0  # taken from others; answers that were of no use
         self.waited_ms = 0
         discovery.weigh = self.weigh
-        self.noted: Noted = lambda kind, of, version, cause: None  # of the audit
+        self.noted: AuditCallback = lambda kind, of, version, cause: None  # of the audit
 
     # ---- what it tells ----
 
@@ -108,7 +109,7 @@
 
     def listed(self, seq: int) -> EndpointList | None:
         """The list here, if it is newer than what another has."""
-        hosts, version = self.recovery.listed(), self.discovery.version
+        hosts, version = self.recovery.saved_hosts(), self.discovery.version
         if hosts is None or version is None or version <= seq or len(hosts) > MAX_LISTED_HOSTS:
             return None
         rows = [
@@ -129,7 +130,7 @@
         if not self.ready:
             return None
         told = gateway_status.spending(self.driver.gateway, now_ms(), MAX_QUOTAS)
-        return [RemainingQuota(one.key, one.plan, one.even, one.left) for one in told]
+        return [RemainingQuota(one.customer, one.plan, one.even_share, one.remaining_units) for one in told]
 
     def settle(self) -> None:
         """This process takes over from another one, which knows better: it only answers the others."""
@@ -226,7 +227,7 @@
         The addresses in it are those that the other gateway reaches backends by. Discovery is asked for all
         that it knows then, as its changes would not undo what a peer erred in.
         """
-        newer, own, seq = self.newest, self.recovery.listed(), seq_or_no_list(self.discovery.version)
+        newer, own, seq = self.newest, self.recovery.saved_hosts(), seq_or_no_list(self.discovery.version)
         if newer is None or own is None or newer.seq <= seq:
             return
         changes = list(binding_changes(own, newer))
@@ -250,7 +251,7 @@
         """
         hosts = raw.get("hosts") or []
         known = max(seq_or_no_list(self.discovery.version), self.newest.seq if self.newest else -1)
-        own = self.recovery.listed()
+        own = self.recovery.saved_hosts()
         behind = raw.get("whole") and (int(raw["seq"]) < known or not hosts)
         if not behind or not own or time.monotonic() >= self.doubt_until:
             return raw
@@ -279,18 +280,18 @@
         self.meet(self.peers.node.members)
         now, facts = time.monotonic(), self.peers.node.facts
         for kind, bans in self.hands.items():
-            newer: dict[str, tuple[bool, float]] = {}
+            newer: dict[str, OverrideChange] = {}
             for (name, _), stored in facts.of_kind(kind).items():
                 entry, out = stored.entry, stored.entry.value == "down"
                 brought = entry.at <= entry.incarnation[0] and now < self.met.get(entry.origin, 0.0)
-                asked = (anew or brought) and (out or name in bans.out)
-                if ((kind, name) in self.taken or asked) and entry.at > bans.since(name):
-                    newer[name] = out, entry.at
+                asked = (anew or brought) and (out or name in bans.active)
+                if ((kind, name) in self.taken or asked) and entry.at > bans.last_changed_ms(name):
+                    newer[name] = OverrideChange(out, entry.at)
             if not newer:
                 continue
             self.taken |= {(kind, name) for name in newer}
             try:
-                bans.recover(newer)
+                bans.merge(newer)
             except OSError as error:
                 log.warning("what is out by hand, as others tell, can't be kept: %s", error)
 
--- a/switchline/zones/agreement.py
+++ b/switchline/zones/agreement.py
@@ -42,7 +42,7 @@
     RampWatch,
     SlowStart,
     first_ramp_decision,
-    probe_gap_s,
+    probe_interval_s,
 )
 
 REPORT_FRESH_S = 4.0  # of a zone that is not in use: an older loss says nothing of its return
@@ -405,4 +405,4 @@
             return None
         # Reports from before the zone was left are replaced within `PUBLISH_GAP_S`.
         answered = age_s > 2 * PUBLISH_GAP_S and any(report.healthy for report in reports)
-        return Directive(ZoneState.LEFT, probe_gap_s=probe_gap_s(members.size, answered))
+        return Directive(ZoneState.LEFT, probe_interval_s=probe_interval_s(members.size, answered))
--- a/switchline/zones/coordination.py
+++ b/switchline/zones/coordination.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from switchline.audit.recorder import Noted
+from switchline.audit.recorder import AuditCallback
 from switchline.clock import now_ms
 from switchline.fleet.fact_kinds import FactKind
 from switchline.fleet.messages import Entry
@@ -40,12 +40,12 @@
 
     def __init__(self, driver: Driver, chance: random.Random) -> None:
         settings = driver.settings
-        slow_start = SlowStart(settings.rules.start_capacity, settings.rules.warm_within / 1000)
+        slow_start = SlowStart(settings.rules.start_capacity, settings.rules.warm_up_ms / 1000)
         self.driver = driver
         self.agreement = ZoneAgreement(settings.zone, settings.index, settings.gateways, slow_start, chance)
         self.peers: Peers | None = None
         self.directives: dict[str, Directive] = {}
-        self.noted: Noted = lambda kind, of, version, cause: None  # of the audit
+        self.noted: AuditCallback = lambda kind, of, version, cause: None  # of the audit
         self.keep: Callable[[str, Row], None] | None = None  # stores a decision on disk
         self._timer: asyncio.TimerHandle | None = None
         self._losses = 0  # counted by the policy until the last evaluation
@@ -165,7 +165,7 @@
                 "step": decision.step,
                 "flaps": decision.flaps,
                 "part": round(1000 * part),  # in thousandths
-                "rate": round(directive.rate, 2),  # requests per second
+                "rate": round(directive.rate_per_s, 2),  # requests per second
                 "observers": sum(name == zone for name, _ in facts.of_kind(FactKind.ZONE_FOLLOWED)),
                 "why": decision.reason,
             }
@@ -196,9 +196,9 @@
     return api.ZoneDirective(
         zone=zone,
         state=directive.state.value if directive.state is not None else "",
-        rate=directive.rate,
-        share=directive.share,
-        gap=directive.probe_gap_s * 1000,
-        first=directive.range_start,
-        part=directive.range_width,
+        rate_per_s=directive.rate_per_s,
+        capacity_ratio=directive.capacity_ratio,
+        probe_interval_ms=directive.probe_interval_s * 1000,
+        range_start=directive.range_start,
+        range_width=directive.range_width,
     )
--- a/switchline/zones/decision.py
+++ b/switchline/zones/decision.py
@@ -57,17 +57,17 @@
 
     Attributes:
         state: Whether the zone is used; None where the fleet has no decision that holds here.
-        rate: Of a ramp: requests per second that this gateway may send there.
-        share: Of a ramp: what each backend is asked for, as a ratio of a warm one.
-        probe_gap_s: Of a left zone: seconds between two tests by this gateway.
+        rate_per_s: Of a ramp: requests per second that this gateway may send there.
+        capacity_ratio: Of a ramp: what each backend is asked for, as a ratio of a warm one.
+        probe_interval_s: Of a left zone: seconds between two tests by this gateway.
         range_start: Of a ramp: where this gateway's range of the backends begins, from 0 to 1.
         range_width: Of a ramp: how wide that range is, from 0 to 1.
     """
 
     state: ZoneState | None
-    rate: float = 0.0
-    share: float = 1.0
-    probe_gap_s: float = 0.0
+    rate_per_s: float = 0.0
+    capacity_ratio: float = 1.0
+    probe_interval_s: float = 0.0
     range_start: float = 0.0
     range_width: float = 1.0
 
--- a/switchline/zones/returning.py
+++ b/switchline/zones/returning.py
@@ -1,6 +1,6 @@
 """The rules by which a zone that was left is tested and entered again. Pure.
 
-`probe_gap_s` says how often it is tested, `AnswerWatch.has_recovered` when its ramp may begin,
+`probe_interval_s` says how often it is tested, `AnswerWatch.has_recovered` when its ramp may begin,
 `first_ramp_decision` what it begins with, and `RampWatch.next_step` each step: up, back, or out again.
 """
 
@@ -27,14 +27,14 @@
 STEADY_ANSWERS_S = 5.0  # a part of the zone answers for so long: it returns though the rest stays lost
 PROBES_PER_S = 1.0  # tests of a left zone, by all gateways together
 ANSWERED_PROBES_FACTOR = 6.0  # as many times more once one is answered
-LEAST_PROBE_GAP_S = 0.5  # of one gateway
+LEAST_PROBE_INTERVAL_S = 0.5  # of one gateway
 STEP_BACK_GAP_S = 1.0  # between two steps back
 LEAST_BACKEND_RATE = 1.0  # requests per second that any backend bears: without load a ramp would never end
 MAX_BACKEND_RATE = 1e9
 WARM_STEP_GAP_S = 0.4  # between two steps up that the backends' age shows them to bear already
 
 
-def probe_gap_s(members: int, answered: bool) -> float:
+def probe_interval_s(members: int, answered: bool) -> float:
     """Return the seconds between two tests of a left zone by one gateway.
 
     Args:
@@ -42,7 +42,7 @@
         answered: Whether any test was answered.
     """
     probes_per_s = PROBES_PER_S * (ANSWERED_PROBES_FACTOR if answered else 1.0)
-    return max(LEAST_PROBE_GAP_S, members / probes_per_s)
+    return max(LEAST_PROBE_INTERVAL_S, members / probes_per_s)
 
 
 @dataclass(slots=True)
--- a/tests/linked_fleet.py
+++ b/tests/linked_fleet.py
@@ -44,7 +44,7 @@
             node = self.net.add(index, seeds=(0, 1))
             rules = self.gateways[index].settings.rules
             chance = random.Random(f"{seed} {index}")
-            least, warm_s = rules.start_capacity, rules.warm_within / 1000
+            least, warm_s = rules.start_capacity, rules.warm_up_ms / 1000
             self.agreements.append(
                 ZoneAgreement(own(index), index, gateways, SlowStart(least, warm_s), chance)
             )
--- a/tests/zones/test_zone_agreement.py
+++ b/tests/zones/test_zone_agreement.py
@@ -22,7 +22,7 @@
 from switchline.fleet.messages import Entry, MemberState
 from switchline.policy import Gateway
 from switchline.policy import interface as api
-from switchline.state.recovery import holds
+from switchline.state.restore import is_valid_zone_decision
 from switchline.zones.agreement import DEAD_KEEPS_PART_S, ZoneAgreement
 from switchline.zones.decision import RAMP_STEPS, ZoneDecision, decode_decision
 from switchline.zones.evidence import pool_reports
@@ -74,7 +74,7 @@
     play.run(22_000, gap=50)
     returning = [at for at, e in play.decisions if decode_decision(e.value).state == "returning"]
     begun = max(at for at in returning if at < returning[0] + 1000)  # for the gateways of all three zones
-    total, warm_ms = 12 * 20.0, play.gateways[0].settings.rules.warm_within
+    total, warm_ms = 12 * 20.0, play.gateways[0].settings.rules.warm_up_ms
     used = allowed = 0.0
     for at in range(int(begun), int(begun + 0.7 * warm_ms), 500):
         # What the other zones' backends bear of all, on the way from cold to warm; and its share at most.
@@ -140,7 +140,7 @@
     play.mode["b"] = "refuses"
     play.run(10_000, gap=50)
     play.mode.clear()
-    back, warm_ms = play.now, play.gateways[0].settings.rules.warm_within
+    back, warm_ms = play.now, play.gateways[0].settings.rules.warm_up_ms
     play.tell(play.of("b"), started=back)
     play.run(0.7 * warm_ms, gap=50)
     each = 24 * 20 / 16  # a second, of a warm one: what those of the other zones take meanwhile
@@ -323,7 +323,10 @@
                         net.carry(address_of(number), node)
                     if (word := agreement.directives.get("b")) is not None and word.state == "returning":
                         rates.append(
-                            (word.rate, decode_decision(node.facts.value(FactKind.ZONE_DECISION, "a>b")))
+                            (
+                                word.rate_per_s,
+                                decode_decision(node.facts.value(FactKind.ZONE_DECISION, "a>b")),
+                            )
                         )
             if rates:
                 most = max(share_at(act.step, 0.2) * act.backend_rate * act.backends for _, act in rates)
@@ -380,7 +383,10 @@
     }
     for later in (0.0, 0.3, 0.7):  # it is not seen to have stood still
         agreement.evaluate(node, net.now + later, wall, answers, 0.0)
-    assert agreement.decision(node.facts, "b").state == "returning" and agreement.directives["b"].rate > 0.0
+    assert (
+        agreement.decision(node.facts, "b").state == "returning"
+        and agreement.directives["b"].rate_per_s > 0.0
+    )
     agreement.evaluate(
         node, net.now + 0.8, wall, {"a": LocalObservation(4)}, 0.0
     )  # the list names it no more
@@ -419,11 +425,11 @@
 def test_the_module_follows_the_fleet_s_word_and_goes_back_to_its_own_without_one() -> None:
     gateway = module()
     assert sends(gateway, 1000.0, 200, 10.0)[1] > 50
-    gateway.handle(3000.0, api.ZoneDirective("b", "left", gap=500.0))
+    gateway.handle(3000.0, api.ZoneDirective("b", "left", probe_interval_ms=500.0))
     assert 1 <= sends(gateway, 3000.0, 200, 10.0)[1] <= 5  # tests alone
-    gateway.handle(5000.0, api.ZoneDirective("b", "returning", rate=10.0, share=0.3))
+    gateway.handle(5000.0, api.ZoneDirective("b", "returning", rate_per_s=10.0, capacity_ratio=0.3))
     assert 17 <= sends(gateway, 5000.0, 200, 10.0)[1] <= 21  # ten a second, for two seconds
-    gateway.handle(7000.0, api.ZoneDirective("b", "returning", rate=0.0, share=0.3))
+    gateway.handle(7000.0, api.ZoneDirective("b", "returning", rate_per_s=0.0, capacity_ratio=0.3))
     assert sends(gateway, 7001.0, 100, 10.0)[1] <= 1
     gateway.handle(8000.0, api.ZoneDirective("b", ""))
     sends(gateway, 8001.0, 100, 10.0)
@@ -434,13 +440,13 @@
 def test_operators_go_before_the_fleet_and_a_cold_backend_before_its_ramp() -> None:
     gateway = module()
     gateway.handle(1000.0, api.ZoneOverridden("b", True, 1000.0))
-    gateway.handle(1001.0, api.ZoneDirective("b", "returning", rate=50.0, share=1.0))
+    gateway.handle(1001.0, api.ZoneDirective("b", "returning", rate_per_s=50.0, capacity_ratio=1.0))
     assert sends(gateway, 1002.0, 100, 10.0)[1] == 0
     cold = module()
     up = api.BackendState.READY
     fresh = tuple(api.BackendEntry(10 + n, "b", 0, 50_000.0, up) for n in range(4))
     cold.handle(50_000.0, api.BackendsChanged(api.ListScope.CHANGES, fresh))
-    cold.handle(50_000.0, api.ZoneDirective("b", "returning", rate=50.0, share=1.0))
+    cold.handle(50_000.0, api.ZoneDirective("b", "returning", rate_per_s=50.0, capacity_ratio=1.0))
     assert sends(cold, 50_001.0, 100, 20.0)[1] < 60  # a fifth to two fifths of what warm ones would be sent
 
 
@@ -465,8 +471,14 @@
     row = to_row(left)
     for place, spoilt in ((1, "x"), (3, -1), (3, None), (4, "now"), (4, 1e30), (0, "g" * 999)):
         assert from_row("a>b", [*row[:place], spoilt, *row[place + 1 :]]) is None
-    assert holds([*row[:4], now_ms(), row[5]]) and not holds(row)  # of years ago
-    assert not holds(row[:3]) and not holds([*row[:4], None, ""]) and not holds("spoilt")
+    assert is_valid_zone_decision([*row[:4], now_ms(), row[5]]) and not is_valid_zone_decision(
+        row
+    )  # of years ago
+    assert (
+        not is_valid_zone_decision(row[:3])
+        and not is_valid_zone_decision([*row[:4], None, ""])
+        and not is_valid_zone_decision("spoilt")
+    )
     assert from_row("a>b", row[:3]) is None and from_row("n" * 999, row) is None
     assert decode_decision((from_row("a>b", [*row[:5], "no act"]) or left).value).state == "up"
 
@@ -504,7 +516,7 @@
         "127.0.0.1:4": "timed out",
     }
     monkeypatch.setenv("COLUMNS", "160")
-    monkeypatch.setattr(ctl, "ask", lambda address: views[address])
+    monkeypatch.setattr(ctl, "fetch_view", lambda address: views[address])
     for addresses, code in ((["127.0.0.1:1", "127.0.0.1:3"], 0), (list(views), 1), (["127.0.0.1:4"], 2)):
         with pytest.raises(SystemExit) as ended:
             ctl.cli(["zones", *addresses])
