--- a/switchline/operators/fleet_calls.py
+++ b/switchline/operators/fleet_calls.py
@@ -21,7 +21,7 @@
 from switchline.fleet.fact_kinds import FactKind
 from switchline.fleet.facts import FactLimitError
 from switchline.fleet.messages import Entry, MemberState
-from switchline.fleet_runtime.transport import Peers, Word
+from switchline.fleet_runtime.transport import GossipTransport, PublishedFact
 from switchline.operators.calls import Reply
 from switchline.operators.overrides import OperatorOverrides, OverrideChange
 
@@ -73,12 +73,12 @@
 
     def __init__(self, overrides: Mapping[str, OperatorOverrides]) -> None:
         self.overrides = overrides
-        self.peers: Peers | None = None
+        self.peers: GossipTransport | None = None
         self.acknowledged: dict[CallKey, Acknowledged] = {}  # the oldest first
         self.made_here: dict[CallKey, float] = {}  # time of the call; each is in `acknowledged` as well
         self.next_exchange_s = 0.0
 
-    def attach(self, peers: Peers) -> None:
+    def attach(self, peers: GossipTransport) -> None:
         """Use the gossip transport, which is open, or open anew."""
         self.peers = peers
 
@@ -101,7 +101,7 @@
             self.next_exchange_s = now + EXCHANGE_INTERVAL_S
             self._exchange_with_members_that_lack_a_call(self.peers)
 
-    def _exchange_with_members_that_lack_a_call(self, peers: Peers) -> None:
+    def _exchange_with_members_that_lack_a_call(self, peers: GossipTransport) -> None:
         lacking = [
             member
             for member in self._other_members()
@@ -123,7 +123,7 @@
         called_at_ms = (overrides.active if active else overrides.cleared).get(name, now_ms())
         value = VALUE_ACTIVE if active else VALUE_CLEARED
         try:
-            self.peers.say(Word(kind, name, value, called_at_ms))
+            self.peers.publish(PublishedFact(kind, name, value, called_at_ms))
         except FactLimitError as error:
             return Reply(503, f"it holds here alone: {error}\n")
         key = CallKey(kind, name)
@@ -175,7 +175,7 @@
         if self.peers is None:
             return
         try:
-            self.peers.say(Word(kind, name, value))
+            self.peers.publish(PublishedFact(kind, name, value))
         except FactLimitError as error:
             log.warning("not told to the other gateways: %s", error)
 
--- a/switchline/zones/coordination.py
+++ b/switchline/zones/coordination.py
@@ -17,10 +17,10 @@
 from switchline.clock import now_ms
 from switchline.fleet.fact_kinds import FactKind
 from switchline.fleet.messages import Entry
-from switchline.fleet_runtime.transport import Peers
+from switchline.fleet_runtime.transport import GossipTransport
 from switchline.policy import Gateway, gateway_status
 from switchline.policy import interface as api
-from switchline.service.driver import Driver, figure_name
+from switchline.service.driver import Driver, zone_metric_name
 from switchline.zones.agreement import ZoneAgreement
 from switchline.zones.decision import NO_DIRECTIVE, Directive, ZoneState, decision_name
 from switchline.zones.ramp import backend_range
@@ -43,7 +43,7 @@
         slow_start = SlowStart(settings.rules.start_capacity, settings.rules.warm_up_ms / 1000)
         self.driver = driver
         self.agreement = ZoneAgreement(settings.zone, settings.index, settings.gateways, slow_start, chance)
-        self.peers: Peers | None = None
+        self.peers: GossipTransport | None = None
         self.directives: dict[str, Directive] = {}
         self.noted: AuditCallback = lambda kind, of, version, cause: None  # of the audit
         self.keep: Callable[[str, Row], None] | None = None  # stores a decision on disk
@@ -54,7 +54,7 @@
         self._logged_versions: dict[str, int] = {}
         self._bound_logged = False
 
-    def attach(self, peers: Peers) -> None:
+    def attach(self, peers: GossipTransport) -> None:
         """Begin to take part: the fleet link is open, or open anew."""
         self.peers = peers
         if self._timer is None:
@@ -105,7 +105,7 @@
         if self.peers.node.facts.refused["own"] and not self._bound_logged:
             self._bound_logged = True
             log.warning("not all is told to the other gateways: the bound on facts is reached")
-        self.peers.spread()
+        self.peers.flush()
         self._follow(directives)
         self._log_decisions(self.peers)
 
@@ -117,7 +117,7 @@
                 self.driver.give(to_policy(zone, directive))
         self.directives = directives
 
-    def _log_decisions(self, peers: Peers) -> None:
+    def _log_decisions(self, peers: GossipTransport) -> None:
         """Log and audit each decision that is new here."""
         facts, observers = peers.node.facts, self.agreement.zone
         for zone in self.directives:
@@ -143,7 +143,7 @@
         """Return of each zone the fleet's state, version and step, and this gateway's part of a ramp."""
         found: dict[str, int] = {}
         for zone, view in self.shown().items():
-            name = f"fleet.zone.{figure_name(zone)}"
+            name = f"fleet.zone.{zone_metric_name(zone)}"
             found[f"{name}.state"] = STATE_GAUGES[view["state"]]
             for key in ("version", "step", "part", "observers"):
                 found[f"{name}.{key}"] = view[key]
