--- a/switchline/audit/sources.py
+++ b/switchline/audit/sources.py
@@ -15,7 +15,7 @@
 from switchline.audit.queries import causal_order_key
 from switchline.audit.segments import segment_paths, text_lines
 from switchline.fleet.chain import Finding, Head, Record, verify
-from switchline.fleet.messages import Incarnation, Stamp
+from switchline.fleet.messages import HybridTimestamp, Incarnation
 
 REPLY_TIMEOUT_S = 2.0  # of a gateway
 MAX_PARALLEL_READS = 64
@@ -51,7 +51,7 @@
     """Identifies a record of a gateway that several sources have."""
 
     incarnation: Incarnation
-    stamp: Stamp
+    stamp: HybridTimestamp
     kind: str
     subject: str
 
--- a/switchline/fleet_runtime/exchange.py
+++ b/switchline/fleet_runtime/exchange.py
@@ -10,8 +10,8 @@
 
 from switchline.clock import now_ms
 from switchline.config import Address
-from switchline.fleet.messages import MOST_EXCHANGE
-from switchline.fleet.node import Node
+from switchline.fleet.endpoint import ProtocolEndpoint
+from switchline.fleet.messages import MAX_EXCHANGE_BYTES
 
 TIMEOUT_S = 2.0  # for an exchange, from its connection to its end
 MAX_INCOMING = 4
@@ -27,7 +27,7 @@
 class ExchangePeer:
     """Owns the TCP socket for exchanges, and those that are under way."""
 
-    def __init__(self, node: Node, listen: Address, on_merged: Callable[[], None]) -> None:
+    def __init__(self, node: ProtocolEndpoint, listen: Address, on_merged: Callable[[], None]) -> None:
         """`on_merged` is called once an exchange has been merged into the node."""
         self.loop = asyncio.get_running_loop()
         self.node = node
@@ -69,9 +69,9 @@
         try:
             async with asyncio.timeout(TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*address, local_addr=(self.address[0], 0))
-                _write_frame(writer, self.node.state(False))
+                _write_frame(writer, self.node.exchange_frame(False))
                 frame = await _read_frame(reader)
-            if self.node.exchanged(self.loop.time(), now_ms(), frame, True):
+            if self.node.receive_exchange(self.loop.time(), now_ms(), frame, True):
                 self.on_merged()
         except (OSError, ValueError, EOFError, ExchangeError):
             self.node.refuse("exchange")
@@ -88,8 +88,8 @@
         try:
             async with asyncio.timeout(TIMEOUT_S):
                 frame = await _read_frame(reader)
-                if self.node.exchanged(self.loop.time(), now_ms(), frame, False):
-                    _write_frame(writer, self.node.state(True))
+                if self.node.receive_exchange(self.loop.time(), now_ms(), frame, False):
+                    _write_frame(writer, self.node.exchange_frame(True))
                     await writer.drain()
                     self.on_merged()
         except (OSError, ValueError, EOFError, ExchangeError):
@@ -101,7 +101,7 @@
 
 async def _read_frame(reader: asyncio.StreamReader) -> bytes:
     length = int.from_bytes(await reader.readexactly(LENGTH_BYTES), "big")
-    if length > MOST_EXCHANGE:
+    if length > MAX_EXCHANGE_BYTES:
         raise ExchangeError("too long")
     return await reader.readexactly(length)
 
--- a/switchline/fleet_runtime/membership.py
+++ b/switchline/fleet_runtime/membership.py
@@ -9,7 +9,7 @@
 
 from switchline.clock import now_ms
 from switchline.config import FleetLink
-from switchline.fleet.facts import FOR_ALL
+from switchline.fleet.fact_kinds import FLEET_WIDE
 from switchline.fleet.messages import Entry, Exchange
 from switchline.fleet_runtime.incarnation import next_incarnation
 from switchline.fleet_runtime.own_facts import OwnFacts
@@ -111,21 +111,21 @@
         incarnation = next_incarnation(config.state, rng)
         transport = GossipTransport(config.name, link, incarnation, rng, self._facts)
         node = transport.node
-        calls = FleetCalls({FOR_ALL[kind]: one for kind, one in self.overrides.by_kind.items()})
+        calls = FleetCalls({FLEET_WIDE[kind]: one for kind, one in self.overrides.by_kind.items()})
         calls.attach(transport)
         if self.recovery is not None:
             self.recovery.attach(transport)
         zones = ZoneCoordinator(self.parts.driver, random.Random(f"{config.seed} zones"))
         zones.noted = self.trail.record
         if self.trail.audit is not None:
-            self.trail.audit.join_fleet(node.order, incarnation)
+            self.trail.audit.join_fleet(node.clock, incarnation)
         zones.attach(transport)
         if self.state is not None:
             if not self.took_over():  # else the older process knows better, and has told the others
                 zones.recall(self.state.zone_decisions)
             zones.keep = self.state.save_zone_decision
-        node.told = self._on_fact
-        node.learned = self._on_exchange
+        node.fact_changed = self._on_fact
+        node.answered = self._on_exchange
         transport.on_published = self._tick
         divergence = DivergenceWatch(self.parts, self.trail)
         quarantine = QuarantineControl(
--- a/switchline/fleet_runtime/recovery/coordinator.py
+++ b/switchline/fleet_runtime/recovery/coordinator.py
@@ -17,10 +17,17 @@
 from switchline import log_events
 from switchline.clock import now_ms
 from switchline.discovery.client import Discovery
-from switchline.fleet.messages import LIST, Exchange
-from switchline.fleet.node import Node
-from switchline.fleet.outage import RISEN, RISEN_S, UNKNOWN, Verdict, judge, read_down
-from switchline.fleet.staleness import seq_of
+from switchline.fleet.endpoint import ProtocolEndpoint
+from switchline.fleet.fact_kinds import FactKind
+from switchline.fleet.messages import Exchange, Wanted
+from switchline.fleet.outage import (
+    DOWNTIME_PUBLISHED_S,
+    UNKNOWN_DOWNTIME,
+    OutageVerdict,
+    decode_downtime,
+    judge_outage,
+)
+from switchline.fleet.staleness import seq_or_no_list
 from switchline.fleet_runtime.recovery.backend_list import ListRecovery
 from switchline.fleet_runtime.recovery.overrides import OverrideRecovery
 from switchline.fleet_runtime.recovery.spending import SpendingRecovery
@@ -59,14 +66,14 @@
         self.discovery = discovery
         self.began_s = time.monotonic()
         self.down_s = state.downtime_s()
-        self.started_lately_until_s = self.began_s + RISEN_S
-        self.verdict = Verdict(False, False, 0, 1, 0.0)
+        self.started_lately_until_s = self.began_s + DOWNTIME_PUBLISHED_S
+        self.verdict = OutageVerdict(False, False, 0, 1, 0.0)
         self.stages = StageTracker(self.began_s)
         self.overrides = OverrideRecovery(overrides)
         self.backend_list = ListRecovery(state, driver, discovery, self.began_s)
         self.spending = SpendingRecovery(driver, index)
         self.waited_ms = 0
-        self._node: Node | None = None
+        self._node: ProtocolEndpoint | None = None
 
     def set_record(self, record: RecordVersion) -> None:
         """Have stages and lists recorded in the audit."""
@@ -76,13 +83,13 @@
     def attach(self, transport: GossipTransport) -> None:
         """The transport is open, or another one is."""
         self._node = transport.node
-        self._node.listed = self.backend_list.newer_than
-        self._node.spent = self.spending.known_here
+        self._node.newer_list = self.backend_list.newer_than
+        self._node.known_quotas = self.spending.known_here
 
     def facts(self) -> Iterator[PublishedFact]:
         """For a while after the start: how long this gateway was down."""
-        down = UNKNOWN if math.isnan(self.down_s) else f"{self.down_s:.1f}"
-        yield PublishedFact(RISEN, "", down if self._started_lately() else None)
+        down = UNKNOWN_DOWNTIME if math.isnan(self.down_s) else f"{self.down_s:.1f}"
+        yield PublishedFact(FactKind.DOWNTIME, "", down if self._started_lately() else None)
 
     def _started_lately(self) -> bool:
         return time.monotonic() < self.started_lately_until_s
@@ -97,13 +104,13 @@
     async def query(self, transport: GossipTransport) -> None:
         """Before clients are accepted: take over the others' overrides and their newest list."""
         node = transport.node
-        node.wants = LIST
-        node.list_seq = seq_of(self.discovery.version)
+        node.wants = Wanted.LIST
+        node.list_seq = seq_or_no_list(self.discovery.version)
         await self._wait_for_exchanges(node, bool(transport.link.seeds))
         self.overrides.adopt(node, at_start=True)
         self.backend_list.apply_newest()
         self.verdict = self._judge()
-        node.wants = 0
+        node.wants = Wanted.NOTHING
         self._set_waited()
         log.info(
             log_events.PEERS_QUERIED,
@@ -113,11 +120,11 @@
             self.backend_list.hosts,
         )
 
-    async def _wait_for_exchanges(self, node: Node, has_seeds: bool) -> None:
+    async def _wait_for_exchanges(self, node: ProtocolEndpoint, has_seeds: bool) -> None:
         """Wait until enough of the others have sent their whole state, `QUERY_TIMEOUT_S` at most."""
         next_request_s = self.began_s
         while (left_s := self.began_s + QUERY_TIMEOUT_S - time.monotonic()) > 0:
-            others = len(node.members.here())
+            others = len(node.members.present)
             if others and len(node.exchanged_with) >= min(ENOUGH_EXCHANGES, others):
                 await asyncio.sleep(min(SETTLE_S, left_s))
                 return
@@ -125,7 +132,7 @@
                 return
             if time.monotonic() >= next_request_s:
                 next_request_s = time.monotonic() + REQUEST_INTERVAL_S
-                node.ask_more(ENOUGH_EXCHANGES - 1)
+                node.exchange_with_some(ENOUGH_EXCHANGES - 1)
             await asyncio.sleep(min(POLL_INTERVAL_S, left_s))
 
     async def catch_up(self) -> None:
@@ -168,17 +175,19 @@
                 self.verdict = verdict  # the others started later
                 self._begin_warm_up()
 
-    def _judge(self) -> Verdict:
+    def _judge(self) -> OutageVerdict:
         """Whether the fleet lost power, by what its members publish."""
         if self._node is None:
             return self.verdict
         facts = self._node.facts
-        others = [read_down(facts.value(RISEN, "", name)) for name in self._node.members.present]
-        return judge(self.down_s if self._started_lately() else None, others)
+        others = [
+            decode_downtime(facts.value(FactKind.DOWNTIME, "", name)) for name in self._node.members.present
+        ]
+        return judge_outage(self.down_s if self._started_lately() else None, others)
 
     def _begin_warm_up(self) -> None:
         found = self.verdict
-        who = f"{found.risen} of {found.heard} gateways began lately, down for {found.down_s:.1f} s"
+        who = f"{found.restarted} of {found.heard} gateways began lately, down for {found.down_s:.1f} s"
         self.stages.enter(Stage.WARMING_UP, f"the fleet lost power: {who}")
         back_ms = now_ms() - (time.monotonic() - self.began_s) * 1000
         self.driver.give(api.FleetOutage(back_ms - (found.down_s + OUTAGE_MARGIN_S) * 1000, back_ms))
@@ -203,7 +212,7 @@
             "stage_s": round(self.stages.elapsed_s(), 2),
             "common": verdict.common,
             "old_disk": verdict.old,
-            "risen": verdict.risen,
+            "risen": verdict.restarted,
             "heard": verdict.heard,
             "down_s": None if math.isnan(self.down_s) else round(self.down_s, 1),
             "waiting_for": sorted(self.spending.waiting_for),
--- a/switchline/fleet_runtime/recovery/overrides.py
+++ b/switchline/fleet_runtime/recovery/overrides.py
@@ -7,10 +7,10 @@
 from collections.abc import Mapping
 
 from switchline import log_events
-from switchline.fleet.facts import Facts, Held
+from switchline.fleet.endpoint import ProtocolEndpoint
+from switchline.fleet.facts import Facts, StoredFact
 from switchline.fleet.members import Members
-from switchline.fleet.node import Node
-from switchline.fleet.outage import RISEN_S
+from switchline.fleet.outage import DOWNTIME_PUBLISHED_S
 from switchline.operators.overrides import OperatorOverrides, OverrideChange
 
 log = logging.getLogger(__name__)
@@ -29,7 +29,7 @@
         # Members first seen in this incarnation: until when an override from before their start is adopted.
         self._observed_until_s: dict[str, float] = {}
 
-    def adopt(self, node: Node, at_start: bool = False) -> None:
+    def adopt(self, node: ProtocolEndpoint, at_start: bool = False) -> None:
         """Follow the newest facts on what came from others.
 
         `at_start`: adopt all that is overridden elsewhere. What a member that is first seen later brings from
@@ -62,12 +62,12 @@
                 newer[name] = OverrideChange(is_set, held.entry.at)
         return newer
 
-    def _arrived_late(self, held: Held, now_s: float) -> bool:
+    def _arrived_late(self, held: StoredFact, now_s: float) -> bool:
         entry = held.entry
-        return entry.at <= entry.life[0] and now_s < self._observed_until_s.get(entry.origin, 0.0)
+        return entry.at <= entry.incarnation[0] and now_s < self._observed_until_s.get(entry.origin, 0.0)
 
     def _note_members(self, members: Members) -> None:
         """A member that is seen for the first time was not there to be queried at this gateway's start."""
-        until_s = time.monotonic() + RISEN_S
+        until_s = time.monotonic() + DOWNTIME_PUBLISHED_S
         known = {name: at for name, at in self._observed_until_s.items() if name in members.others}
         self._observed_until_s = known | {name: until_s for name in members.present.keys() - known.keys()}
--- a/switchline/fleet_runtime/recovery/spending.py
+++ b/switchline/fleet_runtime/recovery/spending.py
@@ -9,8 +9,8 @@
 from switchline import log_events
 from switchline.clock import now_ms
 from switchline.config import Address
-from switchline.fleet.messages import MOST_SPENT, SPENDING, Exchange, Spent
-from switchline.fleet.node import Node
+from switchline.fleet.endpoint import ProtocolEndpoint
+from switchline.fleet.messages import MAX_QUOTAS, Exchange, RemainingQuota, Wanted
 from switchline.policy import gateway_status
 from switchline.policy import interface as api
 from switchline.service.driver import Driver
@@ -35,31 +35,33 @@
         self.customers = 0  # whose spending came from others
         self.can_answer = False  # not while this gateway asks itself
 
-    def known_here(self) -> list[Spent] | None:
+    def known_here(self) -> list[RemainingQuota] | None:
         """What is spent of quotas, for a gateway that asks; None while it is not known here."""
         if not self.can_answer:
             return None
-        reports = gateway_status.spending(self.driver.gateway, now_ms(), MOST_SPENT)
-        return [Spent(one.customer, one.plan, one.even_share, one.remaining_units) for one in reports]
+        reports = gateway_status.spending(self.driver.gateway, now_ms(), MAX_QUOTAS)
+        return [
+            RemainingQuota(one.customer, one.plan, one.even_share, one.remaining_units) for one in reports
+        ]
 
-    async def request_from_nearest(self, node: Node) -> None:
+    async def request_from_nearest(self, node: ProtocolEndpoint) -> None:
         """Ask the nearest gateways until all have answered, `TIMEOUT_S` at most."""
         ends_s = time.monotonic() + TIMEOUT_S
         next_request_s = 0.0
-        node.wants = SPENDING
+        node.wants = Wanted.QUOTAS
         addresses = self._nearest(node)
         self.waiting_for = set(addresses)
         while self.waiting_for and time.monotonic() < ends_s:
             if time.monotonic() >= next_request_s:
                 next_request_s = time.monotonic() + REQUEST_INTERVAL_S
-                node.ask_of([addresses[name] for name in sorted(self.waiting_for)][:REQUESTS_AT_ONCE])
+                node.exchange_with([addresses[name] for name in sorted(self.waiting_for)][:REQUESTS_AT_ONCE])
             await asyncio.sleep(POLL_INTERVAL_S)
-        node.wants = 0
+        node.wants = Wanted.NOTHING
         log.info(log_events.SPENDING_RECEIVED, self.customers)
         if self.waiting_for:
             log.info(log_events.SPENDING_MISSING, ", ".join(sorted(self.waiting_for)))
 
-    def _nearest(self, node: Node) -> dict[str, Address]:
+    def _nearest(self, node: ProtocolEndpoint) -> dict[str, Address]:
         """Names and addresses of the gateways whose places are nearest, around the ring of all."""
         places = max(1, self.driver.settings.gateways)
         found = []
--- a/switchline/fleet_runtime/transport.py
+++ b/switchline/fleet_runtime/transport.py
@@ -1,6 +1,6 @@
 """The sockets of the gossip between gateways: datagrams by UDP, exchanges of all that is known by TCP.
 
-`fleet.node` decides all that is sent; this owns the sockets, the timer and the clock. Without the
+`fleet.endpoint` decides all that is sent; this owns the sockets, the timer and the clock. Without the
 configuration's table `fleet` nothing here is imported.
 """
 
@@ -16,9 +16,11 @@
 from switchline import log_events
 from switchline.clock import now_ms
 from switchline.config import FleetLink
-from switchline.fleet.facts import TooMuch
-from switchline.fleet.messages import Incarnation, Seal
-from switchline.fleet.node import Node
+from switchline.fleet.endpoint import ProtocolEndpoint
+from switchline.fleet.facts import FactLimitError
+from switchline.fleet.frames import FrameCodec
+from switchline.fleet.members import alive_claim
+from switchline.fleet.messages import Incarnation
 from switchline.fleet_runtime.exchange import ExchangePeer
 
 log = logging.getLogger(__name__)
@@ -78,8 +80,9 @@
         self.loop = asyncio.get_running_loop()
         self.link = link
         self.own_facts = own_facts
-        seal = Seal(link.fleet, link.secret)
-        self.node = Node(name, incarnation, link.advertise, link.seeds, seal, rng, self.loop.time(), now_ms())
+        me = alive_claim(name, incarnation, link.advertise)
+        codec = FrameCodec(link.fleet, link.secret)
+        self.node = ProtocolEndpoint(me, link.seeds, codec, rng, self.loop.time(), now_ms())
         self.on_published: Callable[[], None] = lambda: None  # called after each look at `own_facts`
         self._exchanges = ExchangePeer(self.node, link.listen, self._after_merge)
         self._datagrams: asyncio.DatagramTransport | None = None
@@ -122,7 +125,7 @@
     def announce_leave(self) -> None:
         """Tell the other members that this gateway ends."""
         if self._datagrams is not None:
-            self.node.leave(self.loop.time())
+            self.node.leave()
             self._send_pending()
 
     def close(self) -> None:
@@ -137,7 +140,7 @@
             self._datagrams.close()
 
     def publish(self, fact: PublishedFact) -> None:
-        """Publish one fact at once; raises TooMuch where a bound on facts does not allow it."""
+        """Publish one fact at once; raises FactLimitError where a bound on facts does not allow it."""
         self._put(fact)
         self.flush()
 
@@ -156,7 +159,7 @@
         host = str(addr[0])
         if self._invalid.is_exceeded(host, now_s):
             self.node.refuse("flood")
-        elif self.node.receive(now_s, now_ms(), data):
+        elif self.node.receive_datagram(now_s, now_ms(), data):
             self._after_merge()
         else:
             self._invalid.count(host, now_s)
@@ -171,10 +174,10 @@
         self._set_timer()
 
     def _send_pending(self) -> None:
-        for address, frame in self.node.take():
+        for address, frame in self.node.take_datagrams():
             if self._datagrams is not None and not self._datagrams.is_closing():
                 self._datagrams.sendto(frame, address)
-        for address in self.node.exchanges():
+        for address in self.node.take_exchanges():
             self._exchanges.begin(address)
 
     def _run_due(self) -> None:
@@ -205,7 +208,7 @@
         for fact in self.own_facts():
             try:
                 self._put(fact)
-            except TooMuch as error:
+            except FactLimitError as error:
                 if (fact.kind, fact.name) not in self._unpublished:
                     self._unpublished.add((fact.kind, fact.name))
                     log.warning(log_events.FACT_NOT_PUBLISHED, error)
@@ -217,7 +220,7 @@
 class DropReport:
     """Logs, in one line for `REPORT_INTERVAL_S`, which messages the node dropped and why."""
 
-    def __init__(self, node: Node, now_s: float) -> None:
+    def __init__(self, node: ProtocolEndpoint, now_s: float) -> None:
         self.node = node
         self._due_s = now_s + REPORT_INTERVAL_S
         self._reported: dict[str, int] = {}
@@ -234,7 +237,7 @@
             reasons = ", ".join(f"{why} {number}" for why, number in sorted(new.items()) if number)
             log.warning(log_events.GOSSIP_DROPPED, REPORT_INTERVAL_S, reasons)
         self._reported = dict(refused)
-        is_shared = self.node.members.taken_over
+        is_shared = self.node.members.superseded
         if self._is_name_shared is not is_shared:
             self._is_name_shared = is_shared
             log.warning(log_events.GOSSIP_NAME_SHARED if is_shared else log_events.GOSSIP_NAME_FREE)
--- a/switchline/fleet_runtime/version_watch.py
+++ b/switchline/fleet_runtime/version_watch.py
@@ -10,9 +10,9 @@
 
 from switchline import log_events
 from switchline.clock import now_ms
-from switchline.fleet.node import Node
-from switchline.fleet.quarantine import Quarantine
-from switchline.fleet.staleness import Divergence, floors_of
+from switchline.fleet.endpoint import ProtocolEndpoint
+from switchline.fleet.quarantine import Quarantine, StalenessView
+from switchline.fleet.staleness import VersionDivergence, parse_floors
 from switchline.fleet_runtime.list_repair import ListRepair
 from switchline.policy import interface as api
 from switchline.service.audit_trail import LEASED_QUOTA, AuditTrail
@@ -29,23 +29,23 @@
     def __init__(self, parts: GatewayParts, trail: AuditTrail) -> None:
         self.parts = parts
         self.trail = trail
-        self.divergence = Divergence()
+        self.divergence = VersionDivergence()
 
-    def tick(self, node: Node) -> None:
+    def tick(self, node: ProtocolEndpoint) -> None:
         """Compare the own versions with those that the others publish."""
         config = self.parts.config
         own_versions = {"config": config.digest, "release": config.release}
         for kind, own in own_versions.items():
             others = [node.facts.value(kind, "", name) for name in node.members.present]
-            if self.divergence.look(self.parts.loop.time(), kind, own, others):
-                theirs = self.divergence.told.get(kind)
+            if self.divergence.update(self.parts.loop.time(), kind, own, others):
+                theirs = self.divergence.shown.get(kind)
                 what = f"most have {theirs}" if theirs else "most have the same now"
                 log.warning(log_events.VERSION_DIFFERS, kind, own, what)
                 self.trail.record("differs" if theirs else "alike", kind, "", what)
 
     def gauges(self) -> dict[str, int]:
         """How many of the versions differ."""
-        return {"fleet.differs": len(self.divergence.told)}
+        return {"fleet.differs": len(self.divergence.shown)}
 
 
 class QuarantineControl:
@@ -73,22 +73,20 @@
         """Whether this gateway is in quarantine."""
         return self.quarantine is not None and self.quarantine.out
 
-    def tick(self, node: Node, list_repair: ListRepair) -> None:
+    def tick(self, node: ProtocolEndpoint, list_repair: ListRepair) -> None:
         """Enter or leave quarantine, as the versions and the grants of the others are now."""
         now_s = self.parts.loop.time()
         if self.quarantine is None:
             self.quarantine = Quarantine(self.patience_s, now_s)
         quarantine = self.quarantine
         was_out = quarantine.out
-        is_out = quarantine.look(
-            node,
-            now_s,
-            now_ms(),
+        view = StalenessView(
             list_repair.own_number(),
             list_repair.is_behind,
             self.overrides.names(OverrideKind.SPARED_GATEWAY),
-            floors_of(self.overrides.names(OverrideKind.VERSION_FLOOR)),
+            parse_floors(self.overrides.names(OverrideKind.VERSION_FLOOR)),
         )
+        is_out = quarantine.evaluate(node, now_s, now_ms(), view)
         self._set_behind(quarantine.kind)
         if is_out == was_out or self.parts.clients.shutting_down:
             return
--- a/switchline/operators/fleet_calls.py
+++ b/switchline/operators/fleet_calls.py
@@ -18,8 +18,9 @@
 from typing import NamedTuple
 
 from switchline.clock import now_ms
-from switchline.fleet.facts import FLEET_FLOOR, FLEET_HOST, FLEET_SPARE, FLEET_ZONE, TooMuch
-from switchline.fleet.messages import Entry, State
+from switchline.fleet.fact_kinds import FactKind
+from switchline.fleet.facts import FactLimitError
+from switchline.fleet.messages import Entry, MemberState
 from switchline.fleet_runtime.transport import GossipTransport, PublishedFact
 from switchline.operators.calls import Reply
 from switchline.operators.overrides import OperatorOverrides, OverrideChange
@@ -36,11 +37,11 @@
 VALUE_ACTIVE = "down"  # of the fact of a call; any other value clears the override
 VALUE_CLEARED = "up"
 # The kind of the acknowledging fact by the kind of the call's; its value is the time of the call.
-ACK_KINDS = {
-    FLEET_HOST: "took-host",
-    FLEET_ZONE: "took-zone",
-    FLEET_SPARE: "took-spare",
-    FLEET_FLOOR: "took-floor",
+ACK_KINDS: dict[str, FactKind] = {
+    FactKind.FLEET_BACKEND: FactKind.TOOK_BACKEND,
+    FactKind.FLEET_ZONE: FactKind.TOOK_ZONE,
+    FactKind.FLEET_SPARE: FactKind.TOOK_SPARE,
+    FactKind.FLEET_FLOOR: FactKind.TOOK_FLOOR,
 }
 
 
@@ -107,7 +108,7 @@
             if not all(self._has_acknowledged(member, key, at) for key, at in self.made_here.items())
         ]
         known = peers.node.members.others
-        peers.node.ask_of([known[member].address for member in lacking[:EXCHANGES_AT_ONCE]])
+        peers.node.exchange_with([known[member].address for member in lacking[:EXCHANGES_AT_ONCE]])
 
     async def propagate(self, kind: str, name: str, active: bool) -> Reply:
         """Bring a call, which holds here already, to all gateways.
@@ -123,7 +124,7 @@
         value = VALUE_ACTIVE if active else VALUE_CLEARED
         try:
             self.peers.publish(PublishedFact(kind, name, value, called_at_ms))
-        except TooMuch as error:
+        except FactLimitError as error:
             return Reply(503, f"it holds here alone: {error}\n")
         key = CallKey(kind, name)
         self._acknowledge(key, called_at_ms)
@@ -175,7 +176,7 @@
             return
         try:
             self.peers.publish(PublishedFact(kind, name, value))
-        except TooMuch as error:
+        except FactLimitError as error:
             log.warning("not told to the other gateways: %s", error)
 
     def _other_members(self) -> list[str]:
@@ -183,7 +184,7 @@
         if self.peers is None:
             return []
         members = self.peers.node.members.others
-        return sorted(name for name, member in members.items() if member.state is not State.LEFT)
+        return sorted(name for name, member in members.items() if member.state is not MemberState.LEFT)
 
     def _is_awaited(self, key: CallKey, called_at_ms: float) -> bool:
         """Return whether a member that is reachable has not acknowledged a call yet."""
--- a/switchline/service/audit_trail.py
+++ b/switchline/service/audit_trail.py
@@ -38,12 +38,12 @@
         if config.fleet is None and config.audit is None:
             return
         from switchline.audit.recorder import Audit, build_digest
-        from switchline.fleet.messages import VERSION
+        from switchline.fleet.frames import PROTOCOL_VERSION
 
         incarnation = int(now_ms()), random.Random(f"{config.seed} audit").getrandbits(40)
         self.audit = Audit(config.name, incarnation, config.audit, self.outcome_counts)
         self.record("program", "", f"{config.release} {build_digest()}", "start")
-        self.record("format", "", str(VERSION), "start")
+        self.record("format", "", str(PROTOCOL_VERSION), "start")
         self.record("quota", "", LEASED_QUOTA, "start")
         self.record_config("start")
         self.record_backend_list()
--- a/switchline/service/calls/overrides.py
+++ b/switchline/service/calls/overrides.py
@@ -120,9 +120,9 @@
         here = answer if isinstance(answer, Reply) else await answer
         if here is not YES or self.fleet.calls is None:
             return here
-        from switchline.fleet.facts import FOR_ALL
+        from switchline.fleet.fact_kinds import FLEET_WIDE
 
-        return await self.fleet.calls.propagate(FOR_ALL[kind.value], name, is_set)
+        return await self.fleet.calls.propagate(FLEET_WIDE[kind.value], name, is_set)
 
     def _call_here(self, kind: OverrideKind, is_set: bool, name: str) -> Reply | DeferredReply:
         overrides = self.overrides.get(kind)
@@ -143,9 +143,9 @@
             case OverrideKind.SPARED_GATEWAY:
                 return self.fleet.knows(name)
             case OverrideKind.VERSION_FLOOR:
-                from switchline.fleet.staleness import floors_of
+                from switchline.fleet.staleness import parse_floors
 
-                return bool(floors_of([name]))
+                return bool(parse_floors([name]))
 
     def _set(self, overrides: OperatorOverrides, is_set: bool, name: str) -> Reply:
         try:
