--- a/switchline/state/persistence.py
+++ b/switchline/state/persistence.py
@@ -86,7 +86,7 @@
         self._locked_by_other = False
         self._had_folder = False  # a second gateway of a folder never has it, and never retries
         self._metrics = StateMetrics()
-        driver.keep = self.save_record
+        driver.persist = self.save_record
         discovery.keep = self.save_list
 
     @property
--- a/tests/neutral_form.py
+++ b/tests/neutral_form.py
@@ -17,7 +17,9 @@
 from enum import Enum
 from typing import Any
 
+from switchline.policy import gateway_status
 from switchline.policy import interface as api
+from switchline.policy.gateway import Gateway
 from switchline.policy.persistence.codec import decode_record, decode_timer, encode_record, encode_timer
 
 Neutral = dict[str, Any]
@@ -365,6 +367,26 @@
     return settings
 
 
+def encode_status(gateway: Gateway, now: float) -> Neutral:
+    """Turn what staff and other gateways are shown of a gateway into its neutral form."""
+    return {
+        "backends_avoided": gateway_status.ejected_backends(gateway, now),
+        "zone_metrics": gateway_status.zone_metrics(gateway.zones, now),
+        "quota_reports": [encode_event(report) for report in gateway_status.quota_reports(gateway, now, 100)],
+        "zone_observations": {
+            zone: {
+                "usable": seen.usable,
+                "lost_ms": [[backend, age] for backend, age in seen.lost_ms.items()],
+                "answering_ms": [[backend, age] for backend, age in seen.well_ms.items()],
+                "slow": seen.slow,
+                "warmth": seen.warmth,
+            }
+            for zone, seen in gateway_status.zone_observations(gateway, now).items()
+        },
+        "attempts_per_s": gateway_status.attempt_rate_per_s(gateway, now),
+    }
+
+
 def line(neutral: object) -> str:
     """Write one line of a recording."""
     return json.dumps(neutral, separators=(",", ":"), ensure_ascii=True)
