--- a/switchline/config.py
+++ b/switchline/config.py
@@ -18,7 +18,7 @@
 from switchline.errors import StartError
 from switchline.net.descriptors import Shares
 from switchline.policy import interface as api
-from switchline.simulator import read_settings
+from switchline.settings import read_settings
 
 Address = tuple[str, int]
 
