--- a/switchline/policy/gateway.py
+++ b/switchline/policy/gateway.py
@@ -18,7 +18,7 @@
 from switchline.policy.persistence.replication import PeerReplication
 from switchline.policy.persistence.restore import check_record
 from switchline.policy.persistence.shared_state import SharedState
-from switchline.policy.quota.admission import Admission, LoadShedding, QuotaCheck
+from switchline.policy.quota.admission import Admission, LoadShedding, QuotaCheck, RetryAfter
 from switchline.policy.quota.customers import MIN_EVEN_SHARE, CustomerTable
 from switchline.policy.quota.lease_sizing import PERIOD_MS
 from switchline.policy.quota.leases import LeaseKeeper
@@ -43,6 +43,8 @@
         customers: The customers and their buckets.
         leases: Calls to the counter.
         admission: The checks of a request.
+        retry_after: When the client of a rejected request should come back.
+        shared_state: Records of the gateway and of backends.
         attempts: Open requests and their attempts.
         latency: The estimate of latency.
         load: The load on what is in flight.
@@ -73,14 +75,13 @@
         self.attempts = AttemptTracker(settings, self.selection, self.latency, self.leases, self.replication)
         self.load = LoadEstimate(self.attempts.in_flight, self.latency, self.backends)
         self.admission = Admission(
-            settings,
-            rng,
             QuotaCheck(rng, self.leases.counter),
             LoadShedding(settings, rng, self.load, self.recovery_ramp, self.backends, self.latency),
             self.recovery_ramp,
             self.durable_state,
             self.attempts.retry_budget,
         )
+        self.retry_after = RetryAfter(settings, rng)
         self.shared_state = SharedState(self.customers, self.backends, self.latency)
         self._handlers = self._handlers_by_event()
 
@@ -138,16 +139,14 @@
         verdict = self.admission.check(now, request)
         backend = self.selection.pick(now, request) if verdict.is_admitted else None
         if backend is None:
-            retry_after_ms = self.admission.retry_after_ms(request, verdict)
+            retry_after_ms = self.retry_after.wait_ms(request, verdict)
             self.attempts.finish(request, actions, retry_after_ms, verdict.cause)
             return
         customer, units = request.customer, request.units
         tokens = units if 0 < units <= customer.tokens else 0.0
         customer.spend(tokens, units, units)
         self.durable_state.spend(now, customer, units, actions)
-        self.replication.replicate_spending(
-            customer, actions, tokens=tokens, units=units, ceiling_tokens=units
-        )
+        self.replication.replicate_request(customer, tokens, units, actions)
         self.attempts.send(now, request, backend, actions)
 
     def _begin(self, now: float, actions: api.Actions) -> None:
--- a/switchline/policy/interface/__init__.py
+++ b/switchline/policy/interface/__init__.py
@@ -23,16 +23,12 @@
 from switchline.policy.interface.events import (
     AnswerStarted,
     AttemptEnded,
-    BackendEntry,
     BackendOverridden,
     BackendsChanged,
-    BackendState,
     CounterReplied,
     Event,
     FleetOutage,
     GossipReceived,
-    ListScope,
-    Outcome,
     PeerProcessJoined,
     PeerProcessLeft,
     PeerProcessMessage,
@@ -51,7 +47,6 @@
     TimerFired,
     ZoneDirective,
     ZoneOverridden,
-    ZoneState,
 )
 from switchline.policy.interface.records import (
     BackendRecord,
@@ -71,6 +66,7 @@
     SafetyRules,
     Settings,
 )
+from switchline.policy.interface.states import BackendEntry, BackendState, ListScope, Outcome, ZoneState
 
 __all__ = [
     "Action",
--- a/switchline/policy/persistence/replication.py
+++ b/switchline/policy/persistence/replication.py
@@ -9,6 +9,14 @@
 
 MAX_REPLICATED_CUSTOMERS = 4_096  # that an upgrade passes over, those met last
 
+NOTHING_SPENT: dict[str, float] = {
+    "unreported_units": 0.0,
+    "tokens": 0.0,
+    "units": 0.0,
+    "ceiling_tokens": 0.0,
+    "open_attempts": 0,
+}
+
 
 class PeerReplication:
     """Owns whether there is another process of this gateway, and which of the two calls the counter.
@@ -43,27 +51,39 @@
         for customer in customers:
             customer.peer_in_flight = 0
 
-    def replicate_spending(
-        self,
-        customer: Customer,
-        actions: api.Actions,
-        *,
-        unreported_units: float = 0.0,
-        tokens: float = 0.0,
-        units: float = 0.0,
-        ceiling_tokens: float = 0.0,
-        open_attempts: int = 0,
+    def replicate_request(
+        self, customer: Customer, tokens: float, units: float, actions: api.Actions
     ) -> None:
-        """Let the other process, if there is one, take the same from its copy of a customer's buckets."""
+        """Let the other process take an admitted request from its copy of a customer's buckets.
+
+        Args:
+            customer: The customer.
+            tokens: What the request took from the bucket of the lease.
+            units: What it took from those of all gateways and of the ceiling.
+            actions: Takes the record.
+        """
         if self.has_peer:
-            record = api.SpendingRecord(
-                customer.key,
-                customer.plan.name,
-                customer.even_share,
-                unreported_units,
-                tokens,
-                units,
-                ceiling_tokens,
-                open_attempts,
-            )
-            actions.append(api.Replicate(record))
+            self._replicate(customer, actions, tokens=tokens, units=units, ceiling_tokens=units)
+
+    def replicate_demand(self, customer: Customer, units: float, actions: api.Actions) -> None:
+        """Let the other process, which calls the counter, report units that were asked here."""
+        if self.has_peer:
+            self._replicate(customer, actions, unreported_units=units)
+
+    def replicate_correction(
+        self, customer: Customer, units: float, unreported_units: float, actions: api.Actions
+    ) -> None:
+        """Let the other process take the units that a request used beyond its guess."""
+        if self.has_peer:
+            self._replicate(customer, actions, unreported_units=unreported_units, tokens=units, units=units)
+
+    def replicate_open(self, customer: Customer, change: int, actions: api.Actions) -> None:
+        """Let the other process count an attempt that begins (1) or ends (-1) here."""
+        if self.has_peer:
+            self._replicate(customer, actions, open_attempts=change)
+
+    def _replicate(self, customer: Customer, actions: api.Actions, **spending: float) -> None:
+        """Replicate what was spent: fields of `SpendingRecord`, those left out being 0."""
+        taken = {name: spending.get(name, zero) for name, zero in NOTHING_SPENT.items()}
+        record = api.SpendingRecord(customer.key, customer.plan.name, customer.even_share, **taken)
+        actions.append(api.Replicate(record))
--- a/switchline/policy/quota/admission.py
+++ b/switchline/policy/quota/admission.py
@@ -196,7 +196,7 @@
 
 
 class Admission:
-    """Runs all checks of a request, and decides how a rejected one is told to come back.
+    """Runs all checks of a request.
 
     Attributes:
         quota: The check of the quota.
@@ -204,8 +204,6 @@
 
     def __init__(
         self,
-        settings: api.Settings,
-        rng: random.Random,
         quota: QuotaCheck,
         shedding: LoadShedding,
         recovery_ramp: RecoveryRamp,
@@ -213,12 +211,10 @@
         retry_budget: RetryBudget,
     ) -> None:
         self.quota = quota
-        self._rng = rng
         self._shedding = shedding
         self._recovery_ramp = recovery_ramp
         self._durable_state = durable_state
         self._retry_budget = retry_budget
-        self._max_retry_after_ms = settings.max_retry_after_ms
 
     def check(self, now: float, request: Request) -> AdmissionVerdict:
         """Check a request against its customer's limits and the load."""
@@ -249,7 +245,15 @@
             limit=limit,
         )
 
-    def retry_after_ms(self, request: Request, verdict: AdmissionVerdict) -> float:
+
+class RetryAfter:
+    """Decides when the client of a rejected request should come back."""
+
+    def __init__(self, settings: api.Settings, rng: random.Random) -> None:
+        self._rng = rng
+        self._max_retry_after_ms = settings.max_retry_after_ms
+
+    def wait_ms(self, request: Request, verdict: AdmissionVerdict) -> float:
         """Give when a rejected client should come back: once its quota holds the request.
 
         While the whole fleet recovers, the waits are spread, so that those rejected don't all come back at
--- a/switchline/policy/quota/lease_sizing.py
+++ b/switchline/policy/quota/lease_sizing.py
@@ -4,6 +4,7 @@
 
 import math
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from switchline.policy.quota.customer import LEASE_MS, Customer, PendingPeriod
 
@@ -19,6 +20,13 @@
 TOTAL_TOLERANCE_UNITS = 0.01  # rounding on the counter's side
 
 
+class QuotaGain(NamedTuple):
+    """What some time has brought of a quota, over all gateways: all units, and a burst among them."""
+
+    units: float
+    burst_units: float = 0.0
+
+
 def refresh_interval_ms(customer: Customer) -> float:
     """Give the shortest time between two calls to the counter for a customer."""
     return SPARSE_REFRESH_MS if customer.is_sparse else REFRESH_MS
@@ -128,7 +136,7 @@
     window_units = rate * reading.window_s - spent
     if reading.is_same_period:
         share_remaining(
-            now, customer, others, own, max(customer.fleet_units, window_units), max_request_units
+            now, customer, others, own, QuotaGain(max(customer.fleet_units, window_units)), max_request_units
         )
         return True
     period_s = max(0.0, now - reading.period * PERIOD_MS) / 1000
@@ -136,13 +144,13 @@
     if customer.is_sparse and others + own + spent <= period_units:
         # All demand of this period fits into what its time brought, however the last one ended.
         gained = max(period_units - spent, customer.fleet_units if reading.is_next_period else 0.0)
-        share_remaining(now, customer, others, own, gained, max_request_units)
+        share_remaining(now, customer, others, own, QuotaGain(gained), max_request_units)
         return True
     gained = max(customer.fleet_units, window_units) if reading.is_next_period else period_units
     if not reading.is_next_period and others > max(gained + plan.burst_units, max_request_units):
         # Others asked for more than a whole burst could pay as well: the share is the same however the
         # period before ended.
-        share_remaining(now, customer, others, own, gained, max_request_units)
+        share_remaining(now, customer, others, own, QuotaGain(gained), max_request_units)
         return True
     previous_total = reading.previous_total if reading.is_next_period else -1.0
     customer.pending_period = PendingPeriod(others, own, gained, previous_total)
@@ -155,11 +163,11 @@
     others, own, gained = pending.other_units, pending.own_units, pending.gained_units
     if pending.previous_total >= 0:  # that period was read before, and what was left then is known
         others += max(0.0, total - pending.previous_total)
-        share_remaining(now, customer, others, own, gained, max_request_units)
+        share_remaining(now, customer, others, own, QuotaGain(gained), max_request_units)
         return
     burst = plan.burst_units
     burst -= min(burst, max(0.0, total - plan.rate_per_s * PERIOD_MS / 1000))
-    share_remaining(now, customer, others, own, gained + burst, max_request_units, burst)
+    share_remaining(now, customer, others, own, QuotaGain(gained + burst, burst), max_request_units)
 
 
 def share_remaining(
@@ -167,9 +175,8 @@
     customer: Customer,
     other_units: float,
     own_units: float,
-    gained_units: float,
+    gain: QuotaGain,
     max_request_units: float,
-    burst_units: float = 0.0,
 ) -> None:
     """Set what is left of the quota after some demand, as one gateway that saw it all would find it.
 
@@ -182,18 +189,17 @@
         customer: Whose lease it is.
         other_units: Units that other gateways asked.
         own_units: Units that this one asked.
-        gained_units: What the time brought, the burst included.
+        gain: What the time brought.
         max_request_units: The largest request.
-        burst_units: The burst in it.
     """
     customer.admit_probability = 1.0
     customer.is_counted = True
-    if other_units <= gained_units:
-        customer.fleet_units = min(customer.plan.burst_units, gained_units - other_units)
+    if other_units <= gain.units:
+        customer.fleet_units = min(customer.plan.burst_units, gain.units - other_units)
     elif other_units <= max_request_units:
         customer.fleet_units -= other_units if other_units <= customer.fleet_units else 0.0
     else:
-        customer.admit_probability = (gained_units - burst_units) / (other_units + own_units)
+        customer.admit_probability = (gain.units - gain.burst_units) / (other_units + own_units)
         customer.fleet_units = 0.0
     customer.tokens = max(customer.tokens, customer.fleet_units * customer.quota_share)
     if customer.admit_probability == 1.0:
--- a/switchline/policy/quota/leases.py
+++ b/switchline/policy/quota/leases.py
@@ -93,7 +93,7 @@
         """
         customer = request.customer
         if not self._replication.calls_counter:
-            self._replication.replicate_spending(customer, actions, unreported_units=request.units)
+            self._replication.replicate_demand(customer, request.units, actions)
             return False
         customer.unreported_units += 0.0 if self.is_stale else request.units
         if now < customer.next_refresh_ms or self.is_stale:
@@ -119,9 +119,8 @@
     def correct(self, customer: Customer, units: float, actions: api.Actions) -> None:
         """Take the units that an answer shows a request to have used beyond its guess, here and over all."""
         calls_counter = self._replication.calls_counter
-        self._replication.replicate_spending(
-            customer, actions, unreported_units=0.0 if calls_counter else units, tokens=units, units=units
-        )
+        unreported_units = 0.0 if calls_counter else units
+        self._replication.replicate_correction(customer, units, unreported_units, actions)
         customer.unreported_units += units if calls_counter else 0.0
         customer.spent_units += units
         customer.fleet_units -= units
--- a/switchline/policy/requests/attempts.py
+++ b/switchline/policy/requests/attempts.py
@@ -228,4 +228,4 @@
         customer = request.customer
         customer.in_flight += change
         if customer.plan.max_open_requests:
-            self._replication.replicate_spending(customer, actions, open_attempts=change)
+            self._replication.replicate_open(customer, change, actions)
--- a/tests/policy/test_leases.py
+++ b/tests/policy/test_leases.py
@@ -8,7 +8,13 @@
 from switchline.policy import interface as api
 from switchline.policy.quota.admission import SCATTERED_RATIO
 from switchline.policy.quota.customer import LEASE_MS
-from switchline.policy.quota.lease_sizing import EVEN_CEILING_RATIO, PERIOD_MS, REFRESH_MS, share_remaining
+from switchline.policy.quota.lease_sizing import (
+    EVEN_CEILING_RATIO,
+    PERIOD_MS,
+    REFRESH_MS,
+    QuotaGain,
+    share_remaining,
+)
 from switchline.policy.quota.leases import PendingCall
 
 
@@ -317,7 +323,7 @@
         (call,) = counts(read.ask(spread=100))
         customer = read.gateway.customers.by_key["c"]
         brought, burst = 20.0, BASIC.burst_units - min(BASIC.burst_units, max(0.0, ended - 30.0))
-        share_remaining(read.now, customer, others, call.amount, brought + burst, 1.0, burst)
+        share_remaining(read.now, customer, others, call.amount, QuotaGain(brought + burst, burst), 1.0)
         assert (told.admit_probability, told.fleet_units) == (
             customer.admit_probability,
             customer.fleet_units,
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -16,6 +16,7 @@
     "interface/events.py",
     "interface/records.py",
     "interface/settings.py",
+    "interface/states.py",
     "persistence/codec.py",
     "persistence/shared_state.py",
     "gateway_status.py",
