--- a/switchline/policy/backends/backend.py
+++ b/switchline/policy/backends/backend.py
@@ -75,10 +75,10 @@
 
     def on_never_ran(self, now: float) -> None:
         """An attempt did not run: a backend that was enabled again has still had nothing."""
-        if self.enabled_ms and self.warmth(now) < 1:
+        if self.enabled_ms and self.warm_ratio(now) < 1:
             self.probe_due_ms = now + MAX_PROBE_DELAY_MS
 
-    def warmth(self, now: float) -> float:
+    def warm_ratio(self, now: float) -> float:
         """Give the least part of its capacity that it surely has (slow start), up to 1."""
         began_ms = max(self.process_started_ms, self.enabled_ms)
         rules = self._rules
--- a/switchline/policy/backends/backend_table.py
+++ b/switchline/policy/backends/backend_table.py
@@ -35,9 +35,9 @@
             backend.is_ready and backend.id not in self.disabled and backend.zone not in self._zones.disabled
         )
 
-    def warmth(self, now: float) -> float:
+    def warm_ratio(self, now: float) -> float:
         """Give the part of the subset's capacity that it surely has, up to 1."""
-        return sum(backend.warmth(now) for backend in self.subset) / max(1, len(self.subset))
+        return sum(backend.warm_ratio(now) for backend in self.subset) / max(1, len(self.subset))
 
     def on_list(self, now: float, event: api.BackendsChanged, actions: api.Actions) -> None:
         """Take over the endpoint list or its changes; after a failed poll the old list stays."""
--- a/switchline/policy/backends/recovery_ramp.py
+++ b/switchline/policy/backends/recovery_ramp.py
@@ -49,7 +49,7 @@
         load_ratio: float,
         usual_threshold: float,
         priority_deficit: float,
-        warmth: float,
+        warm_ratio: float,
         answered_ms: float,
     ) -> float:
         """Give the load ratio from which requests are shed; evidence raises or lowers the lift.
@@ -59,11 +59,11 @@
             load_ratio: The expected latency, in latency objectives.
             usual_threshold: The threshold without a recovery.
             priority_deficit: How far the class is below the highest priority, up to 1.
-            warmth: The part of the backends' capacity that they surely have.
+            warm_ratio: The part of the backends' capacity that they surely have.
             answered_ms: When the last answer came.
         """
         threshold = min(
-            MAX_LOAD_RATIO - PRIORITY_SPAN * priority_deficit, usual_threshold / max(warmth, 1e-3)
+            MAX_LOAD_RATIO - PRIORITY_SPAN * priority_deficit, usual_threshold / max(warm_ratio, 1e-3)
         )
         direction = int(answered_ms > max(self._began_ms, now - MAX_ANSWER_AGE_MS))
         if load_ratio >= RAISING_RATIO * threshold:
@@ -71,6 +71,6 @@
         step = RISE_PER_S * min(1.0, (now - self._updated_ms) / 1000) * direction
         self.lift = min(MAX_LIFT, max(1.0, self.lift * math.exp(step)))
         self._updated_ms = now
-        if warmth >= 1:  # the last of them has had its slow start
+        if warm_ratio >= 1:  # the last of them has had its slow start
             self.until_ms = now
         return threshold
--- a/switchline/policy/backends/selection.py
+++ b/switchline/policy/backends/selection.py
@@ -19,7 +19,7 @@
 CHANCE_EXPONENT = 0.25
 # Turns of any number fall evenly over a range if each goes on by its golden section.
 GOLDEN_RATIO = 0.618
-MAX_COLD_FAILURE = 0.5  # a warming backend that fails more gets no share by slow start
+MAX_WARMING_FAILURE = 0.5  # a warming backend that fails more gets no share by slow start
 
 
 def may_repeat_at(now: float, request: Request, backend: Backend) -> bool:
@@ -71,7 +71,7 @@
         self.routing = ZoneRouting(settings, rng, zones)
         self._rng = rng
         self._latency = latency
-        self._max_cold_lift = max(1.0, settings.rules.overload_multiple / 2)
+        self._max_warming_lift = max(1.0, settings.rules.overload_multiple / 2)
 
     def pick(self, now: float, request: Request) -> Backend | None:
         """Choose the backend of a request's next attempt, or None: there is none that may have it."""
@@ -83,11 +83,11 @@
                 return by_zone
             candidates = self._in_open_zones(now, request, candidates)
             cost_factors = self.routing.cost_factors(now)
-        warm = [backend for backend in candidates if backend.warmth(now) >= 1]
+        warm = [backend for backend in candidates if backend.warm_ratio(now) >= 1]
         if len(warm) < len(candidates):
-            cold = self._warming_backend(now, request, candidates, cost_factors)
-            if cold is not None:
-                return cold
+            warming = self._warming_backend(now, request, candidates, cost_factors)
+            if warming is not None:
+                return warming
         return self._cheapest(now, request, warm, cost_factors) if warm else None
 
     def _candidates(self, now: float, request: Request) -> list[Backend]:
@@ -109,7 +109,7 @@
         usual load reaches. Given less, warm ones would be overloaded in a release while cold ones idle.
         """
         for backend in candidates:
-            if backend.probe_due_ms <= now and backend.warmth(now) < 1:
+            if backend.probe_due_ms <= now and backend.warm_ratio(now) < 1:
                 return backend
         ramp = self.recovery_ramp
         is_recovering = ramp.is_active(now)
@@ -117,15 +117,15 @@
             backend = self._cheapest(now, request, candidates, cost_factors)
         else:
             backend = self._rng.choice(candidates)
-        capacity = sum(candidate.warmth(now) for candidate in candidates)
+        capacity = sum(candidate.warm_ratio(now) for candidate in candidates)
         lift = len(candidates) / max(1e-9, capacity)  # more where many are cold
-        probability = backend.warmth(now) * min(lift, self._max_cold_lift)
+        probability = backend.warm_ratio(now) * min(lift, self._max_warming_lift)
         if is_recovering:
             probability *= ramp.lift
-        if backend.warmth(now) >= 1 or self._rng.random() >= probability:
+        if backend.warm_ratio(now) >= 1 or self._rng.random() >= probability:
             return None
         failure_probability = self.outliers.failure_probability(now, backend, request.score_names)
-        return backend if failure_probability < MAX_COLD_FAILURE else None
+        return backend if failure_probability < MAX_WARMING_FAILURE else None
 
     def _cheapest(
         self, now: float, request: Request, candidates: list[Backend], cost_factors: dict[str, float]
@@ -184,7 +184,7 @@
             backend
             for backend in self._usable_of(zone.name)
             if may_repeat_at(now, request, backend)
-            and self.outliers.failure_probability(now, backend, request.score_names) < MAX_COLD_FAILURE
+            and self.outliers.failure_probability(now, backend, request.score_names) < MAX_WARMING_FAILURE
         ]
         if not candidates:
             return None
@@ -192,7 +192,7 @@
         turn = directive.range_start + directive.range_width * (zone.attempts * GOLDEN_RATIO % 1)
         place = min(len(candidates) - 1, int(turn * len(candidates)))
         backend = sorted(candidates, key=lambda one: one.id)[place]
-        if self._rng.random() * directive.capacity_ratio > backend.warmth(now):
+        if self._rng.random() * directive.capacity_ratio > backend.warm_ratio(now):
             return None
         zone.granted -= 1
         return backend
@@ -205,7 +205,9 @@
         if request.request_class.effect is not api.Effect.SAFE:
             return None
         is_directed = self.zones.by_name[name].directive is not None
-        candidates = [backend for backend in self._usable_of(name) if backend.warmth(now) >= 1 or is_directed]
+        candidates = [
+            backend for backend in self._usable_of(name) if backend.warm_ratio(now) >= 1 or is_directed
+        ]
         if not candidates:
             return None
         self.zones.on_checked(now, name)
--- a/switchline/policy/gateway_status.py
+++ b/switchline/policy/gateway_status.py
@@ -23,14 +23,14 @@
         lost_ms: Its backends that look lost, and how many ms ago that was seen.
         well_ms: Its backends that answer, and how many ms ago one did.
         slow: How many of those are slow.
-        warmth: That of the youngest of its backends, as far as the list shows their starts.
+        warm_ratio: That of the youngest of its backends, as far as the list shows their starts.
     """
 
     usable: int
     lost_ms: dict[int, float] = field(default_factory=dict)
     well_ms: dict[int, float] = field(default_factory=dict)
     slow: int = 0
-    warmth: float = 1.0
+    warm_ratio: float = 1.0
 
 
 def ejected_backends(gateway: Gateway, now: float) -> int:
@@ -91,7 +91,7 @@
     for backend in gateway.backends.by_id.values():
         if backend.zone in observations and gateway.backends.is_usable(backend):
             observation = observations[backend.zone]
-            observation.warmth = min(observation.warmth, backend.warmth(now))
+            observation.warm_ratio = min(observation.warm_ratio, backend.warm_ratio(now))
     for name, zone in zones.by_name.items():
         observe_evidence(gateway, now, zone, observations[name])
     return observations
@@ -117,7 +117,7 @@
     mean_ms = gateway.latency.mean_ms
     if not mean_ms:
         return False
-    takes_ms = (mean_ms + gateway.selection.outliers.slowness_ms(now, backend)) * backend.warmth(now)
+    takes_ms = (mean_ms + gateway.selection.outliers.slowness_ms(now, backend)) * backend.warm_ratio(now)
     return takes_ms > SLOW_MULTIPLE * mean_ms
 
 
--- a/switchline/policy/quota/admission.py
+++ b/switchline/policy/quota/admission.py
@@ -166,7 +166,7 @@
                 load_ratio=load.ratio,
                 usual_threshold=threshold,
                 priority_deficit=deficit,
-                warmth=self._backends.warmth(now),
+                warm_ratio=self._backends.warm_ratio(now),
                 answered_ms=self._latency.answered_at_ms,
             )
         return load.ratio > threshold + jitter or now + load.expected_ms > request.objective_ms
--- a/testbed/launch.py
+++ b/testbed/launch.py
@@ -108,7 +108,7 @@
     from switchline.policy.gateway import Gateway
     from switchline.policy.requests.load import LoadEstimate
 
-    replace(Backend, "warmth", lambda self, now: 1.0)
+    replace(Backend, "warm_ratio", lambda self, now: 1.0)
 
     def admit(self: Any, now: float, request: Any, actions: Any) -> None:
         customer = request.customer
--- a/tests/fleet/test_outage.py
+++ b/tests/fleet/test_outage.py
@@ -316,13 +316,13 @@
 def test_the_stage_ends_with_the_slow_start_and_on_discovery_s_word_of_a_warm_backend() -> None:
     gateway, now = module(), 1e6
     gateway.handle(now, api.FleetOutage(now - 3_000, now))
-    assert gateway.backends.warmth(now) == pytest.approx(0.2)
+    assert gateway.backends.warm_ratio(now) == pytest.approx(0.2)
     entry = api.BackendEntry(0, "a", 0, now - 2_000, api.BackendState.READY)
     gateway.handle(now + 100, api.BackendsChanged(api.ListScope.CHANGES, (entry,)))
-    assert gateway.backends.by_id[0].warmth(now + 100) == pytest.approx(0.2 + 0.8 * 2_100 / 16_000)
+    assert gateway.backends.by_id[0].warm_ratio(now + 100) == pytest.approx(0.2 + 0.8 * 2_100 / 16_000)
     assert gateway.recovery_ramp.until_ms == now + 16_000
     ask(gateway, now + 16_001, 1)
-    assert gateway.backends.warmth(now + 16_001) == 1.0
+    assert gateway.backends.warm_ratio(now + 16_001) == 1.0
 
 
 def test_a_backend_that_discovery_told_of_before_is_as_warm_as_it_told() -> None:
@@ -330,7 +330,7 @@
     entry = api.BackendEntry(0, "a", 0, now - 2_000, api.BackendState.READY)
     gateway.handle(now, api.BackendsChanged(api.ListScope.CHANGES, (entry,)))
     gateway.handle(now + 100, api.FleetOutage(now - 3_000, now))
-    assert gateway.backends.by_id[0].warmth(now + 100) > gateway.backends.by_id[1].warmth(now + 100)
+    assert gateway.backends.by_id[0].warm_ratio(now + 100) > gateway.backends.by_id[1].warm_ratio(now + 100)
 
 
 def test_quota_d_work_goes_first_and_those_sent_away_come_back_spread_out() -> None:
--- a/tests/neutral_form.py
+++ b/tests/neutral_form.py
@@ -379,7 +379,7 @@
                 "lost_ms": [[backend, age] for backend, age in seen.lost_ms.items()],
                 "answering_ms": [[backend, age] for backend, age in seen.well_ms.items()],
                 "slow": seen.slow,
-                "warmth": seen.warmth,
+                "warmth": seen.warm_ratio,
             }
             for zone, seen in gateway_status.zone_observations(gateway, now).items()
         },
--- a/tests/service/test_wall_clock.py
+++ b/tests/service/test_wall_clock.py
@@ -29,8 +29,8 @@
     world = World(now=2 * HOUR_MS)
     told(world, started=world.now - ahead_ms, held_until=world.now - 500)
     backend = world.gateway.backends.by_id[9]
-    assert backend.warmth(world.now) == pytest.approx(0.2 + 0.8 * 500 / RULES.warm_up_ms)
-    assert backend.warmth(world.now + RULES.warm_up_ms) == 1.0
+    assert backend.warm_ratio(world.now) == pytest.approx(0.2 + 0.8 * 500 / RULES.warm_up_ms)
+    assert backend.warm_ratio(world.now + RULES.warm_up_ms) == 1.0
 
 
 @pytest.mark.parametrize("behind_ms", [1_000.0, 90_000.0, HOUR_MS])
@@ -38,21 +38,21 @@
     world = World(now=2 * HOUR_MS)
     told(world, started=world.now + behind_ms, held_until=world.now - 500)
     backend = world.gateway.backends.by_id[9]
-    assert backend.warmth(world.now) == pytest.approx(RULES.start_capacity)
-    assert backend.warmth(world.now + RULES.warm_up_ms) == pytest.approx(1.0)
+    assert backend.warm_ratio(world.now) == pytest.approx(RULES.start_capacity)
+    assert backend.warm_ratio(world.now + RULES.warm_up_ms) == pytest.approx(1.0)
 
 
 def test_a_backend_that_tells_a_new_start_is_cold_though_this_clock_is_ahead() -> None:
     world = World((entry(1), entry(9, started=1.0)), now=2 * HOUR_MS)
-    assert world.gateway.backends.by_id[9].warmth(world.now) == 1.0  # the first list is believed
+    assert world.gateway.backends.by_id[9].warm_ratio(world.now) == 1.0  # the first list is believed
     told(world, started=2.0, held_until=world.now)
-    assert world.gateway.backends.by_id[9].warmth(world.now) == pytest.approx(RULES.start_capacity)
+    assert world.gateway.backends.by_id[9].warm_ratio(world.now) == pytest.approx(RULES.start_capacity)
 
 
 def test_a_start_of_long_ago_is_warm_whenever_it_is_told() -> None:
     world = World(now=2 * HOUR_MS)
     told(world, started=0.0, held_until=world.now)
-    assert world.gateway.backends.by_id[9].warmth(world.now) == 1.0
+    assert world.gateway.backends.by_id[9].warm_ratio(world.now) == 1.0
 
 
 def test_what_was_put_back_by_a_clock_that_is_ahead_warms_up_from_now_on() -> None:
@@ -60,8 +60,8 @@
     world.give(api.BackendOverridden(1, True, world.now))
     world.give(api.BackendOverridden(1, False, world.now + HOUR_MS))
     backend = world.gateway.backends.by_id[1]
-    assert backend.warmth(world.now) == pytest.approx(RULES.start_capacity)
-    assert backend.warmth(world.now + RULES.warm_up_ms) == pytest.approx(1.0)
+    assert backend.warm_ratio(world.now) == pytest.approx(RULES.start_capacity)
+    assert backend.warm_ratio(world.now + RULES.warm_up_ms) == pytest.approx(1.0)
 
 
 def test_who_counts_apart_from_all_others_keeps_to_the_even_share() -> None:
