--- a/switchline/discovery/endpoint_list.py
+++ b/switchline/discovery/endpoint_list.py
@@ -12,13 +12,14 @@
 from typing import Any
 
 from switchline.config import Address, parse_address
+from switchline.errors import SwitchlineError
 from switchline.policy.interface import BackendEntry, BackendState
 
 HEALTH = {"up": BackendState.READY, "draining": BackendState.DRAINING, "removed": BackendState.GONE}
 NUMBER_BYTES = 8
 
 
-class DiscoveryError(Exception):
+class DiscoveryError(SwitchlineError):
     """Discovery sent something that can't be accepted."""
 
 
--- a/switchline/state/restore.py
+++ b/switchline/state/restore.py
@@ -104,7 +104,7 @@
             log.info("the list on disk is left out: %s", error)
             return
         if self.discovery.version is None or known.version > self.discovery.version:
-            self.driver.members(api.ListScope.SAVED, known.members)
+            self.driver.apply_list(api.ListScope.SAVED, known.members)
             self.discovery.version = known.version
             self.saved_list.replace(hosts)
             self.restored += len(hosts)
@@ -152,7 +152,7 @@
             for record in saved.of_kind(kind):
                 if kind == KIND_GATEWAY and self.dropped:
                     continue
-                if self.driver.recover(record.value, record.at_ms):
+                if self.driver.restore_record(record.value, record.at_ms):
                     self.restored += 1
                 else:
                     self.dropped += 1
