--- a/switchline/fleet_runtime/list_repair.py
+++ b/switchline/fleet_runtime/list_repair.py
@@ -10,11 +10,19 @@
 import random
 import time
 
+from switchline import log_events
 from switchline.discovery.client import Discovery
 from switchline.discovery.endpoint_list import DiscoveryError, MemberList, read_list
-from switchline.fleet.messages import LIST, Exchange, Listed
-from switchline.fleet.node import Node
-from switchline.fleet.staleness import StaleList, agreed, leaves_none, number, seq_of
+from switchline.fleet.endpoint import ProtocolEndpoint
+from switchline.fleet.fact_kinds import FactKind
+from switchline.fleet.messages import EndpointList, Exchange, Wanted
+from switchline.fleet.staleness import (
+    StaleListWatch,
+    agreed_changes,
+    parse_list_number,
+    removes_all,
+    seq_or_no_list,
+)
 from switchline.policy import interface as api
 from switchline.service.audit_trail import RecordVersion, record_nothing
 from switchline.service.driver import Driver
@@ -41,52 +49,55 @@
         self.state = state
         self.rng = rng
         self.is_behind = False
-        self.lists: dict[str, Listed] = {}  # by their gateways
+        self.lists: dict[str, EndpointList] = {}  # by their gateways
         self.repaired_to = -1  # the number of the newest list that two others have reached
         self.hosts = 0  # changed by others' lists
         self.record: RecordVersion = record_nothing
-        self._stale = StaleList()
+        self._stale = StaleListWatch()
         self._applied: set[tuple[str, str]] = set()  # hosts and their health, by others' lists
-        self._ask_at_s = 0.0
+        self._next_request_s = 0.0
 
     def own_number(self) -> int:
         """The number of the own agent's list; -1 where there is none."""
-        return seq_of(self.discovery.version)
+        return seq_or_no_list(self.discovery.version)
 
-    def look(self, node: Node) -> None:
+    def tick(self, node: ProtocolEndpoint) -> None:
         """Called now and then: compare the own list with the others', and ask for newer ones."""
         now_s = time.monotonic()
         if self.own_number() >= self.repaired_to and self._applied:
             self._applied.clear()  # the own agent is level
-        numbers = {name: number(node.facts.value("list", "", name)) for name in node.members.present}
-        is_behind = self._stale.look(now_s, self.own_number(), numbers.values())
+        numbers = {
+            name: parse_list_number(node.facts.value(FactKind.LIST, "", name))
+            for name in node.members.present
+        }
+        is_behind = self._stale.is_stale(now_s, self.own_number(), numbers.values())
         self._set_behind(is_behind and not node.members.minority, numbers, node)
-        if self.is_behind and now_s >= self._ask_at_s:
-            self._ask(node, numbers, now_s)
+        if self.is_behind and now_s >= self._next_request_s:
+            self._request_lists(node, numbers, now_s)
 
-    def _set_behind(self, is_behind: bool, numbers: dict[str, int | None], node: Node) -> None:
+    def _set_behind(self, is_behind: bool, numbers: dict[str, int | None], node: ProtocolEndpoint) -> None:
         own = self.own_number()
         if is_behind and not self.is_behind:
             newest = max((seq for seq in numbers.values() if seq is not None), default=-1)
-            log.warning("the list here is behind: %d, most have a newer one, up to %d", own, newest)
+            log.warning(log_events.LIST_BEHIND, own, newest)
             self.record("behind", "list", str(own), f"most have a newer one, up to {newest}")
         if self.is_behind and not is_behind:
-            log.info("the list here is level again: %d", own)
+            log.info(log_events.LIST_LEVEL, own)
             self.record("level", "list", str(own), "its agent tells as much as the others'")
             self.lists.clear()
-            node.wants &= ~LIST
+            node.wants &= ~Wanted.LIST
         self.is_behind = is_behind
 
-    def _ask(self, node: Node, numbers: dict[str, int | None], now_s: float) -> None:
+    def _request_lists(self, node: ProtocolEndpoint, numbers: dict[str, int | None], now_s: float) -> None:
         """Ask some of the gateways that have a newer list for it."""
         level = max(self.own_number(), self.repaired_to)
         newer = [name for name, seq in numbers.items() if seq is not None and seq > level]
         if newer:
-            self._ask_at_s = now_s + REQUEST_INTERVAL_S
-            node.wants |= LIST
+            self._next_request_s = now_s + REQUEST_INTERVAL_S
+            node.wants |= Wanted.LIST
             node.list_seq = self.own_number()
             some = self.rng.sample(sorted(newer), min(GATEWAYS_ASKED, len(newer)))
-            node.ask_of([node.members.present[name].address for name in some])
+            node.exchange_with([node.members.present[name].address for name in some])
 
     def on_exchange(self, exchange: Exchange) -> None:
         """Another gateway sent its list; what two lists agree on is applied."""
@@ -97,14 +108,14 @@
             return
         self._store(exchange.sender, exchange.listed)
         newer = [listed for listed in self.lists.values() if listed.seq > self.own_number()]
-        found = agreed(own, newer)
+        found = agreed_changes(own, newer)
         changes = [host for host in found if _key(host) not in self._applied]
         if len(newer) > 1:
             self.repaired_to = max(self.repaired_to, sorted(listed.seq for listed in newer)[-2])
-        if changes and not leaves_none(own, found):
+        if changes and not removes_all(own, found):
             self._apply(changes)
 
-    def _store(self, sender: str, listed: Listed) -> None:
+    def _store(self, sender: str, listed: EndpointList) -> None:
         self.lists.pop(sender, None)
         while len(self.lists) >= MAX_LISTS:
             del self.lists[next(iter(self.lists))]
@@ -118,7 +129,7 @@
         self.hosts += len(changes)
         named = ", ".join(f"{host['host']} {host['health']}" for host in changes[:MAX_LOGGED_HOSTS])
         senders = ", ".join(sorted(self.lists))
-        log.warning("brought up to list %d by %s: %s", self.repaired_to, senders, named)
+        log.warning(log_events.LIST_REPAIRED, self.repaired_to, senders, named)
         self.record("brought up", "list", str(self.repaired_to), f"by {senders}: {named}")
         self.driver.apply_list(api.ListScope.CHANGES, found.members)
 
@@ -126,7 +137,7 @@
         try:
             return read_list({"seq": self.repaired_to, "whole": False, "hosts": changes})
         except DiscoveryError as error:
-            log.warning("others' list is left out: %s", error)
+            log.warning(log_events.PEER_LIST_REJECTED, error)
             return None
 
     def gauges(self) -> dict[str, int]:
--- a/switchline/fleet_runtime/recovery/backend_list.py
+++ b/switchline/fleet_runtime/recovery/backend_list.py
@@ -11,10 +11,11 @@
 import time
 from typing import Any
 
+from switchline import log_events
 from switchline.discovery.client import Discovery
 from switchline.discovery.endpoint_list import DiscoveryError, MemberList, read_list
-from switchline.fleet.messages import MOST_HOSTS, HostRow, Listed
-from switchline.fleet.staleness import bound_by, leaves_none, seq_of
+from switchline.fleet.messages import MAX_LISTED_HOSTS, EndpointList, ListedHost
+from switchline.fleet.staleness import binding_changes, removes_all, seq_or_no_list
 from switchline.policy import interface as api
 from switchline.service.audit_trail import RecordVersion, record_nothing
 from switchline.service.driver import Driver
@@ -32,7 +33,7 @@
         self.state = state
         self.driver = driver
         self.discovery = discovery
-        self.newest: Listed | None = None
+        self.newest: EndpointList | None = None
         self.doubt_until_s = began_s + DOUBT_S  # monotonic
         self.is_withheld = False
         self.hosts = 0  # changed by another gateway's list
@@ -40,14 +41,15 @@
         self.record: RecordVersion = record_nothing
         discovery.weigh = self.filter_doubtful
 
-    def newer_than(self, number: int) -> Listed | None:
+    def newer_than(self, number: int) -> EndpointList | None:
         """The list here, for a gateway that asks with the number of its own; None where it is no newer."""
-        hosts, version = self.state.saved_hosts(), self.discovery.version
-        if hosts is None or version is None or version <= number or len(hosts) > MOST_HOSTS:
+        hosts = self.state.saved_hosts()
+        version = self.discovery.version
+        if hosts is None or version is None or version <= number or len(hosts) > MAX_LISTED_HOSTS:
             return None
-        return Listed(version, [_host_message(host) for host in hosts])
+        return EndpointList(version, [_host_message(host) for host in hosts])
 
-    def offer(self, listed: Listed | None) -> None:
+    def offer(self, listed: EndpointList | None) -> None:
         """Another gateway has sent its list; the newest is kept for `apply_newest`."""
         if listed is not None and (self.newest is None or listed.seq > self.newest.seq):
             self.newest = listed
@@ -58,14 +60,16 @@
         Its addresses are those that the other gateway reaches backends by. Discovery is asked for its whole
         list then, as its changes would not undo an error of the other gateway.
         """
-        newer, own, number = self.newest, self.state.saved_hosts(), seq_of(self.discovery.version)
+        newer = self.newest
+        own = self.state.saved_hosts()
+        number = seq_or_no_list(self.discovery.version)
         if newer is None or own is None or newer.seq <= number:
             return
-        changes = list(bound_by(own, newer))
+        changes = list(binding_changes(own, newer))
         found = self._read(newer.seq, changes)
-        if found is None or leaves_none(own, changes):
+        if found is None or removes_all(own, changes):
             return
-        log.info("recovery: another gateway's list is newer: %d, here %d", newer.seq, number)
+        log.info(log_events.PEER_LIST_NEWER, newer.seq, number)
         self.record("brought up", "list", str(newer.seq), "at the start, by another gateway's list")
         self.hosts = len(found.members)
         self.driver.apply_list(api.ListScope.CHANGES, found.members)
@@ -76,7 +80,7 @@
             return read_list({"seq": number, "whole": False, "hosts": changes})
         except DiscoveryError as error:
             self.rejected += 1
-            log.info("recovery: another gateway's list is left out: %s", error)
+            log.info(log_events.PEER_LIST_UNREADABLE, error)
             return None
 
     def filter_doubtful(self, raw: dict[str, Any]) -> dict[str, Any] | None:
@@ -86,21 +90,19 @@
         apply.
         """
         hosts = raw.get("hosts") or []
-        known = max(seq_of(self.discovery.version), self.newest.seq if self.newest else -1)
+        known = max(seq_or_no_list(self.discovery.version), self.newest.seq if self.newest else -1)
         own = self.state.saved_hosts()
         behind = raw.get("whole") and (int(raw["seq"]) < known or not hosts)
         if not behind or not own or time.monotonic() >= self.doubt_until_s:
             return raw
         if not self.is_withheld:
-            log.warning(
-                "discovery's list of %d hosts is held back: %s, here %s", len(hosts), raw["seq"], known
-            )
+            log.warning(log_events.DISCOVERY_WITHHELD, len(hosts), raw["seq"], known)
         self.is_withheld = True
         drained = {str(host["host"]) for host in hosts if host["health"] == "draining"}
         changes = [host | {"health": "draining"} for host in own if host["host"] in drained]
         return {"seq": known, "whole": False, "hosts": changes} if hosts else None
 
-    def look(self, now_s: float) -> None:
+    def tick(self, now_s: float) -> None:
         """Once the doubt is over, ask discovery anew for what was withheld."""
         if self.is_withheld and now_s >= self.doubt_until_s:
             self.is_withheld = False
@@ -111,8 +113,8 @@
         self.doubt_until_s = since_s
 
 
-def _host_message(host: dict[str, Any]) -> HostRow:
-    return HostRow(
+def _host_message(host: dict[str, Any]) -> ListedHost:
+    return ListedHost(
         str(host["host"]),
         str(host["dial"]),
         str(host.get("site") or ""),
--- a/switchline/fleet_runtime/recovery/coordinator.py
+++ b/switchline/fleet_runtime/recovery/coordinator.py
@@ -14,12 +14,20 @@
 import time
 from collections.abc import Iterator, Mapping
 
+from switchline import log_events
 from switchline.clock import now_ms
 from switchline.discovery.client import Discovery
-from switchline.fleet.messages import LIST, Exchange
-from switchline.fleet.node import Node
-from switchline.fleet.outage import RISEN, RISEN_S, UNKNOWN, Verdict, judge, read_down
-from switchline.fleet.staleness import seq_of
+from switchline.fleet.endpoint import ProtocolEndpoint
+from switchline.fleet.fact_kinds import FactKind
+from switchline.fleet.messages import Exchange, Wanted
+from switchline.fleet.outage import (
+    DOWNTIME_PUBLISHED_S,
+    UNKNOWN_DOWNTIME,
+    OutageVerdict,
+    decode_downtime,
+    judge_outage,
+)
+from switchline.fleet.staleness import seq_or_no_list
 from switchline.fleet_runtime.recovery.backend_list import ListRecovery
 from switchline.fleet_runtime.recovery.overrides import OverrideRecovery
 from switchline.fleet_runtime.recovery.spending import SpendingRecovery
@@ -58,14 +66,14 @@
         self.discovery = discovery
         self.began_s = time.monotonic()
         self.down_s = state.downtime_s()
-        self.started_lately_until_s = self.began_s + RISEN_S
-        self.verdict = Verdict(False, False, 0, 1, 0.0)
+        self.started_lately_until_s = self.began_s + DOWNTIME_PUBLISHED_S
+        self.verdict = OutageVerdict(False, False, 0, 1, 0.0)
         self.stages = StageTracker(self.began_s)
         self.overrides = OverrideRecovery(overrides)
         self.backend_list = ListRecovery(state, driver, discovery, self.began_s)
         self.spending = SpendingRecovery(driver, index)
         self.waited_ms = 0
-        self._node: Node | None = None
+        self._node: ProtocolEndpoint | None = None
 
     def set_record(self, record: RecordVersion) -> None:
         """Have stages and lists recorded in the audit."""
@@ -75,13 +83,13 @@
     def attach(self, transport: GossipTransport) -> None:
         """The transport is open, or another one is."""
         self._node = transport.node
-        self._node.listed = self.backend_list.newer_than
-        self._node.spent = self.spending.known_here
+        self._node.newer_list = self.backend_list.newer_than
+        self._node.known_quotas = self.spending.known_here
 
     def facts(self) -> Iterator[PublishedFact]:
         """For a while after the start: how long this gateway was down."""
-        down = UNKNOWN if math.isnan(self.down_s) else f"{self.down_s:.1f}"
-        yield PublishedFact(RISEN, "", down if self._started_lately() else None)
+        down = UNKNOWN_DOWNTIME if math.isnan(self.down_s) else f"{self.down_s:.1f}"
+        yield PublishedFact(FactKind.DOWNTIME, "", down if self._started_lately() else None)
 
     def _started_lately(self) -> bool:
         return time.monotonic() < self.started_lately_until_s
@@ -96,35 +104,35 @@
     async def query(self, transport: GossipTransport) -> None:
         """Before clients are accepted: take over the others' overrides and their newest list."""
         node = transport.node
-        node.wants = LIST
-        node.list_seq = seq_of(self.discovery.version)
+        node.wants = Wanted.LIST
+        node.list_seq = seq_or_no_list(self.discovery.version)
         await self._wait_for_exchanges(node, bool(transport.link.seeds))
         self.overrides.adopt(node, at_start=True)
         self.backend_list.apply_newest()
         self.verdict = self._judge()
-        node.wants = 0
+        node.wants = Wanted.NOTHING
         self._set_waited()
         log.info(
-            "recovery: heard %d other gateways in %d ms; of them come %d that are out by hand, %d of a list",
+            log_events.PEERS_QUERIED,
             len(node.exchanged_with),
             self.waited_ms,
-            len(self.overrides.taken),
+            len(self.overrides.adopted),
             self.backend_list.hosts,
         )
 
-    async def _wait_for_exchanges(self, node: Node, has_seeds: bool) -> None:
+    async def _wait_for_exchanges(self, node: ProtocolEndpoint, has_seeds: bool) -> None:
         """Wait until enough of the others have sent their whole state, `QUERY_TIMEOUT_S` at most."""
-        ask_at_s = self.began_s
+        next_request_s = self.began_s
         while (left_s := self.began_s + QUERY_TIMEOUT_S - time.monotonic()) > 0:
-            others = len(node.members.here())
+            others = len(node.members.present)
             if others and len(node.exchanged_with) >= min(ENOUGH_EXCHANGES, others):
                 await asyncio.sleep(min(SETTLE_S, left_s))
                 return
             if not (others or has_seeds):
                 return
-            if time.monotonic() >= ask_at_s:
-                ask_at_s = time.monotonic() + REQUEST_INTERVAL_S
-                node.ask_more(ENOUGH_EXCHANGES - 1)
+            if time.monotonic() >= next_request_s:
+                next_request_s = time.monotonic() + REQUEST_INTERVAL_S
+                node.exchange_with_some(ENOUGH_EXCHANGES - 1)
             await asyncio.sleep(min(POLL_INTERVAL_S, left_s))
 
     async def catch_up(self) -> None:
@@ -133,7 +141,7 @@
         if self._node is not None and (math.isnan(self.down_s) or self.verdict.old):
             why = "it is older than the others'" if self.verdict.old else "it tells of no earlier life"
             self.stages.enter(Stage.SPENDING, f"the disk can't be relied on: {why}")
-            await self.spending.ask_nearest(self._node)
+            await self.spending.request_from_nearest(self._node)
         self.spending.waiting_for.clear()
         self._set_waited()
         if self.verdict.common:
@@ -150,16 +158,16 @@
         self.backend_list.offer(exchange.listed)
         self.spending.on_exchange(exchange)
 
-    def look(self) -> None:
+    def tick(self) -> None:
         """Called now and then: follow the others' overrides, and the stages."""
         now_s = time.monotonic()
         if self._node is not None:
             self.overrides.adopt(self._node)
-        self.backend_list.look(now_s)
+        self.backend_list.tick(now_s)
         if self.stages.stage is Stage.WARMING_UP:
             if now_ms() >= self.driver.gateway.recovery_ramp.until:
-                took_s = self.stages.elapsed_s()
-                why = f"the backends have had their slow start, {took_s:.1f} s after"
+                elapsed_s = self.stages.elapsed_s()
+                why = f"the backends have had their slow start, {elapsed_s:.1f} s after"
                 self.stages.enter(Stage.COMPLETE, why)
         elif self.stages.stage is Stage.COMPLETE and self._started_lately() and not self.verdict.common:
             verdict = self._judge()
@@ -167,34 +175,36 @@
                 self.verdict = verdict  # the others started later
                 self._begin_warm_up()
 
-    def _judge(self) -> Verdict:
+    def _judge(self) -> OutageVerdict:
         """Whether the fleet lost power, by what its members publish."""
         if self._node is None:
             return self.verdict
-        members, facts = self._node.members, self._node.facts
-        others = [read_down(facts.value(RISEN, "", name)) for name in members.present]
-        return judge(self.down_s if self._started_lately() else None, others)
+        facts = self._node.facts
+        others = [
+            decode_downtime(facts.value(FactKind.DOWNTIME, "", name)) for name in self._node.members.present
+        ]
+        return judge_outage(self.down_s if self._started_lately() else None, others)
 
     def _begin_warm_up(self) -> None:
         found = self.verdict
-        who = f"{found.risen} of {found.heard} gateways began lately, down for {found.down_s:.1f} s"
+        who = f"{found.restarted} of {found.heard} gateways began lately, down for {found.down_s:.1f} s"
         self.stages.enter(Stage.WARMING_UP, f"the fleet lost power: {who}")
         back_ms = now_ms() - (time.monotonic() - self.began_s) * 1000
         self.driver.give(api.FleetOutage(back_ms - (found.down_s + OUTAGE_MARGIN_S) * 1000, back_ms))
 
     def gauges(self) -> dict[str, int]:
         """Metrics of the recovery."""
-        taken = len(self.overrides.taken) + self.backend_list.hosts + self.spending.customers
+        recovered = len(self.overrides.adopted) + self.backend_list.hosts + self.spending.customers
         return {
             "recovery.stage": int(self.stages.stage),
             "recovery.waiting_for": len(self.spending.waiting_for),
             "recovery.from_disk": self.state.restored,
-            "recovery.from_peers": taken,
+            "recovery.from_peers": recovered,
             "recovery.withheld": self.driver.withheld,
             "recovery.waited_ms": self.waited_ms,
         }
 
-    def shown(self) -> dict[str, object]:
+    def describe(self) -> dict[str, object]:
         """For `GET /ops/fleet`."""
         verdict = self.verdict
         return {
@@ -202,12 +212,12 @@
             "stage_s": round(self.stages.elapsed_s(), 2),
             "common": verdict.common,
             "old_disk": verdict.old,
-            "risen": verdict.risen,
+            "risen": verdict.restarted,
             "heard": verdict.heard,
             "down_s": None if math.isnan(self.down_s) else round(self.down_s, 1),
             "waiting_for": sorted(self.spending.waiting_for),
             "from_disk": self.state.restored,
-            "bans": len(self.overrides.taken),
+            "bans": len(self.overrides.adopted),
             "hosts": self.backend_list.hosts,
             "customers": self.spending.customers,
             "spoilt": self.backend_list.rejected,
--- a/switchline/fleet_runtime/version_watch.py
+++ b/switchline/fleet_runtime/version_watch.py
@@ -8,10 +8,11 @@
 
 import logging
 
+from switchline import log_events
 from switchline.clock import now_ms
-from switchline.fleet.node import Node
-from switchline.fleet.quarantine import Quarantine
-from switchline.fleet.staleness import Divergence, floors_of
+from switchline.fleet.endpoint import ProtocolEndpoint
+from switchline.fleet.quarantine import Quarantine, StalenessView
+from switchline.fleet.staleness import VersionDivergence, parse_floors
 from switchline.fleet_runtime.list_repair import ListRepair
 from switchline.policy import interface as api
 from switchline.service.audit_trail import LEASED_QUOTA, AuditTrail
@@ -28,23 +29,23 @@
     def __init__(self, parts: GatewayParts, trail: AuditTrail) -> None:
         self.parts = parts
         self.trail = trail
-        self.divergence = Divergence()
+        self.divergence = VersionDivergence()
 
-    def look(self, node: Node) -> None:
+    def tick(self, node: ProtocolEndpoint) -> None:
         """Compare the own versions with those that the others publish."""
-        config, diverged = self.parts.config, self.divergence
+        config = self.parts.config
         own_versions = {"config": config.digest, "release": config.release}
         for kind, own in own_versions.items():
             others = [node.facts.value(kind, "", name) for name in node.members.present]
-            if diverged.look(self.parts.loop.time(), kind, own, others):
-                theirs = diverged.told.get(kind)
+            if self.divergence.update(self.parts.loop.time(), kind, own, others):
+                theirs = self.divergence.shown.get(kind)
                 what = f"most have {theirs}" if theirs else "most have the same now"
-                log.warning("the %s here is %s: %s", kind, own, what)
+                log.warning(log_events.VERSION_DIFFERS, kind, own, what)
                 self.trail.record("differs" if theirs else "alike", kind, "", what)
 
     def gauges(self) -> dict[str, int]:
         """How many of the versions differ."""
-        return {"fleet.differs": len(self.divergence.told)}
+        return {"fleet.differs": len(self.divergence.shown)}
 
 
 class QuarantineControl:
@@ -72,25 +73,25 @@
         """Whether this gateway is in quarantine."""
         return self.quarantine is not None and self.quarantine.out
 
-    def look(self, node: Node, list_repair: ListRepair) -> None:
+    def tick(self, node: ProtocolEndpoint, list_repair: ListRepair) -> None:
         """Enter or leave quarantine, as the versions and the grants of the others are now."""
         now_s = self.parts.loop.time()
         if self.quarantine is None:
             self.quarantine = Quarantine(self.patience_s, now_s)
-        quarantine, was_out = self.quarantine, self.quarantine.out
-        is_out = quarantine.look(
-            node,
-            now_s,
-            now_ms(),
+        quarantine = self.quarantine
+        was_out = quarantine.out
+        view = StalenessView(
             list_repair.own_number(),
             list_repair.is_behind,
             self.overrides.names(OverrideKind.SPARED_GATEWAY),
-            floors_of(self.overrides.names(OverrideKind.VERSION_FLOOR)),
+            parse_floors(self.overrides.names(OverrideKind.VERSION_FLOOR)),
         )
+        is_out = quarantine.evaluate(node, now_s, now_ms(), view)
         self._set_behind(quarantine.kind)
         if is_out == was_out or self.parts.clients.shutting_down:
             return
-        log.warning("%s: %s", "shut out" if is_out else "no more shut out", quarantine.why)
+        event = log_events.QUARANTINE_ENTERED if is_out else log_events.QUARANTINE_LEFT
+        log.warning(event, quarantine.why)
         self.trail.record("shut out" if is_out else "taken back", quarantine.kind, "", quarantine.why)
         if is_out:
             self.intake.begin_quarantine()
--- a/switchline/service/calls/overrides.py
+++ b/switchline/service/calls/overrides.py
@@ -9,6 +9,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
+from switchline import log_events
 from switchline.operators.calls import DeferredReply, Reply
 from switchline.operators.overrides import OperatorOverrides, private_file
 from switchline.service.audit_trail import AuditTrail
@@ -63,16 +64,16 @@
         self.parts = parts
         self.trail = trail
         self.persist: Persist | None = None
-        self.by_name: dict[str, OperatorOverrides] = {}
+        self.by_kind: dict[str, OperatorOverrides] = {}
         for kind, form in FORMS.items():
             if kind in LOCAL_KINDS or parts.config.fleet is not None:
                 path = private_file(parts.config.name, form.file_name)
                 changed = partial(self._on_changed, kind)
-                self.by_name[kind.value] = OperatorOverrides(path, parts.timers, changed)
+                self.by_kind[kind.value] = OperatorOverrides(path, parts.timers, changed)
 
     def get(self, kind: OverrideKind) -> OperatorOverrides | None:
         """The overrides of a kind; None where this gateway has none of it."""
-        return self.by_name.get(kind.value)
+        return self.by_kind.get(kind.value)
 
     def names(self, kind: OverrideKind) -> dict[str, float]:
         """What is overridden now, and since when (Unix milliseconds)."""
@@ -119,9 +120,9 @@
         here = answer if isinstance(answer, Reply) else await answer
         if here is not YES or self.fleet.calls is None:
             return here
-        from switchline.fleet.facts import FOR_ALL
+        from switchline.fleet.fact_kinds import FLEET_WIDE
 
-        return await self.fleet.calls.propagate(FOR_ALL[kind.value], name, is_set)
+        return await self.fleet.calls.propagate(FLEET_WIDE[kind.value], name, is_set)
 
     def _call_here(self, kind: OverrideKind, is_set: bool, name: str) -> Reply | DeferredReply:
         overrides = self.overrides.get(kind)
@@ -142,15 +143,15 @@
             case OverrideKind.SPARED_GATEWAY:
                 return self.fleet.knows(name)
             case OverrideKind.VERSION_FLOOR:
-                from switchline.fleet.staleness import floors_of
+                from switchline.fleet.staleness import parse_floors
 
-                return bool(floors_of([name]))
+                return bool(parse_floors([name]))
 
     def _set(self, overrides: OperatorOverrides, is_set: bool, name: str) -> Reply:
         try:
             overrides.set(name, is_set)
         except OSError as error:
-            log.error("what is out by hand can't be written: %s", error)  # noqa: TRY400
+            log.error(log_events.OVERRIDE_NOT_STORED, error)  # noqa: TRY400
             self.parts.descriptors.relieve(error)
             return Reply(503, "it could not be kept\n")
         return YES
--- a/tests/recordings/test_recorded_gossip.py
+++ b/tests/recordings/test_recorded_gossip.py
@@ -17,8 +17,8 @@
 import pytest
 from test_recorded_decisions import RECORDED
 
+from switchline.fleet.endpoint import ProtocolEndpoint
 from switchline.fleet.members import Address
-from switchline.fleet.node import Node
 from testbed.network.fleet_link import Net, address_of
 
 RECORDING = RECORDED / "gossip.jsonl.xz"
@@ -36,7 +36,7 @@
             self.frames.append([at, source[0], to[0], len(frame), digest])
         super().push(at, to, frame, source)
 
-    def exchange(self, source: Address, node: Node, to: Address) -> None:
+    def exchange(self, source: Address, node: ProtocolEndpoint, to: Address) -> None:
         self.frames.append([self.now, source[0], to[0], "exchange"])
         super().exchange(source, node, to)
 
@@ -45,7 +45,7 @@
     """The scene, as lines of its recording: frames in their order, then what the first gateway decided."""
     monkeypatch.setattr(RecordingNet, "frames", [])
     monkeypatch.setattr(linked_fleet, "Net", RecordingNet)
-    fleet = linked_fleet.Lined({"a": 4, "b": 4, "c": 4}, 9, own=lambda index: "abc"[index % 3], seed=7)
+    fleet = linked_fleet.LinkedFleet({"a": 4, "b": 4, "c": 4}, 9, own=lambda index: "abc"[index % 3], seed=7)
     fleet.run(2_000, gap=80)
     fleet.mode["b"] = "silent"
     fleet.run(3_500, gap=80)
