--- a/switchline/audit/ctl.py
+++ b/switchline/audit/ctl.py
@@ -23,8 +23,8 @@
 from rich.table import Table
 
 from switchline.audit import queries
+from switchline.audit.chain import GAP, Head, Record
 from switchline.audit.sources import Readings, Source, audits_by_gateway, missing_end, read_all
-from switchline.fleet.chain import GAP, Head, Record
 
 KINDS = ("list", "config", "program", "ban", "zone ban", "zone", "quota", "format", "stage", "ready")
 EXIT_FINE = 0
--- a/switchline/audit/queries.py
+++ b/switchline/audit/queries.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from switchline.fleet.chain import Record
+from switchline.audit.chain import Record
 
 ACTS_NAMED_IN_CAUSE = frozenset({"brought up", "shut out"})  # their causes name the backends concerned
 ZONE_SEPARATOR = ">"  # a zone's subject is OBSERVERS>ZONE
--- a/switchline/audit/recorder.py
+++ b/switchline/audit/recorder.py
@@ -17,10 +17,10 @@
 
 import msgspec
 
+from switchline.audit.chain import GAP, LONGEST_TEXT, MOST_COUNTS, Head, Record
 from switchline.audit.queries import Subject
 from switchline.audit.writer import AuditWriter
 from switchline.clock import now_ms
-from switchline.fleet.chain import GAP, LONGEST_TEXT, MOST_COUNTS, Head, Record
 from switchline.fleet.hybrid_clock import HybridClock
 from switchline.fleet.messages import Incarnation
 
--- a/switchline/audit/segments.py
+++ b/switchline/audit/segments.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from switchline.fleet.chain import FIRST, LONGEST_LINE, Head, Record, read, write
+from switchline.audit.chain import FIRST, LONGEST_LINE, Head, Record, read, write
 
 LOCK_FILE = "audit.lock"
 SEGMENT_FILE = "audit-{:08d}.log"
--- a/switchline/audit/sources.py
+++ b/switchline/audit/sources.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
+from switchline.audit.chain import Finding, Head, Record, verify
 from switchline.audit.queries import causal_order_key
 from switchline.audit.segments import segment_paths, text_lines
-from switchline.fleet.chain import Finding, Head, Record, verify
 from switchline.fleet.messages import HybridTimestamp, Incarnation
 
 REPLY_TIMEOUT_S = 2.0  # of a gateway
--- a/switchline/audit/writer.py
+++ b/switchline/audit/writer.py
@@ -13,8 +13,8 @@
 from collections.abc import Callable
 from pathlib import Path
 
+from switchline.audit.chain import FIRST, Head, Record
 from switchline.audit.segments import AuditError, Segments
-from switchline.fleet.chain import FIRST, Head, Record
 
 log = logging.getLogger(__name__)
 
--- a/switchline/fleet/anti_entropy.py
+++ b/switchline/fleet/dissemination/anti_entropy.py
@@ -8,7 +8,8 @@
 import math
 import random
 
-from switchline.fleet.members import Address, Members
+from switchline.fleet.membership.member import Address
+from switchline.fleet.membership.members import Members
 from switchline.fleet.messages import MemberState
 
 EXCHANGE_INTERVAL_S = 12.0  # between two exchanges in a fleet of up to 32 members
--- a/switchline/fleet/endpoint.py
+++ b/switchline/fleet/endpoint.py
@@ -8,18 +8,19 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Callable, Hashable
+from collections.abc import Callable
 
 import msgspec
 
-from switchline.fleet.anti_entropy import ExchangeSchedule
-from switchline.fleet.facts import Facts, key_of
+from switchline.fleet.dissemination.anti_entropy import ExchangeSchedule
+from switchline.fleet.dissemination.outbox import Outbox
+from switchline.fleet.facts import Facts
 from switchline.fleet.frames import FrameCodec, FrameRefusedError, RefusalReason, ReplayGuard
-from switchline.fleet.gossip_queue import GossipQueue, Item
 from switchline.fleet.hybrid_clock import HybridClock
-from switchline.fleet.members import Address, Member, Members
+from switchline.fleet.membership.member import Address, Member
+from switchline.fleet.membership.members import Members
+from switchline.fleet.membership.probing import PROBE_INTERVAL_S, Prober
 from switchline.fleet.messages import (
-    MAX_DATAGRAM_BYTES,
     Datagram,
     EndpointList,
     Entry,
@@ -30,12 +31,7 @@
     RemainingQuota,
     Wanted,
 )
-from switchline.fleet.probing import NO_ADDRESS, PROBE_INTERVAL_S, Prober
 
-GOSSIP_INTERVAL_S = 0.2  # between two rounds, while there is anything to pass on
-GOSSIP_FANOUT = 2  # members of a round
-FIRST_GOSSIP_S = 0.03  # until the first round of what is new: a refutation must outrun a suspicion's timeout
-URGENT_FANOUT = 8  # members that a refutation, or other urgent gossip, is sent to at once
 LEAVE_FANOUT = 4  # members that hear that this one leaves
 EXPIRY_INTERVAL_S = 5.0  # between two removals of what has expired
 STALL_GAP_S = 0.75  # a gap between two ticks from which on this process stood still
@@ -68,11 +64,10 @@
         self.members = Members(me, chance)
         self.facts = Facts(me.name, me.incarnation)
         self.clock = HybridClock()
-        self.prober = Prober(self.members, address, self.send, chance, now_s)
+        self.outbox = Outbox(self.members, self.clock, codec, now_s)
+        self.prober = Prober(self.members, address, self.outbox.send, chance, now_s)
         self.schedule = ExchangeSchedule(self.members, address, seeds, chance, now_s)
-        self.queue = GossipQueue()
         self.refused: dict[str, int] = {}  # by reason
-        self.sent = 0  # datagrams
         self.received = 0  # datagrams that were taken
         self.fact_changed: Callable[[Entry], None] = lambda entry: None  # with each entry that is new here
         # What this gateway wants of the others, the list that it has, and what becomes of their answers.
@@ -84,89 +79,25 @@
         self.known_quotas: Callable[[], list[RemainingQuota] | None] = lambda: None
         self._replays = ReplayGuard()
         self._unanswered: Exchange | None = None
-        self._number = 0  # of the last message that was sent
-        self._out: list[tuple[Address, bytes]] = []
         self._wall_ms = wall_ms
-        self._ticked_s = now_s
-        self._gossip_at = now_s
-        self._gossiped_s = now_s
         self._expire_at = now_s + EXPIRY_INTERVAL_S
         self._connect()
-        self.queue_update(me)
+        self.outbox.queue_update(me)
 
     def _connect(self) -> None:
         """Have what changes in the tables passed on."""
-        self.members.updated = self.queue_update
-        self.members.refuted = self._gossip_to_many
+        self.members.updated = self.outbox.queue_update
+        self.members.refuted = self.outbox.gossip_to_many
         self.members.began = self.facts.begin_incarnation
-        self.facts.changed = self._queue_fact
+        self.facts.changed = self._on_entry
 
-    # Sending.
+    def _on_entry(self, entry: Entry) -> None:
+        self.outbox.queue_entry(entry)
+        self.fact_changed(entry)
 
     def take_datagrams(self) -> list[tuple[Address, bytes]]:
         """Return, and forget, the datagrams to send now."""
-        out = self._out
-        self._out = []
-        return out
-
-    def send(
-        self,
-        to: Address,
-        kind: MessageKind,
-        *,
-        seq: int = 0,
-        target: str = "",
-        reach: Address = NO_ADDRESS,
-        first: MemberUpdate | None = None,
-    ) -> None:
-        """Put out one datagram with as much gossip as it holds; see `switchline.fleet.probing.SendMessage`.
-
-        A member whose name another process has sends nothing but answers.
-        """
-        if self.members.superseded and kind is not MessageKind.ACK:
-            return
-        self._number += 1
-        me = self.members.me
-        updates, entries = self.queue.pick(self.members.size, first)
-        message = Datagram(
-            me.name,
-            me.incarnation,
-            self._number,
-            kind,
-            seq,
-            target,
-            reach[0],
-            reach[1],
-            updates,
-            entries,
-            self.clock.last,
-        )
-        frame = self.codec.encode(message)
-        # Longer than was estimated: what is left out is sent next time.
-        while len(frame) > MAX_DATAGRAM_BYTES and (entries or updates):
-            del (entries or updates)[-1:]
-            frame = self.codec.encode(message)
-        self.sent += 1
-        self._out.append((to, frame))
-
-    def queue_update(self, update: MemberUpdate) -> None:
-        """Pass on a claim about a member; each member's suspicion of it goes on for itself."""
-        by = update.suspected_by
-        self._queue(("suspect", update.name, by) if by else ("member", update.name), update)
-
-    def _queue_fact(self, entry: Entry) -> None:
-        self._queue(("fact", *key_of(entry)), entry)
-        self.fact_changed(entry)
-
-    def _queue(self, key: Hashable, item: Item) -> None:
-        self.queue.add(key, item)
-        soon_s = max(self._ticked_s, self._gossiped_s + FIRST_GOSSIP_S) + FIRST_GOSSIP_S
-        self._gossip_at = min(self._gossip_at, soon_s)
-
-    def _gossip_to_many(self) -> None:
-        """Send gossip to several at once: a refutation must reach all before the suspicion's timeout."""
-        for member in self.members.sampler.sample(URGENT_FANOUT):
-            self.send(member.address, MessageKind.GOSSIP)
+        return self.outbox.take()
 
     # The passing of time.
 
@@ -175,19 +106,19 @@
         due_s = min(
             self.prober.probe_at, self._expire_at, now_s + PROBE_INTERVAL_S, self.prober.next_timeout_s()
         )
-        return min(due_s, self._gossip_at) if self.queue else due_s
+        gossip_s = self.outbox.next_round_s()
+        return due_s if gossip_s is None else min(due_s, gossip_s)
 
     def tick(self, now_s: float, wall_ms: float) -> None:
         """Do what is due."""
         self._wall_ms = wall_ms
-        if now_s - self._ticked_s > STALL_GAP_S:
+        if now_s - self.outbox.ticked_s > STALL_GAP_S:
             self.members.resume(now_s)
             self.prober.restart(now_s)
-        self._ticked_s = now_s
+        self.outbox.ticked_s = now_s
         self.prober.run_due(now_s)
         self.members.declare_dead(now_s)
-        if now_s >= self._gossip_at:
-            self._gossip_round(now_s)
+        self.outbox.run_due(now_s)
         if now_s >= self._expire_at:
             self._expire_at = now_s + EXPIRY_INTERVAL_S
             self.members.forget(now_s)
@@ -195,13 +126,6 @@
             self._replays.forget_all_but(self.members.others.keys())
         self.schedule.run_due(now_s)
 
-    def _gossip_round(self, now_s: float) -> None:
-        self._gossip_at = now_s + GOSSIP_INTERVAL_S
-        self._gossiped_s = now_s
-        if self.queue and not self.members.superseded:
-            for member in self.members.sampler.sample(GOSSIP_FANOUT):
-                self.send(member.address, MessageKind.GOSSIP)
-
     # Receiving.
 
     def refuse(self, reason: str) -> None:
@@ -243,7 +167,7 @@
         if later is None:
             return
         if message.kind is MessageKind.PING and message.host and message.port:
-            self.send((message.host, message.port), MessageKind.ACK, seq=message.seq, first=later)
+            self.outbox.send((message.host, message.port), MessageKind.ACK, seq=message.seq, first=later)
         raise FrameRefusedError(RefusalReason.OLDER)
 
     def _check_replay(self, message: Datagram | Exchange) -> None:
@@ -274,7 +198,7 @@
         first = sender.update if sender is not None and sender.state is not MemberState.ALIVE else None
         if any(one.name == me.name and one.state is not MemberState.ALIVE for one in message.updates):
             first = me
-        self.send((message.host, message.port), MessageKind.ACK, seq=message.seq, first=first)
+        self.outbox.send((message.host, message.port), MessageKind.ACK, seq=message.seq, first=first)
 
     # Exchanges.
 
@@ -297,13 +221,11 @@
 
     def exchange_frame(self, answer: bool) -> bytes:
         """Return all that is known here, as one side of an exchange; `answer`: as the second side."""
-        self._number += 1
+        number = self.outbox.next_number()
         me = self.members.me
         updates = [me, *(member.update for member in self.members.others.values())]
         entries = list(self.facts.entries())
-        state = Exchange(
-            me.name, me.incarnation, self._number, answer, updates, entries, timestamp=self.clock.last
-        )
+        state = Exchange(me.name, me.incarnation, number, answer, updates, entries, timestamp=self.clock.last)
         if not answer:
             wanted = msgspec.structs.replace(state, wants=int(self.wants), seq=self.list_seq)
             return self.codec.encode(wanted)
@@ -363,10 +285,9 @@
     def gossip_now(self) -> None:
         """Send what is new to several members at once, as each moment's delay of it costs requests."""
         if not self.members.superseded:
-            self._gossip_to_many()
+            self.outbox.gossip_to_many()
 
     def leave(self) -> None:
         """Tell a few members that this one leaves; they pass it on."""
         self.members.leave()
-        for member in self.members.sampler.sample(LEAVE_FANOUT):
-            self.send(member.address, MessageKind.GOSSIP)
+        self.outbox.gossip_to(LEAVE_FANOUT)
--- /dev/null
+++ b/switchline/fleet/membership/__init__.py
@@ -0,0 +1,1 @@
+"""Membership and failure detection: SWIM with the refinements of Lifeguard and memberlist."""
--- a/switchline/fleet/members.py
+++ b/switchline/fleet/membership/members.py
@@ -2,7 +2,7 @@
 
 Claims about a member have a total order (incarnation, refutation, state); the highest holds, so the order in
 which messages arrive does not matter. Only a member itself begins a new incarnation, or refutes a suspicion.
-`switchline.fleet.suspicion` has the rules of time, `switchline.fleet.member_sampling` the choice of members.
+`suspicion` has the rules of time, `sampling` the choice of members.
 """
 
 from __future__ import annotations
@@ -11,13 +11,10 @@
 import random
 from collections import Counter
 from collections.abc import Callable
-from dataclasses import dataclass
-from enum import StrEnum
-from typing import Any
 
-from switchline.fleet.member_sampling import MemberSampler, ProbeRing
-from switchline.fleet.messages import Incarnation, MemberState, MemberUpdate
-from switchline.fleet.suspicion import (
+from switchline.fleet.membership.member import Member, MemberEvent, precedence
+from switchline.fleet.membership.sampling import MemberSampler, ProbeRing
+from switchline.fleet.membership.suspicion import (
     FORGET_S,
     MAX_CONFIRMATIONS,
     RECHECK_S,
@@ -28,71 +25,11 @@
     is_widely_suspected,
     suspicion_timeout_s,
 )
-
-Address = tuple[str, int]
+from switchline.fleet.messages import Incarnation, MemberState, MemberUpdate
 
 MAX_MEMBERS = 5_000
 
 
-class MemberEvent(StrEnum):
-    """What is counted of members, by the names that operators see."""
-
-    SUSPECTED = "suspected"
-    DIED = "died"
-    LEFT = "left"
-    JOINED = "joined"
-    REFUTED = "refuted"  # a suspicion of this member, by itself
-
-
-@dataclass(slots=True)
-class Member:
-    """One other member as it is known here. Times are seconds.
-
-    Attributes:
-        update: The claim that holds.
-        since: When it came to hold.
-        heard: When the last message of the member itself came.
-        suspecters: Who suspects it.
-        dead_at: When it is declared dead, unless it refutes the suspicion.
-        rechecked: Whether it was probed once more before that.
-    """
-
-    update: MemberUpdate
-    since: float
-    heard: float
-    suspecters: frozenset[str] = frozenset()
-    dead_at: float = math.inf
-    rechecked: bool = False
-
-    @property
-    def state(self) -> MemberState:
-        """The state that holds."""
-        return self.update.state
-
-    @property
-    def address(self) -> Address:
-        """Where the member is reached."""
-        return self.update.host, self.update.port
-
-    @property
-    def is_present(self) -> bool:
-        """Whether it is alive, or only suspected."""
-        return self.update.state in (MemberState.ALIVE, MemberState.SUSPECT)
-
-
-def alive_claim(name: str, incarnation: Incarnation, address: Address) -> MemberUpdate:
-    """Return a member's first claim about itself: that it is alive at this address."""
-    return MemberUpdate(name, incarnation, 0, MemberState.ALIVE, *address)
-
-
-def precedence(update: MemberUpdate) -> tuple[Any, ...]:
-    """Return the rank of a claim: of two about one member the higher holds.
-
-    The order is total, so that the merge is the same everywhere.
-    """
-    return (update.incarnation, update.refutation, update.state, update.host, update.port)
-
-
 class Members:
     """Owns what is known of each member."""
 
--- a/switchline/fleet/probing.py
+++ b/switchline/fleet/membership/probing.py
@@ -1,7 +1,7 @@
 """SWIM's failure detector: direct probes, indirect probes on others' behalf, and their timeouts. Pure.
 
 A member is pinged; without an answer some helpers are asked to ping it (ping-req); without any answer it is
-suspected (`switchline.fleet.suspicion`). Helpers answer with a nack where they have none either (Lifeguard),
+suspected (`suspicion`). Helpers answer with a nack where they have none either (Lifeguard),
 so that missing nacks tell a member that it misses messages itself.
 """
 
@@ -12,7 +12,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from switchline.fleet.members import Address, Member, Members
+from switchline.fleet.membership.member import Address, Member
+from switchline.fleet.membership.members import Members
 from switchline.fleet.messages import Datagram, MemberState, MemberUpdate, MessageKind
 
 PROBE_INTERVAL_S = 0.4
--- a/switchline/fleet/member_sampling.py
+++ b/switchline/fleet/membership/sampling.py
@@ -4,10 +4,8 @@
 
 import random
 from collections.abc import Iterable, Mapping
-from typing import TYPE_CHECKING
 
-if TYPE_CHECKING:
-    from switchline.fleet.members import Member
+from switchline.fleet.membership.member import Member
 
 HEARD_LATELY_S = (
     3.0  # since a member's last message: in a fleet of any size some dozen are heard in that time
--- a/switchline/fleet/suspicion.py
+++ b/switchline/fleet/membership/suspicion.py
@@ -4,7 +4,7 @@
 local health that lengthens the own timeouts, and suspicions that end sooner the more members share them.
 
 A member is suspected once neither it nor those that were asked to probe it have answered
-(`switchline.fleet.probing`). It is dead `suspicion_timeout_s` later unless it refutes the suspicion, with one
+(`probing`). It is dead `suspicion_timeout_s` later unless it refutes the suspicion, with one
 more probe (`RECHECK_S`) where few share it. The dead, and those that left, are forgotten after `FORGET_S`.
 """
 
--- a/switchline/fleet/quarantine.py
+++ b/switchline/fleet/versions/quarantine.py
@@ -17,9 +17,9 @@
 from switchline.fleet.endpoint import ProtocolEndpoint
 from switchline.fleet.fact_kinds import FactKind
 from switchline.fleet.facts import Facts
-from switchline.fleet.members import Members
+from switchline.fleet.membership.members import Members
 from switchline.fleet.messages import Incarnation, MemberState
-from switchline.fleet.staleness import VersionFloors, VersionKind, parse_list_number, seq_or_no_list
+from switchline.fleet.versions.staleness import VersionFloors, VersionKind, parse_list_number, seq_or_no_list
 
 MEMBERS_PER_QUARANTINED = 5  # of so many members one may be quarantined
 RECOVERY_S = 3.0  # up to date for so long before it is back; twice as long for each time
--- a/switchline/fleet_runtime/list_repair.py
+++ b/switchline/fleet_runtime/list_repair.py
@@ -15,7 +15,7 @@
 from switchline.fleet.endpoint import ProtocolEndpoint
 from switchline.fleet.fact_kinds import FactKind
 from switchline.fleet.messages import EndpointList, Exchange, Wanted
-from switchline.fleet.staleness import (
+from switchline.fleet.versions.staleness import (
     StaleListWatch,
     agreed_changes,
     parse_list_number,
--- a/switchline/fleet_runtime/recovery/backend_list.py
+++ b/switchline/fleet_runtime/recovery/backend_list.py
@@ -14,7 +14,7 @@
 from switchline.discovery.client import Discovery
 from switchline.discovery.endpoint_list import DiscoveryError, MemberList, read_list
 from switchline.fleet.messages import MAX_LISTED_HOSTS, EndpointList, ListedHost
-from switchline.fleet.staleness import binding_changes, removes_all, seq_or_no_list
+from switchline.fleet.versions.staleness import binding_changes, removes_all, seq_or_no_list
 from switchline.policy import interface as api
 from switchline.service.audit_trail import RecordVersion, record_nothing
 from switchline.service.driver import Driver
--- a/switchline/fleet_runtime/recovery/coordinator.py
+++ b/switchline/fleet_runtime/recovery/coordinator.py
@@ -26,7 +26,7 @@
     decode_downtime,
     judge_outage,
 )
-from switchline.fleet.staleness import seq_or_no_list
+from switchline.fleet.versions.staleness import seq_or_no_list
 from switchline.fleet_runtime.recovery.backend_list import ListRecovery
 from switchline.fleet_runtime.recovery.overrides import OverrideRecovery
 from switchline.fleet_runtime.recovery.spending import SpendingRecovery
--- a/switchline/fleet_runtime/recovery/overrides.py
+++ b/switchline/fleet_runtime/recovery/overrides.py
@@ -8,7 +8,7 @@
 
 from switchline.fleet.endpoint import ProtocolEndpoint
 from switchline.fleet.facts import Facts, StoredFact
-from switchline.fleet.members import Members
+from switchline.fleet.membership.members import Members
 from switchline.fleet.outage import DOWNTIME_PUBLISHED_S
 from switchline.operators.overrides import OperatorOverrides, OverrideChange
 
--- a/switchline/fleet_runtime/status.py
+++ b/switchline/fleet_runtime/status.py
@@ -20,7 +20,7 @@
         "fleet.facts": len(node.facts.table),
         "fleet.minority": int(members.minority),
         "fleet.quiet": int(members.superseded),
-        "fleet.sent": node.sent,
+        "fleet.sent": node.outbox.sent,
         "fleet.received": node.received,
         "fleet.dropped": sum(node.refused.values()),
     }
--- a/switchline/fleet_runtime/transport.py
+++ b/switchline/fleet_runtime/transport.py
@@ -18,7 +18,7 @@
 from switchline.fleet.endpoint import ProtocolEndpoint
 from switchline.fleet.facts import FactLimitError
 from switchline.fleet.frames import FrameCodec
-from switchline.fleet.members import alive_claim
+from switchline.fleet.membership.member import alive_claim
 from switchline.fleet.messages import Incarnation
 from switchline.fleet_runtime.exchange import ExchangePeer
 
--- a/switchline/fleet_runtime/version_watch.py
+++ b/switchline/fleet_runtime/version_watch.py
@@ -10,8 +10,8 @@
 
 from switchline.clock import now_ms
 from switchline.fleet.endpoint import ProtocolEndpoint
-from switchline.fleet.quarantine import Quarantine, StalenessView
-from switchline.fleet.staleness import VersionDivergence, parse_floors
+from switchline.fleet.versions.quarantine import Quarantine, StalenessView
+from switchline.fleet.versions.staleness import VersionDivergence, parse_floors
 from switchline.fleet_runtime.list_repair import ListRepair
 from switchline.policy import interface as api
 from switchline.service.audit_trail import LEASED_QUOTA, AuditTrail
--- a/switchline/service/calls/overrides.py
+++ b/switchline/service/calls/overrides.py
@@ -142,7 +142,7 @@
             case OverrideKind.SPARED_GATEWAY:
                 return self.fleet.knows(name)
             case OverrideKind.VERSION_FLOOR:
-                from switchline.fleet.staleness import parse_floors
+                from switchline.fleet.versions.staleness import parse_floors
 
                 return bool(parse_floors([name]))
 
--- a/switchline/zones/__init__.py
+++ b/switchline/zones/__init__.py
@@ -6,14 +6,14 @@
 
 The path of a decision, and the module of each step:
 
-1. `reports`: each gateway publishes what it observed in a zone that is in question.
+1. `reports`, `publisher`: each gateway publishes what it observed in a zone that is in question.
 2. `evidence`: reports are pooled; of each backend the latest observation counts.
 3. `leaving`: when a zone that is used is left.
 4. `returning`: when a zone that was left is entered again, and each step of that ramp.
 5. `ramp`: how a ramp's rate is divided among the gateways.
-6. `decision`: the wire form of a decision, and the directive that the policy follows.
-7. `agreement`: one gateway's part in all of it.
-8. `coordination`: joins the agreement with the running gateway; `stored_decisions`: decisions on disk.
+6. `decision`: the form of a decision on the wire and on disk, and the directive that the policy follows.
+7. `agreement`: one gateway's part in all of it, with what it keeps (`progress`) and reckons (`capacity`).
+8. `coordination`: joins the agreement with the running gateway.
 
 Settings that change it: the gateway's `zone` (whose gateways decide together), `start_capacity` and
 `warm_within` (first share and length of a ramp), the table `fleet` (without it each gateway acts on its own
--- a/switchline/zones/agreement.py
+++ b/switchline/zones/agreement.py
@@ -9,12 +9,11 @@
 import math
 import random
 from collections.abc import Mapping, Sequence
-from dataclasses import dataclass, field
 
 from switchline.fleet.endpoint import ProtocolEndpoint
 from switchline.fleet.fact_kinds import FactKind
 from switchline.fleet.facts import Facts
-from switchline.fleet.messages import MemberState
+from switchline.zones.capacity import loads_by_place, remaining_backends
 from switchline.zones.decision import (
     RAMP_STEPS,
     Directive,
@@ -25,7 +24,7 @@
     encode_decision,
     version_on,
 )
-from switchline.zones.evidence import PooledEvidence, pool_reports
+from switchline.zones.evidence import pool_reports
 from switchline.zones.leaving import (
     CONFIRMATION_S,
     FLAP_WINDOW_S,
@@ -33,11 +32,11 @@
     is_panic,
     leave_decision,
 )
+from switchline.zones.progress import ZoneCase, ZoneProgress
 from switchline.zones.publisher import PUBLISH_GAP_S, Evaluation, ReportPublisher
 from switchline.zones.ramp import backend_range, ramp_directive
-from switchline.zones.reports import LocalObservation, ReceivedReport, decode_load
+from switchline.zones.reports import LocalObservation, ReceivedReport
 from switchline.zones.returning import (
-    AnswerWatch,
     RampBasis,
     RampWatch,
     SlowStart,
@@ -49,71 +48,9 @@
 DECISION_JITTER_S = 0.3  # at most, until a decision that is not urgent is written: one gateway is enough
 STALL_GAP_S = 1.0  # a gap between two evaluations from which on this process stood still
 STALL_RECOVERY_S = 0.6  # after it: news has arrived by then
-DEAD_KEEPS_PART_S = 30.0  # dead for so long: a gateway has ended, or is cut off from its clients too
 FOLLOWED_PUBLISHED_S = 60.0  # a decision that a zone is up again is published as followed for so long
 
 
-@dataclass(slots=True)
-class ZoneProgress:
-    """What this gateway keeps of one zone between evaluations. Times are seconds.
-
-    Attributes:
-        ramp: Of the zone's return.
-        answers: Of the tests of the zone while it is left.
-        version: Of the decision that holds; -1 before the first evaluation.
-        version_at_s: When this gateway heard of it.
-        failing_since_s: Since when the evidence is enough to leave the zone.
-        left_since_s: Since when the zone is left.
-        waiting_since_s: Since when the zone could return, but for the other zones of its region.
-        write_at_s: When this gateway writes the decision that is due, unless another has.
-    """
-
-    ramp: RampWatch
-    answers: AnswerWatch = field(default_factory=AnswerWatch)
-    version: int = -1
-    version_at_s: float = 0.0
-    failing_since_s: float | None = None
-    left_since_s: float | None = None
-    waiting_since_s: float | None = None
-    write_at_s: float | None = None
-
-    def version_changed(self, version: int, state: ZoneState, now_s: float) -> None:
-        """Begin anew what depends on the decision that holds."""
-        self.version = version
-        self.version_at_s = now_s
-        self.write_at_s = None
-        self.failing_since_s = None
-        self.ramp.state_changed(state)
-        if state != ZoneState.LEFT:
-            self.left_since_s = None
-            self.waiting_since_s = None
-        elif self.left_since_s is None:
-            self.left_since_s = now_s
-
-
-@dataclass(frozen=True, slots=True)
-class ZoneCase:
-    """One zone in question, as it is evaluated.
-
-    Attributes:
-        zone: Its name.
-        decision: The decision that holds.
-        progress: What is kept of it.
-        observation: What this gateway observes there.
-        reports: All gateways' reports, without those that are too old for the decision that holds.
-        ours: The pooled evidence of the own zone's gateways.
-        alone: Whether no other gateway of the own zone is present.
-    """
-
-    zone: str
-    decision: ZoneDecision
-    progress: ZoneProgress
-    observation: LocalObservation
-    reports: Sequence[ReceivedReport]
-    ours: PooledEvidence
-    alone: bool
-
-
 class ZoneAgreement:
     """Owns one gateway's part in what the fleet decides on zones."""
 
@@ -271,7 +208,9 @@
         recent = now_s - progress.version_at_s < FLAP_WINDOW_S
         excused = progress.ramp.lost if recent else frozenset[str]()
         evidence = evidence_to_leave(case.ours, case.reports, case.observation.usable, case.alone)
-        if evidence is None or evidence.lost <= excused or self._is_panic(evaluation, case.zone):
+        remaining = remaining_backends(evaluation.facts, self.zone, case.zone, evaluation.observations)
+        total = sum(observation.usable for observation in evaluation.observations.values())
+        if evidence is None or evidence.lost <= excused or is_panic(remaining, total):
             progress.failing_since_s = None
             return
         if progress.failing_since_s is None:
@@ -294,9 +233,9 @@
             return
         if self._is_own_turn(progress, evaluation.now_s):
             basis = RampBasis(
-                self._loads(evaluation.endpoint, evaluation.now_s),
+                loads_by_place(evaluation.endpoint, self.zone, self.place, self.places, evaluation.now_s),
                 self.places,
-                self._remaining_backends(evaluation, case.zone),
+                remaining_backends(evaluation.facts, self.zone, case.zone, evaluation.observations),
             )
             decision = first_ramp_decision(
                 case.observation, case.ours, case.decision.flaps, basis, self.slow_start
@@ -347,32 +286,6 @@
             evaluation.endpoint.gossip_now()
             self.progress[zone].write_at_s = None
 
-    def _loads(self, endpoint: ProtocolEndpoint, now_s: float) -> dict[int, float]:
-        """Return by place the load of each gateway of the own zone that has not surely ended."""
-        facts, loads = endpoint.facts, dict[int, float]()
-        for name, member in endpoint.members.others.items():
-            ended = member.state is MemberState.DEAD and now_s - member.since > DEAD_KEEPS_PART_S
-            gone = ended or member.state is MemberState.LEFT
-            if not gone and facts.value(FactKind.ZONE, "", name) == self.zone:
-                place = facts.place(name)
-                if place is not None and place < self.places:
-                    loads[place] = decode_load(facts.value(FactKind.LOAD, "", name))
-        loads[self.place] = decode_load(facts.value(FactKind.LOAD, "", endpoint.members.me.name))
-        return loads
-
-    def _is_panic(self, evaluation: Evaluation, zone: str) -> bool:
-        """Return whether too few backends would remain without a zone."""
-        total = sum(observation.usable for observation in evaluation.observations.values())
-        return is_panic(self._remaining_backends(evaluation, zone), total)
-
-    def _remaining_backends(self, evaluation: Evaluation, without: str) -> int:
-        """Return the number of backends of the zones that are in use, without one zone."""
-        return sum(
-            observation.usable
-            for zone, observation in evaluation.observations.items()
-            if zone != without and self.decision(evaluation.facts, zone).state == ZoneState.UP
-        )
-
     # Directives.
 
     def _directive(
@@ -398,7 +311,7 @@
                 return Directive(ZoneState.UP)
             case ZoneState.RETURNING:
                 backends = backend_range(decision.parts, self.place, self.places)
-                remaining = self._remaining_backends(evaluation, zone)
+                remaining = remaining_backends(facts, self.zone, zone, evaluation.observations)
                 stalled = evaluation.now_s - self._woke_s < STALL_RECOVERY_S
                 return ramp_directive(decision, remaining, self.slow_start.least, backends, stalled)
         if members.minority:
--- a/switchline/zones/coordination.py
+++ b/switchline/zones/coordination.py
@@ -22,11 +22,10 @@
 from switchline.policy import interface as api
 from switchline.service.driver import Driver, zone_metric_name
 from switchline.zones.agreement import ZoneAgreement
-from switchline.zones.decision import NO_DIRECTIVE, Directive, ZoneState, decision_name
+from switchline.zones.decision import NO_DIRECTIVE, Directive, Row, ZoneState, decision_name, from_row, to_row
 from switchline.zones.ramp import backend_range
 from switchline.zones.reports import BACKEND_ID_DIGITS, LocalObservation
 from switchline.zones.returning import SlowStart
-from switchline.zones.stored_decisions import Row, from_row, to_row
 
 log = logging.getLogger(__name__)
 
--- a/switchline/zones/decision.py
+++ b/switchline/zones/decision.py
@@ -1,16 +1,16 @@
-"""Decisions of one zone's gateways on another zone: the wire form, and the directive that follows. Pure."""
+"""Decisions of one zone's gateways on another: on the wire, on disk, and as the policy follows them. Pure."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import StrEnum
-from typing import Annotated
+from typing import Annotated, Any
 
 import msgspec
 
 from switchline.fleet.fact_kinds import FactKind
 from switchline.fleet.facts import Facts
-from switchline.fleet.messages import MAX_VALUE_CHARS
+from switchline.fleet.messages import MAX_VALUE_CHARS, Entry
 
 RAMP_STEPS = 8
 MAX_FLAPS = 2  # the return takes twice as long for each
@@ -18,6 +18,8 @@
 MAX_REASON_CHARS = 80
 MAX_BACKENDS = 100_000
 
+Row = list[Any]  # on disk: origin, both numbers of its incarnation, version, time (ms), value
+
 Rate = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
 
 
@@ -107,3 +109,30 @@
 def version_on(facts: Facts, observers: str, zone: str) -> int:
     """Return the version of that decision; 0 where none was ever made."""
     return facts.version(FactKind.ZONE_DECISION, decision_name(observers, zone))
+
+
+def to_row(entry: Entry) -> Row:
+    """Return a decision as the value of its row."""
+    return [entry.origin, *entry.incarnation, entry.version, entry.at, entry.value]
+
+
+def from_row(name: str, row: Row) -> Entry | None:
+    """Return the decision in a row; None for what is none.
+
+    A ramp is not resumed, as what the zone's backends bore before is not known to hold: the zone is left, and
+    tested anew. Where other gateways go on with that version, theirs overrides this one.
+    """
+    try:
+        origin, began, lot, version, at, value = row
+        decision = decode_decision(str(value))
+        if decision.state == ZoneState.RETURNING:
+            reason = "kept on disk: the return is begun anew"
+            decision = ZoneDecision(ZoneState.LEFT, flaps=decision.flaps, reason=reason)
+        incarnation = int(began), int(lot)
+        encoded = msgspec.json.encode(decision).decode()
+        entry = Entry(
+            FactKind.ZONE_DECISION, name, str(origin), incarnation, int(version), float(at), encoded
+        )
+        return msgspec.convert(msgspec.to_builtins(entry), Entry)  # checks the ranges of the fields
+    except (ValueError, TypeError):
+        return None
--- a/switchline/zones/publisher.py
+++ b/switchline/zones/publisher.py
@@ -10,7 +10,7 @@
 from switchline.fleet.fact_kinds import FactKind
 from switchline.fleet.facts import Facts
 from switchline.fleet.messages import Entry
-from switchline.fleet.quarantine import quarantined_members
+from switchline.fleet.versions.quarantine import quarantined_members
 from switchline.zones.decision import ZoneState, decode_decision, target_of
 from switchline.zones.reports import (
     EMPTY_REPORT,
--- a/testbed/network/fleet_link.py
+++ b/testbed/network/fleet_link.py
@@ -8,10 +8,10 @@
 from collections import Counter as Counts
 from collections.abc import Callable, Iterable
 
+from switchline.fleet.dissemination.gossip_queue import GossipQueue
 from switchline.fleet.endpoint import ProtocolEndpoint
 from switchline.fleet.frames import FrameCodec
-from switchline.fleet.gossip_queue import GossipQueue
-from switchline.fleet.members import Address, Member, alive_claim
+from switchline.fleet.membership.member import Address, Member, alive_claim
 from switchline.fleet.messages import Entry, Incarnation, MemberState, MemberUpdate
 
 WALL_MS = 1.8e12
@@ -147,7 +147,7 @@
         return True
 
     def _listen(self, node: ProtocolEndpoint) -> None:
-        tell = node.queue_update
+        tell = node.outbox.queue_update
 
         def changed(rumor: MemberUpdate) -> None:
             if rumor.name == self.watched and rumor.state is MemberState.DEAD:
@@ -197,7 +197,7 @@
         members.others = {r.name: Member(r, net.now, net.now) for r in rumors if r is not members.me}
         members.present.clear()
         members.present.update(members.others)
-        node.queue = GossipQueue()
+        node.outbox.queue = GossipQueue()
 
 
 def fleet(size: int, seed: int, settle_s: float = 20.0, met: bool = False) -> Net:
--- a/tests/audit/test_audit.py
+++ b/tests/audit/test_audit.py
@@ -18,11 +18,11 @@
 from switchline import ctl
 from switchline.audit import queries as audit_queries
 from switchline.audit import sources as audit_sources
+from switchline.audit.chain import FIRST, GAP, Head, Record, read, verify, write
 from switchline.audit.recorder import MAX_RECENT_RECORDS, Audit
 from switchline.audit.segments import MAX_SEGMENTS, AuditError, Segments, segment_paths, text_lines
 from switchline.audit.writer import AuditWriter
 from switchline.config import ConfigError, parse_audit, parse_config
-from switchline.fleet.chain import FIRST, GAP, Head, Record, read, verify, write
 from switchline.fleet.hybrid_clock import MAX_AHEAD_MS, HybridClock
 from testbed.fixture import Plays
 
--- a/tests/fleet/test_fleet_protocol.py
+++ b/tests/fleet/test_fleet_protocol.py
@@ -25,7 +25,8 @@
     Facts,
 )
 from switchline.fleet.frames import PROTOCOL_VERSION, FrameCodec, FrameRefusedError, ReplayWindow
-from switchline.fleet.members import Members
+from switchline.fleet.membership.members import Members
+from switchline.fleet.membership.suspicion import FORGET_S
 from switchline.fleet.messages import (
     MAX_DATAGRAM_BYTES,
     Datagram,
@@ -36,7 +37,6 @@
     MessageKind,
     Wanted,
 )
-from switchline.fleet.suspicion import FORGET_S
 from testbed.network.fleet_link import SEAL, WALL_MS, Net, address_of, fleet
 
 LIFE = (5, 1)
@@ -380,7 +380,7 @@
     net = fleet(3, 10)
     node, other = net.nodes[address_of(0)], net.nodes[address_of(1)]
     other.tell(net.wall(address_of(1)), "x", "", "1")
-    other.send(address_of(0), MessageKind.GOSSIP)
+    other.outbox.send(address_of(0), MessageKind.GOSSIP)
     frame = other.take_datagrams()[-1][1]
     assert node.receive_datagram(net.now, WALL_MS, frame) and not node.receive_datagram(
         net.now, WALL_MS, frame
@@ -398,7 +398,7 @@
     for number in range(MAX_ENTRIES_OF_ORIGIN):
         node.tell(WALL_MS, "kind" * 10, "n" * 50 + str(number), "\u20ac" * 400)
     for _ in range(30):
-        node.send(address_of(1), MessageKind.GOSSIP)
+        node.outbox.send(address_of(1), MessageKind.GOSSIP)
     assert max(len(frame) for _, frame in node.take_datagrams()) <= MAX_DATAGRAM_BYTES
 
 
--- a/tests/fleet/test_outage.py
+++ b/tests/fleet/test_outage.py
@@ -17,7 +17,7 @@
 from switchline import ctl
 from switchline.fleet.messages import EndpointList, Entry, Exchange, ListedHost, RemainingQuota, Wanted
 from switchline.fleet.outage import OLD_DISK_S, decode_downtime, judge_outage
-from switchline.fleet.staleness import binding_changes
+from switchline.fleet.versions.staleness import binding_changes
 from switchline.fleet_runtime.recovery import spending
 from switchline.fleet_runtime.recovery.backend_list import DOUBT_S
 from switchline.fleet_runtime.recovery.coordinator import FleetRecovery
--- a/tests/fleet/test_quarantine.py
+++ b/tests/fleet/test_quarantine.py
@@ -13,8 +13,9 @@
 
 from switchline.config import parse_fleet
 from switchline.fleet.fact_kinds import FactKind
-from switchline.fleet.members import Address, Members
-from switchline.fleet.quarantine import (
+from switchline.fleet.membership.member import Address
+from switchline.fleet.membership.members import Members
+from switchline.fleet.versions.quarantine import (
     GRANT_DELAY_S,
     MEMBERS_PER_QUARANTINED,
     RECOVERY_S,
@@ -24,7 +25,7 @@
     grants_of_each,
     max_quarantined,
 )
-from switchline.fleet.staleness import VersionFloors, parse_floors
+from switchline.fleet.versions.staleness import VersionFloors, parse_floors
 from testbed.fixture import Plays
 from testbed.network.fleet_link import Net, acquaint, address_of
 
--- a/tests/fleet/test_staleness.py
+++ b/tests/fleet/test_staleness.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from switchline.fleet.messages import EndpointList, Exchange, ListedHost
-from switchline.fleet.staleness import (
+from switchline.fleet.versions.staleness import (
     DIVERGENT_S,
     STALE_AFTER_S,
     StaleListWatch,
--- a/tests/zones/test_zone_agreement.py
+++ b/tests/zones/test_zone_agreement.py
@@ -23,14 +23,14 @@
 from switchline.policy import Gateway
 from switchline.policy import interface as api
 from switchline.state.restore import is_valid_zone_decision
-from switchline.zones.agreement import DEAD_KEEPS_PART_S, ZoneAgreement
-from switchline.zones.decision import RAMP_STEPS, ZoneDecision, decode_decision
+from switchline.zones.agreement import ZoneAgreement
+from switchline.zones.capacity import DEAD_KEEPS_PART_S, loads_by_place
+from switchline.zones.decision import RAMP_STEPS, ZoneDecision, decode_decision, from_row, to_row
 from switchline.zones.evidence import pool_reports
 from switchline.zones.leaving import CONFIRMATION_S, evidence_to_leave
 from switchline.zones.ramp import backend_range, parts_by_load, share_at
 from switchline.zones.reports import LocalObservation, PublishedReport, ReceivedReport, decode_report
 from switchline.zones.returning import SlowStart
-from switchline.zones.stored_decisions import from_row, to_row
 from testbed.network.fleet_link import Net, acquaint, address_of
 
 ZONES = {"a": 8, "b": 8, "c": 8}
@@ -362,13 +362,10 @@
     net.run(5.0)
     net.remove(2)
     net.run(6.0)
-    node, agreement = (
-        net.nodes[address_of(0)],
-        ZoneAgreement("a", 0, 3, SlowStart(0.2, 16.0), random.Random(1)),
-    )
+    node = net.nodes[address_of(0)]
     assert node.members.others["g2"].state is MemberState.DEAD
-    assert set(agreement._loads(node, net.now)) == {0, 1, 2}
-    assert set(agreement._loads(node, net.now + DEAD_KEEPS_PART_S)) == {0, 1}
+    assert set(loads_by_place(node, "a", 0, 3, net.now)) == {0, 1, 2}
+    assert set(loads_by_place(node, "a", 0, 3, net.now + DEAD_KEEPS_PART_S)) == {0, 1}
 
 
 def test_a_ramp_that_began_without_load_still_lets_work_in() -> None:
