--- a/switchline/audit/ctl.py
+++ b/switchline/audit/ctl.py
@@ -23,7 +23,7 @@
 from rich.table import Table
 
 from switchline.audit import queries
-from switchline.audit.chain import GAP, Head, Record
+from switchline.audit.chain import GAP_KIND, Head, Record
 from switchline.audit.sources import Readings, Source, audits_by_gateway, missing_end, read_all
 
 KINDS = ("list", "config", "program", "ban", "zone ban", "zone", "quota", "format", "stage", "ready")
@@ -153,7 +153,7 @@
             "kind": subject.kind,
             "of": subject.name,
             "version": record.version,
-            "since": format_wall(record.wall),
+            "since": format_wall(record.wall_ms),
         }
         for name, records in sorted(audits_by_gateway(readings.found).items())
         for subject, record in sorted(queries.versions_at(records, wall).items())
@@ -170,10 +170,10 @@
     readings = read_all(sources)
     rows = [
         {
-            "at": format_wall(record.wall),
-            "order": f"{record.at[0]}.{record.at[1]}",
+            "at": format_wall(record.wall_ms),
+            "order": f"{record.timestamp[0]}.{record.timestamp[1]}",
             "gateway": record.name,
-            "what": f"{record.kind} {record.of}".strip(),
+            "what": f"{record.kind} {record.subject}".strip(),
             "version": record.version,
             "cause": record.cause,
         }
@@ -202,9 +202,11 @@
 def finding_rows(source: Source, heads: Mapping[str, Head]) -> list[Row]:
     """Return a row for each fault of a folder's chain, and for each gap."""
     findings = source.findings + missing_end(source, heads)
-    texts = [f"{finding.segment}:{finding.line}: {finding.what}" for finding in findings]
-    gaps = [record for record in source.records if record.kind == GAP]
-    texts += [f"gap before record {gap.n}: {gap.counts.get('lost', 0)} lost, {gap.cause}" for gap in gaps]
+    texts = [f"{finding.segment}:{finding.line}: {finding.problem}" for finding in findings]
+    gaps = [record for record in source.records if record.kind == GAP_KIND]
+    texts += [
+        f"gap before record {gap.number}: {gap.counts.get('lost', 0)} lost, {gap.cause}" for gap in gaps
+    ]
     return [{"gateway": source.name, "records": len(source.records), "found": text} for text in texts]
 
 
@@ -231,10 +233,10 @@
         for name, records in sorted(audits.items())
     }
     versions = sorted({record.version for records in taken.values() for record in records})
-    start_ms = min((record.wall for records in audits.values() for record in records), default=0.0)
+    start_ms = min((record.wall_ms for records in audits.values() for record in records), default=0.0)
     figure, axes = pyplot.subplots(figsize=(10, 5))
     for name, records in taken.items():
-        times_s = [(record.wall - start_ms) / 1000 for record in records]
+        times_s = [(record.wall_ms - start_ms) / 1000 for record in records]
         heights = [versions.index(record.version) for record in records]
         axes.step(times_s, heights, where="post", label=name, alpha=0.7)
     axes.set_yticks(range(len(versions)), versions)
--- a/switchline/audit/queries.py
+++ b/switchline/audit/queries.py
@@ -62,15 +62,15 @@
 
 def causal_order_key(record: Record) -> tuple[int, int, str, int]:
     """Return the place of a record in the fleet's order: its stamp, then its gateway and number."""
-    return (*record.at, record.name, record.n)
+    return (*record.timestamp, record.name, record.number)
 
 
 def versions_at(records: Iterable[Record], wall: float) -> dict[Subject, Record]:
     """Return what a gateway acted on at a moment, in milliseconds of wall time."""
     found: dict[Subject, Record] = {}
     for record in records:
-        if record.wall <= wall and record.version:
-            found[Subject(record.kind, record.of)] = record
+        if record.wall_ms <= wall and record.version:
+            found[Subject(record.kind, record.subject)] = record
     return found
 
 
@@ -97,7 +97,7 @@
 def holdings_of_subject(name: str, holders: Mapping[str, Record], gateways: int, now: float) -> list[Holding]:
     """Return the holdings of one subject; `gateways` counts those without a version as well."""
     usual = most_common_version(record.version for record in holders.values())
-    taken = sorted(record.wall for record in holders.values() if record.version == usual)
+    taken = sorted(record.wall_ms for record in holders.values() if record.version == usual)
     # A gateway is behind from the moment at which more than half of all had the usual version.
     majority_at = taken[gateways // 2] if len(taken) > gateways // 2 else None
     found = []
@@ -105,7 +105,7 @@
         behind_s = None
         if majority_at is not None and record.version != usual:
             behind_s = max(0.0, now - majority_at) / 1000
-        found.append(Holding(gateway, name, record.version, record.wall, behind_s))
+        found.append(Holding(gateway, name, record.version, record.wall_ms, behind_s))
     return found
 
 
@@ -128,10 +128,10 @@
         for record in records:
             if record.kind == kind and version in (record.version, record.version.partition(" ")[0]):
                 first_records.setdefault(name, record)
-    taken = sorted(first_records.values(), key=lambda record: record.wall)
-    first_wall = taken[0].wall if taken else 0.0
+    taken = sorted(first_records.values(), key=lambda record: record.wall_ms)
+    first_wall = taken[0].wall_ms if taken else 0.0
     return [
-        Adoption(record.name, record.wall, (record.wall - first_wall) / 1000, record.cause)
+        Adoption(record.name, record.wall_ms, (record.wall_ms - first_wall) / 1000, record.cause)
         for record in taken
     ]
 
@@ -143,7 +143,7 @@
 
 def concerns(record: Record, name: str) -> bool:
     """Return whether a record is of a backend or a zone, or names it as the cause of an act."""
-    if record.of == name or name in record.of.split(ZONE_SEPARATOR):
+    if record.subject == name or name in record.subject.split(ZONE_SEPARATOR):
         return True
     words = record.cause.replace(":", " ").replace(",", " ").split()
     return record.kind in ACTS_NAMED_IN_CAUSE and name in words
--- a/switchline/audit/recorder.py
+++ b/switchline/audit/recorder.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from switchline.audit.chain import GAP, LONGEST_TEXT, MOST_COUNTS, Head, Record
+from switchline.audit.chain import GAP_KIND, MAX_COUNTS, MAX_TEXT_CHARS, Head, Record
 from switchline.audit.queries import Subject
 from switchline.audit.writer import AuditWriter
 from switchline.clock import now_ms
@@ -123,32 +123,32 @@
         wall = now_ms()
         own = round(time.monotonic() - self.started_s, 3)
         # A gap is recorded in the writer's thread, which may not move the event loop's clock.
-        stamp = self.clock.last if change.kind == GAP else self.clock.next(wall)
+        stamp = self.clock.last if change.kind == GAP_KIND else self.clock.next(wall)
         return Record(
-            n=0,  # numbered as it is written
+            number=0,  # numbered as it is written
             name=self.name,
-            life=self.incarnation,
-            at=stamp,
-            wall=round(wall, 3),
-            own=own,
-            kind=change.kind[:LONGEST_TEXT],
-            of=change.subject[:LONGEST_TEXT],
-            version=change.version[:LONGEST_TEXT],
-            before=change.version_before[:LONGEST_TEXT],
-            cause=change.cause[:LONGEST_TEXT],
+            incarnation=self.incarnation,
+            timestamp=stamp,
+            wall_ms=round(wall, 3),
+            uptime_s=own,
+            kind=change.kind[:MAX_TEXT_CHARS],
+            subject=change.subject[:MAX_TEXT_CHARS],
+            version=change.version[:MAX_TEXT_CHARS],
+            version_before=change.version_before[:MAX_TEXT_CHARS],
+            cause=change.cause[:MAX_TEXT_CHARS],
             counts=counts,
         )
 
     def _new_counts(self) -> dict[str, int]:
         """Return the outcomes of requests since the last record that had counts."""
-        counts = dict(list(self.outcome_counts().items())[:MOST_COUNTS])
+        counts = dict(list(self.outcome_counts().items())[:MAX_COUNTS])
         new = {outcome: number - self.reported_counts.get(outcome, 0) for outcome, number in counts.items()}
         self.reported_counts = counts
         return {outcome: number for outcome, number in new.items() if number}
 
     def _gap_record(self, cause: str, lost: int) -> Record:
         """Return the record that stands for lost ones; called in the writer's thread."""
-        return self._build(Change(GAP, cause=cause), {"lost": lost})
+        return self._build(Change(GAP_KIND, cause=cause), {"lost": lost})
 
     def _on_progress(self, head: Head, writing: bool) -> None:
         """Note the writer's progress; called in its thread, so each attribute is set by one assignment."""
--- a/switchline/audit/segments.py
+++ b/switchline/audit/segments.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from switchline.audit.chain import FIRST, LONGEST_LINE, Head, Record, read, write
+from switchline.audit.chain import FIRST_DIGEST, MAX_LINE_CHARS, Head, Record, decode_line, encode_line
 
 LOCK_FILE = "audit.lock"
 SEGMENT_FILE = "audit-{:08d}.log"
@@ -36,7 +36,7 @@
 def raw_lines(path: Path) -> Iterator[bytes]:
     """Yield the lines of a segment with their ends; an endless one is cut into pieces."""
     with path.open("rb") as file:
-        while line := file.readline(LONGEST_LINE + 1):
+        while line := file.readline(MAX_LINE_CHARS + 1):
             yield line
 
 
@@ -59,7 +59,7 @@
 
     def __init__(self, folder: Path, name: str) -> None:
         self.folder = folder
-        self.head = Head(0, FIRST)
+        self.head = Head(0, FIRST_DIGEST)
         self.bytes_cut = 0  # of a torn record at the end
         folder.mkdir(parents=True, exist_ok=True)
         self.lock_fd = os.open(folder / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -96,13 +96,13 @@
         for raw in raw_lines(path):
             size += len(raw)  # counted in bytes: replaced ones would be longer as text
             line = raw.decode(errors="replace")
-            if not line.endswith("\n") or (found := read(line)) is None:
+            if not line.endswith("\n") or (found := decode_line(line)) is None:
                 continue
             record, _, digest = found
             if record.name != name:
                 raise AuditError(f"the folder holds the audit of {record.name!r}")
             sound_bytes = size
-            self.head = Head(record.n, digest)
+            self.head = Head(record.number, digest)
         return sound_bytes
 
     def _cut(self, path: Path, sound_bytes: int) -> None:
@@ -124,8 +124,8 @@
         """
         if self.size >= MAX_SEGMENT_BYTES:
             self._rotate()
-        number = self.head.n + 1
-        line, digest = write(msgspec.structs.replace(record, n=number), self.head.sum)
+        number = self.head.number + 1
+        line, digest = encode_line(msgspec.structs.replace(record, number=number), self.head.digest)
         data = line.encode()
         if os.write(self.segment_fd, data) != len(data):
             os.ftruncate(self.segment_fd, self.size)
--- a/switchline/audit/sources.py
+++ b/switchline/audit/sources.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from switchline.audit.chain import Finding, Head, Record, verify
+from switchline.audit.chain import Finding, Head, Record, verify_chain
 from switchline.audit.queries import causal_order_key
 from switchline.audit.segments import segment_paths, text_lines
 from switchline.fleet.messages import HybridTimestamp, Incarnation
@@ -74,7 +74,7 @@
         OSError: it can't be read.
     """
     segments = ((path.name, text_lines(path)) for path in segment_paths(folder))
-    records, findings, last = verify(segments)
+    records, findings, last = verify_chain(segments)
     source = Source(records[0].name if records else folder.name, records, findings, {}, last)
     findings += missing_end(source, heads or {})
     return source
@@ -84,9 +84,9 @@
     """Return a finding if a chain lacks the last record that others were told of."""
     head = heads.get(source.name)
     last = source.last
-    if head is None or (last is not None and (head == last or head.n < last.n)):
+    if head is None or (last is not None and (head == last or head.number < last.number)):
         return []
-    return [Finding("", 0, f"record {head.n}, as others were told of it, is not there")]
+    return [Finding("", 0, f"record {head.number}, as others were told of it, is not there")]
 
 
 def read_address(address: str, with_heads: bool = False) -> Source:
@@ -103,8 +103,8 @@
     reply = fetch(address, "audit")
     recent = msgspec.convert(reply["records"], list[Record])
     current = msgspec.convert(reply["versions"], list[Record])
-    known = {(record.kind, record.of, record.at) for record in recent}
-    older = [record for record in current if (record.kind, record.of, record.at) not in known]
+    known = {(record.kind, record.subject, record.timestamp) for record in recent}
+    older = [record for record in current if (record.kind, record.subject, record.timestamp) not in known]
     heads = fetch_heads(address) if with_heads else {}
     return Source(str(reply["name"]), sorted([*older, *recent], key=causal_order_key), [], heads)
 
@@ -147,6 +147,6 @@
     merged: dict[str, dict[RecordIdentity, Record]] = {}
     for source in found.values():
         for record in source.records:
-            identity = RecordIdentity(record.life, record.at, record.kind, record.of)
+            identity = RecordIdentity(record.incarnation, record.timestamp, record.kind, record.subject)
             merged.setdefault(source.name, {}).setdefault(identity, record)
     return {name: sorted(records.values(), key=causal_order_key) for name, records in merged.items()}
--- a/switchline/audit/writer.py
+++ b/switchline/audit/writer.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from switchline.audit.chain import FIRST, Head, Record
+from switchline.audit.chain import FIRST_DIGEST, Head, Record
 from switchline.audit.segments import AuditError, Segments
 
 log = logging.getLogger(__name__)
@@ -150,4 +150,4 @@
             log.warning("the audit can't be written: %s", cause)
         self.faults += 1
         self._cause = cause
-        self.on_progress(Head(0, FIRST), False)
+        self.on_progress(Head(0, FIRST_DIGEST), False)
--- a/switchline/fleet_runtime/own_facts.py
+++ b/switchline/fleet_runtime/own_facts.py
@@ -34,7 +34,7 @@
         yield PublishedFact("index", "", str(settings.index))
         audit = self.trail.audit
         if audit is not None and audit.writing:
-            yield PublishedFact("audit", "", f"{audit.head.n} {audit.head.sum}")
+            yield PublishedFact("audit", "", f"{audit.head.number} {audit.head.digest}")
 
     def about_overrides(self) -> Iterator[PublishedFact]:
         """What is overridden by hand here, and what was until lately."""
--- a/tests/audit/test_audit.py
+++ b/tests/audit/test_audit.py
@@ -18,7 +18,15 @@
 from switchline import ctl
 from switchline.audit import queries as audit_queries
 from switchline.audit import sources as audit_sources
-from switchline.audit.chain import FIRST, GAP, Head, Record, read, verify, write
+from switchline.audit.chain import (
+    FIRST_DIGEST,
+    GAP_KIND,
+    Head,
+    Record,
+    decode_line,
+    encode_line,
+    verify_chain,
+)
 from switchline.audit.recorder import MAX_RECENT_RECORDS, Audit
 from switchline.audit.segments import MAX_SEGMENTS, AuditError, Segments, segment_paths, text_lines
 from switchline.audit.writer import AuditWriter
@@ -30,14 +38,14 @@
 
 
 def record(n: int, name: str = "g0", wall: float = 0.0, **given: Any) -> Record:
-    made = {"kind": "list", "version": str(n), "own": 0.0, "at": (int(wall) or n, 0)} | given
-    return Record(n=n, name=name, life=LIFE, wall=wall or float(n), **made)
+    made = {"kind": "list", "version": str(n), "uptime_s": 0.0, "timestamp": (int(wall) or n, 0)} | given
+    return Record(number=n, name=name, incarnation=LIFE, wall_ms=wall or float(n), **made)
 
 
-def chain(number: int, start: str = FIRST) -> tuple[list[str], Head]:
+def chain(number: int, start: str = FIRST_DIGEST) -> tuple[list[str], Head]:
     made, before = [], start
     for n in range(1, number + 1):
-        line, before = write(record(n), before)
+        line, before = encode_line(record(n), before)
         made.append(line)
     return made, Head(number, before)
 
@@ -48,9 +56,9 @@
 def test_a_whole_chain_is_good_over_segments_and_from_where_the_oldest_gave_way() -> None:
     made, head = chain(12)
     parts = [("one", made[:5]), ("two", made[5:])]
-    records, wrong, last = verify(parts, head)
-    assert [r.n for r in records] == list(range(1, 13)) and not wrong and last == head
-    assert not verify(parts[1:])[1]
+    records, wrong, last = verify_chain(parts, head)
+    assert [r.number for r in records] == list(range(1, 13)) and not wrong and last == head
+    assert not verify_chain(parts[1:])[1]
 
 
 @settings(max_examples=200, deadline=None)
@@ -75,12 +83,12 @@
             spoilt = [*made[:place], *made[place + 1 :]]
         case _:
             spoilt = [*made[:place], line, *made[place:]]
-    assert verify([("one", spoilt)], head)[1]
+    assert verify_chain([("one", spoilt)], head)[1]
 
 
 @given(st.text(max_size=80))
 def test_what_is_no_line_is_none(text: str) -> None:
-    assert read(text) is None
+    assert decode_line(text) is None
 
 
 # ---- order ----
@@ -120,7 +128,7 @@
 
 
 def found(folder: Path, head: Head | None = None) -> tuple[list[Record], list[Any]]:
-    return verify(((path.name, text_lines(path)) for path in segment_paths(folder)), head)[:2]
+    return verify_chain(((path.name, text_lines(path)) for path in segment_paths(folder)), head)[:2]
 
 
 def test_a_chain_goes_on_after_a_start_and_a_torn_end_is_cut(tmp_path: Path) -> None:
@@ -129,7 +137,7 @@
     for torn in (whole[:-1], whole[: len(whole) - 40], whole + b"\xff{half a rec"):
         segment_paths(tmp_path)[0].write_bytes(torn)
         segments = Segments(tmp_path, "g0")
-        assert segments.bytes_cut and segments.head.n in (2, 3)
+        assert segments.bytes_cut and segments.head.number in (2, 3)
         segments.add(record(0))
         segments.close()
         assert not found(tmp_path)[1]
@@ -153,7 +161,7 @@
         and sum(p.stat().st_size for p in segment_paths(tmp_path)) < 40_000
     )
     records, wrong = found(tmp_path)
-    assert not wrong and records[-1].n == 400 and records[0].n > 1
+    assert not wrong and records[-1].number == 400 and records[0].number > 1
     segment_paths(tmp_path)[7].unlink()
     assert found(tmp_path)[1]
 
@@ -203,7 +211,7 @@
     folder.write_text("no folder")
 
     def gap(why: str, lost: int) -> Record:
-        return record(0, kind=GAP, version="", cause=why, counts={"lost": lost})
+        return record(0, kind=GAP_KIND, version="", cause=why, counts={"lost": lost})
 
     monkeypatch.setattr("switchline.audit.writer.MAX_WAITING", 5)
     writer = AuditWriter(folder, "g0", gap, lambda head, on: heads.append((head, on)))
@@ -216,8 +224,8 @@
     writer.add(record(99))
     writer.close()
     records, wrong = found(folder)
-    assert not wrong and records[0].kind == GAP and records[0].counts["lost"] >= 1
-    assert [r for r in records if r.kind == GAP][0].cause and records[-1].version == "99"
+    assert not wrong and records[0].kind == GAP_KIND and records[0].counts["lost"] >= 1
+    assert [r for r in records if r.kind == GAP_KIND][0].cause and records[-1].version == "99"
     if os.geteuid():  # root writes where it may not
         os.chmod(folder, 0o500)
 
@@ -253,7 +261,7 @@
         "g1": [
             record(1, "g1", 1_100.0, version="1 aa"),
             record(2, "g1", 2_500.0, version="2 bb"),
-            record(3, "g1", 2_600.0, kind="zone", of="a>b", version="1 left", cause="failing"),
+            record(3, "g1", 2_600.0, kind="zone", subject="a>b", version="1 left", cause="failing"),
         ],
         "g2": [record(1, "g2", 1_200.0, version="1 aa")],
     }
@@ -266,7 +274,7 @@
     took = audit_queries.adoptions(audits, "list", "2")
     assert [(one.name, one.after_s) for one in took] == [("g0", 0.0), ("g1", 0.5)]
     assert audit_queries.versions_at(audits["g1"], 2_400.0)["list", ""].version == "1 aa"
-    assert [one.of for one in audit_queries.trace(audits, "b")] == ["a>b"]
+    assert [one.subject for one in audit_queries.trace(audits, "b")] == ["a>b"]
     assert [one.name for one in audit_queries.in_causal_order(audits)] == ["g0", "g1", "g2", "g0", "g1", "g1"]
 
 
@@ -355,14 +363,14 @@
     assert {"g0", "g1", "g2", "g5"} <= took_it.keys() and took_it.get("g3", 9.0) > 5.0  # healed
     kinds = [r.kind for r in audits["g3"]]
     assert "behind" in kinds and "brought up" in kinds
-    banned = {name for name, ones in audits.items() for r in ones if (r.kind, r.of) == ("ban", "b2")}
+    banned = {name for name, ones in audits.items() for r in ones if (r.kind, r.subject) == ("ban", "b2")}
     assert banned == set(audits)
     assert (
-        len({r.life for r in audits["g4"]}) >= 2
+        len({r.incarnation for r in audits["g4"]}) >= 2
         and len([r for r in audits["g4"] if r.kind == "program"]) == 2
     )
     # The one that was called comes before all others in the order: they heard of it from there.
     order = [r.name for r in audit_queries.trace(audits, "b2") if r.kind == "ban"]
     assert order[0] == "g2"
     for one, other in itertools.pairwise(audit_queries.in_causal_order({"g1": audits["g1"]})):
-        assert one.at < other.at
+        assert one.timestamp < other.timestamp
