--- a/switchline/service/calls/overrides.py
+++ b/switchline/service/calls/overrides.py
@@ -9,6 +9,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
+from switchline import log_events
 from switchline.operators.calls import DeferredReply, Reply
 from switchline.operators.overrides import OperatorOverrides, private_file
 from switchline.service.audit_trail import AuditTrail
@@ -63,16 +64,16 @@
         self.parts = parts
         self.trail = trail
         self.persist: Persist | None = None
-        self.by_name: dict[str, OperatorOverrides] = {}
+        self.by_kind: dict[str, OperatorOverrides] = {}
         for kind, form in FORMS.items():
             if kind in LOCAL_KINDS or parts.config.fleet is not None:
                 path = private_file(parts.config.name, form.file_name)
                 changed = partial(self._on_changed, kind)
-                self.by_name[kind.value] = OperatorOverrides(path, parts.timers, changed)
+                self.by_kind[kind.value] = OperatorOverrides(path, parts.timers, changed)
 
     def get(self, kind: OverrideKind) -> OperatorOverrides | None:
         """The overrides of a kind; None where this gateway has none of it."""
-        return self.by_name.get(kind.value)
+        return self.by_kind.get(kind.value)
 
     def names(self, kind: OverrideKind) -> dict[str, float]:
         """What is overridden now, and since when (Unix milliseconds)."""
@@ -150,7 +151,7 @@
         try:
             overrides.set(name, is_set)
         except OSError as error:
-            log.error("what is out by hand can't be written: %s", error)  # noqa: TRY400
+            log.error(log_events.OVERRIDE_NOT_STORED, error)  # noqa: TRY400
             self.parts.descriptors.relieve(error)
             return Reply(503, "it could not be kept\n")
         return YES
