--- a/switchline/policy/quota/lease_sizing.py
+++ b/switchline/policy/quota/lease_sizing.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from switchline.policy.quota.customer import LEASE_MS, Customer, PendingPeriod
+from switchline.policy.quota.customer import Customer, PendingPeriod
 
 PERIOD_MS = 15_000.0  # of a number on the counter: long, as each new one costs a call more
 REFRESH_MS = 500.0  # between refreshes at least: shares follow a shift, calls stay under requests
@@ -206,8 +206,3 @@
         customer.tokens = min(customer.tokens, customer.fleet_units)
     surge_ms = customer.fleet_units / (SURGE_MULTIPLE * customer.plan.rate_per_s) * 1000
     customer.next_refresh_ms = max(customer.next_refresh_ms, now + surge_ms)
-
-
-def renew_until(now: float) -> float:
-    """Give the end of a lease that is renewed now."""
-    return now + LEASE_MS
--- a/switchline/policy/quota/leases.py
+++ b/switchline/policy/quota/leases.py
@@ -11,13 +11,12 @@
 from switchline.policy.persistence.durable_state import DurableState
 from switchline.policy.persistence.replication import PeerReplication
 from switchline.policy.quota.counter_capacity import CounterCapacity
-from switchline.policy.quota.customer import Customer
+from switchline.policy.quota.customer import LEASE_MS, Customer
 from switchline.policy.quota.customers import CustomerTable
 from switchline.policy.quota.lease_sizing import (
     PERIOD_MS,
     fill_buckets,
     refresh_interval_ms,
-    renew_until,
     share_after_period,
     share_reading,
     size_lease,
@@ -169,7 +168,7 @@
         max_request_units = self._settings.max_request_units
         self.fill(now, customer)
         self._durable_state.on_lease_renewed(customer)
-        customer.lease_expires_ms = renew_until(now)
+        customer.lease_expires_ms = now + LEASE_MS
         if not call.amount:  # how the last period ended
             share_after_period(now, customer, total, max_request_units)
             return False
