--- a/tests/state/test_recovery.py
+++ b/tests/state/test_persistence.py
@@ -34,7 +34,8 @@
 from testbed.stand_ins.single_gateway import World, in_loop, running
 
 ROOT = Path(__file__).parents[2]
-DOWN, UP = "/ops/backends/down", "/ops/backends/up"
+DOWN = "/ops/backends/down"
+UP = "/ops/backends/up"
 
 
 @pytest.fixture
@@ -45,7 +46,7 @@
         yield Path(made) / "s"
 
 
-class RecordsPersisted(World):
+class WorldWithState(World):
     """A world whose gateway has a folder."""
 
     def __init__(self, folder: Path, *backends: Backend, **limits: Any) -> None:
@@ -79,11 +80,11 @@
 
 def test_a_planned_end_keeps_what_is_left(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with running(RecordsPersisted(tmp_path / "s", Backend())) as world:
+        async with running(WorldWithState(tmp_path / "s", Backend())) as world:
             peer = await world.client()
             assert await world.ask(peer, plan=b"basic", name=b"wipe") == b"value"
             await committed(world)
-        async with running(RecordsPersisted(tmp_path / "s", Backend())) as world:
+        async with running(WorldWithState(tmp_path / "s", Backend())) as world:
             assert await spend(world) == 1  # after a kill it would count as spent
 
     in_loop(scenario)
@@ -96,19 +97,19 @@
 
 def test_what_was_spent_stays_spent_and_what_is_out_stays_out(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with running(RecordsPersisted(tmp_path / "s", Backend(), Backend())) as world:
+        async with running(WorldWithState(tmp_path / "s", Backend(), Backend())) as world:
             assert await spend(world) >= 2
             assert (await call(world, "POST", DOWN, b'{"id": "h1"}'))[0] == 200
             assert (await stats(world))["state.on"] == 1
         lose_tmp(tmp_path)
-        async with running(RecordsPersisted(tmp_path / "s", Backend(), Backend())) as world:
+        async with running(WorldWithState(tmp_path / "s", Backend(), Backend())) as world:
             figures = await stats(world)
             assert figures["state.restored"] > 3 and figures["state.dropped"] == 0
             assert await spend(world) == 0
             assert figures["ejected"] == 1
             assert (await call(world, "POST", UP, b'{"id": "h1"}'))[0] == 200
         lose_tmp(tmp_path)
-        async with running(RecordsPersisted(tmp_path / "s", Backend(), Backend())) as world:
+        async with running(WorldWithState(tmp_path / "s", Backend(), Backend())) as world:
             assert (await stats(world))["ejected"] == 0
 
     in_loop(scenario)
@@ -131,14 +132,14 @@
 def test_the_last_list_is_known_if_it_is_newer(tmp_path: Path) -> None:
     async def scenario() -> None:
         first, second = Backend(), Backend()
-        world = RecordsPersisted(tmp_path / "s", first, second)
+        world = WorldWithState(tmp_path / "s", first, second)
         async with running(world):
             world.discovery.change(50, host("new", second.port), {**host("h0", 1), "health": "removed"})
             while (await stats(world))["discovered"] != 2:
                 await asyncio.sleep(0.01)
             asked = world.discovery.requests
             assert asked[-1].endswith("index=41")
-        again = RecordsPersisted(tmp_path / "s", Backend(), second)
+        again = WorldWithState(tmp_path / "s", Backend(), second)
         async with running(again):
             assert again.discovery.requests[0].endswith("index=50")
             assert (await call(again, "POST", DOWN, b'{"id": "new"}'))[0] == 200
@@ -149,7 +150,7 @@
 
 def test_its_descriptors_are_in_the_budget(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with running(RecordsPersisted(tmp_path / "s", Backend())) as world:
+        async with running(WorldWithState(tmp_path / "s", Backend())) as world:
             await committed(world)
             links = [os.path.realpath(link) for link in Path("/proc/self/fd").iterdir()]
             assert 0 < sum(link.startswith(str(tmp_path / "s")) for link in links) <= STATE_DESCRIPTORS
@@ -161,11 +162,11 @@
     )
 
 
-def test_a_list_that_is_not_whole_on_disk_is_left_out(
+def test_a_list_that_is_incomplete_on_disk_is_left_out(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def play(*first: str) -> None:
-        world = RecordsPersisted(tmp_path / "s", Backend(), Backend())
+        world = WorldWithState(tmp_path / "s", Backend(), Backend())
         async with running(world):
             assert [asked.rpartition("=")[2] for asked in world.discovery.requests[:1]] == list(first)
             world.discovery.change(50, {**host("h0", 1), "health": "removed"})
@@ -204,7 +205,7 @@
 def test_a_folder_that_can_t_be_used_refuses_no_start(tmp_path: Path) -> None:
     async def scenario() -> None:
         (tmp_path / "s").write_text("what")
-        async with running(RecordsPersisted(tmp_path / "s", Backend())) as world:
+        async with running(WorldWithState(tmp_path / "s", Backend())) as world:
             assert await spend(world) >= 2
             figures = await stats(world)
             assert figures["state.on"] == 0 and figures["state.failures"] >= 1
@@ -218,10 +219,10 @@
         folder = tmp_path / "s"
         folder.mkdir()
         (folder / DATABASE_FILE).write_bytes(b"what" * 5_000)
-        async with running(RecordsPersisted(folder, Backend())) as world:
+        async with running(WorldWithState(folder, Backend())) as world:
             assert await spend(world) >= 2
         assert (folder / "aside-1.db").exists()
-        other = RecordsPersisted(folder, Backend())
+        other = WorldWithState(folder, Backend())
         other.name = "n7"
         async with running(other) as world:
             assert await spend(world) >= 2
@@ -232,8 +233,8 @@
 
 def test_a_second_gateway_of_a_folder_serves_without_it(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with running(RecordsPersisted(tmp_path / "s", Backend())) as first:
-            second = RecordsPersisted(tmp_path / "s", Backend())
+        async with running(WorldWithState(tmp_path / "s", Backend())) as first:
+            second = WorldWithState(tmp_path / "s", Backend())
             second.name = "n7"
             async with running(second):
                 assert (await stats(second))["state.on"] == 0
@@ -250,7 +251,7 @@
     monkeypatch.setattr(persistence, "RETRY_INTERVAL_S", 0.2)
 
     async def scenario() -> None:
-        async with running(RecordsPersisted(tmp_path / "s", Backend())) as world:
+        async with running(WorldWithState(tmp_path / "s", Backend())) as world:
             was = (await stats(world))["state.commits"]
             shutil.rmtree(tmp_path / "s")
             while not (figures := await stats(world))["state.failures"]:
@@ -263,7 +264,7 @@
             while (await stats(world))["state.commits"] <= was + 1:
                 await asyncio.sleep(0.01)
             assert await spend(world) == 1
-        async with running(RecordsPersisted(tmp_path / "s", Backend())) as world:
+        async with running(WorldWithState(tmp_path / "s", Backend())) as world:
             assert await spend(world) == 0
 
     in_loop(scenario)
@@ -281,7 +282,7 @@
     monkeypatch.setattr(StateStorage, "commit", commit)
 
     async def scenario() -> None:
-        async with running(RecordsPersisted(tmp_path / "s", Backend(), Backend())) as world:
+        async with running(WorldWithState(tmp_path / "s", Backend(), Backend())) as world:
             for path in (DOWN, UP):
                 assert (await call(world, "POST", path, b'{"id": "h0"}'))[0] == 200
                 assert (await call(world, "POST", path, b'{"id": "h0"}'))[0] == 200
@@ -316,20 +317,20 @@
     monkeypatch.setattr(StateStorage, "commit", commit)
 
     async def scenario() -> None:
-        async with running(RecordsPersisted(tmp_path / "s", Backend(), Backend())) as world:
+        async with running(WorldWithState(tmp_path / "s", Backend(), Backend())) as world:
             assert (await call(world, "POST", DOWN, b'{"id": "h0"}'))[0] == 503
             assert (await stats(world))["ejected"] == 0
             go_on.set()
         lose_tmp(tmp_path)
-        async with running(RecordsPersisted(tmp_path / "s", Backend(), Backend())) as world:
+        async with running(WorldWithState(tmp_path / "s", Backend(), Backend())) as world:
             assert (await stats(world))["ejected"] == 0  # what was promised to nobody is taken back
 
     in_loop(scenario)
 
 
-def test_killed_again_and_again_it_gives_a_burst_once(tmp_path: Path, folder: Path) -> None:
+def test_however_often_it_is_killed_it_gives_a_burst_once(tmp_path: Path, folder: Path) -> None:
     async def scenario() -> None:
-        world = RecordsPersisted(folder, Backend())
+        world = WorldWithState(folder, Backend())
         for server in (*world.backends, world.counter, world.discovery):
             await server.start()
         world.operator, port = claimed_port(), claimed_port()
@@ -357,7 +358,7 @@
     in_loop(scenario)
 
 
-def keep_state(made: Site, folder: Path) -> None:
+def configure_state(made: Site, folder: Path) -> None:
     given = json.loads(made.config.read_text())
     given["state"] = str(folder)
     given["settings"]["packages"][1]["rate"] = 0.01
@@ -373,7 +374,7 @@
 def test_the_files_pass_to_the_new_process_of_an_upgrade(tmp_path: Path, folder: Path) -> None:
     async def scenario() -> None:
         async with site(tmp_path, Backend()) as made:
-            keep_state(made, folder)
+            configure_state(made, folder)
             old = await made.start()
             peer = await made.client()
             assert await spend(made.world, peer) == 2
@@ -398,7 +399,7 @@
 def test_an_old_process_that_dies_half_way_leaves_its_state(tmp_path: Path, folder: Path, mute: bool) -> None:
     async def scenario() -> None:
         async with site(tmp_path, Backend()) as made:
-            keep_state(made, folder)
+            configure_state(made, folder)
             old = await made.start()
             assert await spend(made.world, await made.client()) == 2
             if mute:
