--- /dev/null
+++ b/tests/audit/test_queries.py
@@ -0,0 +1,18 @@
+"""Questions to the audits of a fleet."""
+
+from __future__ import annotations
+
+from audit_records import three_gateways
+
+from switchline.audit import queries as audit_queries
+
+
+def test_who_is_behind_when_each_took_it_and_what_each_acted_on() -> None:
+    audits = three_gateways()
+    held = {one.name: one.behind_s for one in audit_queries.holdings(audits, "list", 12_500.0)}
+    assert held == {"g0": None, "g1": None, "g2": 10.0}
+    took = audit_queries.adoptions(audits, "list", "2")
+    assert [(one.name, one.after_s) for one in took] == [("g0", 0.0), ("g1", 0.5)]
+    assert audit_queries.versions_at(audits["g1"], 2_400.0)["list", ""].version == "1 aa"
+    assert [one.of for one in audit_queries.trace(audits, "b")] == ["a>b"]
+    assert [one.name for one in audit_queries.in_causal_order(audits)] == ["g0", "g1", "g2", "g0", "g1", "g1"]
