--- a/tests/audit/test_audit_chain.py
+++ b/tests/audit/test_audit_chain.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from switchline.fleet.chain import read, verify
-from switchline.fleet.hybrid_clock import AHEAD_MS, HybridClock
+from switchline.fleet.hybrid_clock import MAX_AHEAD_MS, HybridClock
 
 
 def test_a_whole_chain_is_good_over_segments_and_from_where_the_oldest_gave_way() -> None:
@@ -63,9 +63,9 @@
         assert all((at, count) < stamp for at, count, _ in before[one])
         before[one].add((*stamp, one))
         if chance.random() < 0.5:
-            clocks[other].hear(clocks[one].last, wall + off[other])
+            clocks[other].observe(clocks[one].last, wall + off[other])
             before[other] |= before[one]
         before[one] = set(sorted(before[one])[-50:])
     liar = clocks[0].last
-    clocks[0].hear((int(1e15), 0), 1e12)
-    assert clocks[0].last == liar and clocks[0].refused == 1 and AHEAD_MS == 300_000
+    clocks[0].observe((int(1e15), 0), 1e12)
+    assert clocks[0].last == liar and clocks[0].refused == 1 and MAX_AHEAD_MS == 300_000
--- a/tests/fleet/test_outage.py
+++ b/tests/fleet/test_outage.py
@@ -15,11 +15,13 @@
 from hypothesis import strategies as st
 
 from switchline import ctl
-from switchline.fleet.messages import LIST, SPENDING, Entry, Exchange, HostRow, Listed, Spent
-from switchline.fleet.outage import OLD_S, judge, read_down
-from switchline.fleet.staleness import bound_by
-from switchline.fleet_runtime import recovery as fleet_recovery
-from switchline.fleet_runtime.recovery import DOUBT_S, FleetRecovery, Stage
+from switchline.fleet.messages import EndpointList, Entry, Exchange, ListedHost, RemainingQuota, Wanted
+from switchline.fleet.outage import OLD_DISK_S, decode_downtime, judge_outage
+from switchline.fleet.staleness import binding_changes
+from switchline.fleet_runtime.recovery import spending
+from switchline.fleet_runtime.recovery.backend_list import DOUBT_S
+from switchline.fleet_runtime.recovery.coordinator import FleetRecovery
+from switchline.fleet_runtime.recovery.stages import Stage
 from switchline.policy import Gateway, gateway_status
 from switchline.policy import interface as api
 from testbed.network.fleet_link import WALL_MS, Net, fleet
@@ -30,8 +32,8 @@
 )
 PLANS = (
     api.Plan("free"),
-    api.Plan("bas", rate=2.0, burst=20.0),
-    api.Plan("spare", rate=1.0, burst=4.0, beyond_earns=1.0),
+    api.Plan("bas", rate_per_s=2.0, burst_units=20.0),
+    api.Plan("spare", rate_per_s=1.0, burst_units=4.0, overage_revenue=1.0),
 )
 RULES = api.SafetyRules(500.0, 0.2, 16_000.0, 3.0)
 DOWNS = st.one_of(st.none(), st.just(math.nan), st.floats(0, 3_600))
@@ -39,7 +41,16 @@
 
 def module(backends: int = 6, gateways: int = 6, now: float = 1e6, seed: int = 1) -> Gateway:
     given_ = api.Settings(
-        0, gateways, "a", KINDS, PLANS, RULES, 4, can_cancel=True, may_count=True, max_retry_after=2_000.0
+        0,
+        gateways,
+        "a",
+        KINDS,
+        PLANS,
+        RULES,
+        4,
+        can_cancel=True,
+        uses_counter=True,
+        max_retry_after_ms=2_000.0,
     )
     gateway = Gateway(given_, seed)
     up = api.BackendState.READY
@@ -70,13 +81,13 @@
         (3_000.0, [3_000.0, 3_000.0], False),  # after so long no backend is cold from it
     ]
     for own, others, common in cases:
-        assert judge(own, others).common is common, (own, others)
+        assert judge_outage(own, others).common is common, (own, others)
 
 
 def test_a_disk_that_was_down_far_longer_than_the_others_holds_an_old_copy() -> None:
-    assert judge(2.0 + OLD_S + 1, [2.0, 2.0, math.nan]).old
-    assert not judge(2.0 + OLD_S + 1, [2.0]).old  # never one peer's word
-    assert not judge(2.0, [200.0, 200.0]).old and not judge(math.nan, [2.0, 2.0]).old
+    assert judge_outage(2.0 + OLD_DISK_S + 1, [2.0, 2.0, math.nan]).old
+    assert not judge_outage(2.0 + OLD_DISK_S + 1, [2.0]).old  # never one peer's word
+    assert not judge_outage(2.0, [200.0, 200.0]).old and not judge_outage(math.nan, [2.0, 2.0]).old
 
 
 @settings(max_examples=200, deadline=None)
@@ -85,18 +96,18 @@
     own: float | None, others: list[float | None], seed: int
 ) -> None:
     mixed = random.Random(seed).sample(others, len(others))
-    assert judge(own, mixed) == judge(own, others)
-    if judge(own, others).common:
+    assert judge_outage(own, mixed) == judge_outage(own, others)
+    if judge_outage(own, others).common:
         assert sum(one is not None for one in (own, *others)) * 2 > 1 + len(others)
     if own is not None and all(one is None for one in others):
-        assert not judge(own, others).common and not judge(own, others).old
+        assert not judge_outage(own, others).common and not judge_outage(own, others).old
 
 
 @pytest.mark.parametrize("text", ["nan", "inf", "-1", "1e999", "9" * 40, "", "x", "1,0", "\u0661"])
 def test_a_downtime_that_is_spoilt_is_one_that_nobody_knows(text: str) -> None:
-    down = read_down(text)
+    down = decode_downtime(text)
     assert down is not None and (math.isnan(down) or down == 1.0)
-    assert read_down(None) is None and read_down("2.5") == 2.5
+    assert decode_downtime(None) is None and decode_downtime("2.5") == 2.5
 
 
 # ---- what others know ----
@@ -106,26 +117,26 @@
     net: Net = fleet(3, 1)
     asker, other = list(net.nodes.values())[:2]
     told: list[Exchange] = []
-    asker.learned = told.append
-    row = HostRow("h1", "127.0.0.1:80", "a", 0, "up", 5.0)
-    other.listed = lambda seq: Listed(7, [row]) if seq < 7 else None
-    other.spent = lambda: [Spent("c1", "bas", 0.5, 3.0)]
+    asker.answered = told.append
+    row = ListedHost("h1", "127.0.0.1:80", "a", 0, "up", 5.0)
+    other.newer_list = lambda seq: EndpointList(7, [row]) if seq < 7 else None
+    other.known_quotas = lambda: [RemainingQuota("c1", "bas", 0.5, 3.0)]
 
     def exchange(wants: int, seq: int) -> None:
         asker.wants, asker.list_seq = wants, seq
-        assert other.exchanged(net.now, 0.0, asker.state(False), False)
-        assert asker.exchanged(net.now, 0.0, other.state(True), True)
+        assert other.receive_exchange(net.now, 0.0, asker.exchange_frame(False), False)
+        assert asker.receive_exchange(net.now, 0.0, other.exchange_frame(True), True)
 
     exchange(0, -1)
     assert not told
-    exchange(LIST, 7)
+    exchange(Wanted.LIST, 7)
     assert not told  # it has that one
-    exchange(LIST, 6)
-    assert told[-1].listed == Listed(7, [row]) and told[-1].spent is None
-    exchange(SPENDING, 7)
-    assert told[-1].spent == [Spent("c1", "bas", 0.5, 3.0)] and told[-1].listed is None
-    other.spent = lambda: None  # it asks itself, and does not know yet
-    exchange(SPENDING, 7)
+    exchange(Wanted.LIST, 6)
+    assert told[-1].listed == EndpointList(7, [row]) and told[-1].spent is None
+    exchange(Wanted.QUOTAS, 7)
+    assert told[-1].spent == [RemainingQuota("c1", "bas", 0.5, 3.0)] and told[-1].listed is None
+    other.known_quotas = lambda: None  # it asks itself, and does not know yet
+    exchange(Wanted.QUOTAS, 7)
     assert len(told) == 2
 
 
@@ -137,11 +148,13 @@
         )
     ]
 
-    def row(name: str, health: str, born: float = 5.0) -> HostRow:
-        return HostRow(name, "127.9.9.9:9", "a", 0, health, born)
+    def row(name: str, health: str, born: float = 5.0) -> ListedHost:
+        return ListedHost(name, "127.9.9.9:9", "a", 0, health, born)
 
     rows = [row("kept", "up", 4.0), row("drained", "draining"), row("back", "up"), row("anew", "up", 9.0)]
-    found = {host["host"]: host for host in bound_by(own, Listed(7, [*rows, row("added", "up")]))}
+    found = {
+        host["host"]: host for host in binding_changes(own, EndpointList(7, [*rows, row("added", "up")]))
+    }
     assert {name: host["health"] for name, host in found.items()} == {
         "drained": "draining",
         "gone": "removed",
@@ -171,7 +184,7 @@
 ) -> None:
     kept: Any = RecordsPersisted("h1", "h2")
     one = FleetRecovery({}, kept, cast(Any, None), kept, 0)
-    assert kept.weigh({"seq": 9, "whole": True, "hosts": []}) is None and one.held_back
+    assert kept.weigh({"seq": 9, "whole": True, "hosts": []}) is None and one.backend_list.is_withheld
     older = {"seq": 3, "whole": True, "hosts": [{"host": "h2", "health": "draining"}]}
     found = kept.weigh(older)
     assert found["seq"] == 7 and not found["whole"]
@@ -179,7 +192,7 @@
     assert (host["host"], host["health"], host["dial"]) == ("h2", "draining", "127.0.0.1:1")
     for holds in (older | {"seq": 7}, {"seq": 2, "whole": False, "hosts": []}):
         assert kept.weigh(holds) is holds
-    one.doubt_until -= DOUBT_S
+    one.backend_list.doubt_until_s -= DOUBT_S
     assert kept.weigh(older) is older  # it says so still: then it is so
 
 
@@ -188,10 +201,15 @@
     for number in range(10):
         ask(knows, 1e6 + number, number, "bas")
     (told,) = gateway_status.spending(knows, 1e6 + 20, 10)
-    assert told.key == "cbas" and told.left == pytest.approx(14.0, abs=0.1)  # its even share: six
-    for word in (told, api.PeerQuotaReport("cbas", "bas", told.even, 18.0)):  # a liar's, or an older one's
+    assert told.customer == "cbas" and told.remaining_units == pytest.approx(
+        14.0, abs=0.1
+    )  # its even share: six
+    for word in (
+        told,
+        api.PeerQuotaReport("cbas", "bas", told.even_share, 18.0),
+    ):  # a liar's, or an older one's
         lost.handle(1e6 + 20, word)
-    assert lost.customers["cbas"].tokens == pytest.approx(told.left / 3, abs=0.1)
+    assert lost.customers["cbas"].tokens == pytest.approx(told.remaining_units / 3, abs=0.1)
     before = module().customer(1e6, "cbas", "bas", 1 / 3).tokens
     assert before == pytest.approx(20 / 3)  # without an answer: the even share
 
@@ -255,7 +273,7 @@
         number += 1
         for action in ask(gateway, now, number):
             if isinstance(action, api.Send):
-                warm = 0.2 + 0.8 * min(1.0, (now - begin) / RULES.warm_within)
+                warm = 0.2 + 0.8 * min(1.0, (now - begin) / RULES.warm_up_ms)
                 cores = free[action.backend]
                 core = cores.index(min(cores))
                 starts, takes = max(now, cores[core]), work_ms / warm
@@ -328,7 +346,7 @@
     for number in range(200):
         for action in ask(gateway, now + number, number, "spare" if number % 2 else "free"):
             if isinstance(action, api.Reject) and action.reason == "return":
-                waits.append(action.retry_after)
+                waits.append(action.retry_after_ms)
         beyond.append(gateway.customers["cspare"].tokens < -1e-6 if number > 1 else False)
     assert not any(beyond)  # work beyond a quota is not let in for its worth
     assert len(set(waits)) > len(waits) / 2 and max(waits) > 1_500 and max(waits) <= 2_000
@@ -385,7 +403,7 @@
 
 
 def test_no_wait_for_one_that_never_answers_is_longer_than_its_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(fleet_recovery, "SPENDING_S", 0.1)
+    monkeypatch.setattr(spending, "TIMEOUT_S", 0.1)
     kept: Any = RecordsPersisted("h1")
     kept.downtime_s, kept.restored = (lambda: math.nan), 0
     driver: Any = SimpleNamespace(settings=SimpleNamespace(gateways=2), withheld=0)
@@ -395,20 +413,26 @@
     async def begin() -> set[str]:
         task = asyncio.ensure_future(one.catch_up())
         await asyncio.sleep(0)
-        asked = set(one.asked)
+        asked = set(one.spending.waiting_for)
         await asyncio.wait_for(task, 20)
         return asked
 
     assert asyncio.run(begin()) == {"g1"}
-    assert one.stage is Stage.WHOLE and not one.asked and one.gauges()["recovery.waiting_for"] == 0
+    assert (
+        one.stages.stage is Stage.COMPLETE
+        and not one.spending.waiting_for
+        and one.gauges()["recovery.waiting_for"] == 0
+    )
 
 
 def test_a_process_that_takes_over_answers_and_begins_no_recovery() -> None:
     kept: Any = RecordsPersisted("h1")
     one = FleetRecovery({}, kept, cast(Any, SimpleNamespace(gateway=module(), withheld=0)), kept, 3)
-    assert one.spent() is None and [word.value for word in one.words()] == ["2.0"]
+    assert one.spending.known_here() is None and [word.value for word in one.facts()] == ["2.0"]
     one.settle()
-    assert one.spent() == [] and [word.value for word in one.words()] == [None]
-    assert one.listed(6) == Listed(7, [HostRow("h1", "127.0.0.1:1", "", 0, "up", 0.0)]) and not one.listed(7)
+    assert one.spending.known_here() == [] and [word.value for word in one.facts()] == [None]
+    assert one.backend_list.newer_than(6) == EndpointList(
+        7, [ListedHost("h1", "127.0.0.1:1", "", 0, "up", 0.0)]
+    ) and not one.backend_list.newer_than(7)
     empty = {"seq": 9, "whole": True, "hosts": []}
     assert kept.weigh(empty) is empty
