--- a/tests/operators/test_operators.py
+++ b/tests/operators/test_operators.py
@@ -1,4 +1,4 @@
-"""What operators call: the address itself, the figures, and draining."""
+"""What operators call: the address itself, the metrics, and draining."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     return {name.removeprefix("edge_lb."): int(value) for name, _, value in lines}
 
 
-def test_figures_tell_what_became_of_requests_and_attempts() -> None:
+def test_metrics_count_what_became_of_requests_and_attempts() -> None:
     async def scenario() -> None:
         go_on = asyncio.Event()
         replies: list[Reply] = [b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n", b"-ERR failed\r\n", b""]
@@ -70,7 +70,7 @@
     in_loop(scenario)
 
 
-def test_a_wrong_call_is_owed_a_no() -> None:
+def test_a_wrong_call_is_rejected() -> None:
     async def scenario() -> None:
         async with running(World(Backend())) as world:
             assert (await call(world, "GET", "/ops/nothing"))[0] == 404
@@ -84,7 +84,7 @@
     in_loop(scenario)
 
 
-def test_stalled_callers_shut_nobody_out() -> None:
+def test_stalled_callers_keep_nobody_from_calling() -> None:
     """Some callers send nothing or half a call and stay; their number must not matter."""
 
     async def scenario() -> None:
@@ -109,7 +109,7 @@
     in_loop(scenario)
 
 
-def test_clients_can_t_shut_operators_out() -> None:
+def test_clients_can_t_keep_operators_from_calling() -> None:
     async def scenario() -> None:
         async with running(World(Backend(), sockets=40)) as world:
             peers = [await world.client() for _ in range(60)]
--- a/tests/operators/test_overrides.py
+++ b/tests/operators/test_overrides.py
@@ -1,4 +1,4 @@
-"""Backends that operators take out and put back."""
+"""Backends that operators disable and re-enable."""
 
 from __future__ import annotations
 
@@ -20,7 +20,8 @@
 from testbed.stand_ins.backends import Backend
 from testbed.stand_ins.single_gateway import World, in_loop, running
 
-DOWN, UP = "/ops/backends/down", "/ops/backends/up"
+DOWN = "/ops/backends/down"
+UP = "/ops/backends/up"
 
 
 async def ask_all(world: World, times: int = 12) -> list[int]:
@@ -33,7 +34,7 @@
     return [len(b.got) - was for b, was in zip(world.backends, before, strict=True)]
 
 
-def test_nothing_goes_to_a_backend_that_is_out_whatever_the_list_says() -> None:
+def test_nothing_goes_to_a_disabled_backend_whatever_the_list_says() -> None:
     async def scenario() -> None:
         async with running(World(Backend(), Backend())) as world:
             assert all(await ask_all(world, 40))
@@ -56,7 +57,7 @@
     in_loop(scenario)
 
 
-def test_a_ban_holds_for_the_next_process() -> None:
+def test_an_override_holds_for_the_next_process() -> None:
     async def scenario() -> None:
         async with running(World(Backend(), Backend())) as first:
             assert (await call(first, "POST", DOWN, b'{"id": "h1"}'))[0] == 200
@@ -69,7 +70,7 @@
     in_loop(scenario)
 
 
-def test_a_ban_is_seen_by_a_process_beside(tmp_path: Path) -> None:
+def test_an_override_is_followed_by_the_peer_process(tmp_path: Path) -> None:
     async def scenario() -> None:
         timers = Timers(asyncio.get_running_loop())
         heard: list[tuple[str, bool]] = []
@@ -93,7 +94,7 @@
     in_loop(scenario)
 
 
-def test_calls_that_name_nothing_known_are_owed_a_no() -> None:
+def test_calls_that_name_nothing_known_are_rejected() -> None:
     async def scenario() -> None:
         async with running(World(Backend())) as world:
             for path in (DOWN, UP):
@@ -105,7 +106,7 @@
     in_loop(scenario)
 
 
-def test_a_call_for_the_fleet_where_there_is_none_is_a_no_and_changes_nothing() -> None:
+def test_a_call_for_the_fleet_without_one_is_rejected_and_changes_nothing() -> None:
     async def scenario() -> None:
         async with running(World(Backend(), Backend())) as world:
             body = json.dumps({"id": "h0", "fleet": True}).encode()
@@ -130,7 +131,9 @@
     in_loop(scenario)
 
 
-def test_a_ban_that_can_t_be_kept_is_a_no(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_override_that_can_t_be_stored_is_rejected(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def scenario() -> None:
         monkeypatch.setenv("TMPDIR", os.fspath(tmp_path / "missing"))
         async with running(World(Backend())) as world:
@@ -140,7 +143,7 @@
     in_loop(scenario)
 
 
-def test_the_module_sends_nothing_to_a_backend_that_is_out_and_starts_it_slowly_after() -> None:
+def test_the_policy_sends_nothing_to_a_disabled_backend_and_starts_it_slowly_after() -> None:
     world = Decisions([entry(1), entry(2)], plans=(api.Plan("basic"),))
     world.give(api.BackendOverridden(1, True, world.now))
     world.give(backends(entry(1, api.BackendState.GONE), scope=api.ListScope.CHANGES))
@@ -161,7 +164,7 @@
     assert got and len(got) < 40  # used within 5 s, yet not as the warm one is
 
 
-def test_a_backend_put_back_is_used_soon_even_with_little_to_send() -> None:
+def test_a_re_enabled_backend_is_used_soon_even_with_little_to_send() -> None:
     for seed in range(20):
         world = Decisions([entry(n) for n in range(10)], seed=seed, plans=(api.Plan("basic"),))
         world.give(api.BackendOverridden(1, True, world.now))
--- a/tests/upgrade/test_upgrade.py
+++ b/tests/upgrade/test_upgrade.py
@@ -31,7 +31,8 @@
     """The platform's side of an upgrade: the listening socket, the files, and the processes."""
 
     def __init__(self, world: World, directory: Path) -> None:
-        self.world, self.directory = world, directory
+        self.world = world
+        self.directory = directory
         self.listener = socket.create_server((LOCAL, 0))
         self.port = self.listener.getsockname()[1]
         self.processes: list[asyncio.subprocess.Process] = []
@@ -88,29 +89,31 @@
             await server.stop()
 
 
+async def send_requests(made: Site, client: int, answers: list[object], over: asyncio.Event) -> None:
+    """A client that keeps its connection, and sends a request a second time if a close crossed it."""
+    peer = await made.client()
+    number = 0
+    while not over.is_set():
+        number += 1
+        peer.send(*request(b"c%dn%d" % (client, number), name=b"wipe"))
+        answer = await peer.receive()
+        if answer is None:
+            peer = await made.client()
+            peer.send(*request(b"c%dn%d" % (client, number), name=b"wipe"))
+            answer = await peer.receive()
+        answers.append(answer)
+        await asyncio.sleep(0.002)
+    peer.close()
+
+
 def test_no_request_is_lost_and_the_old_process_leaves(tmp_path: Path) -> None:
     async def scenario() -> None:
         answers: list[object] = []
         over = asyncio.Event()
 
-        async def ask_on(made: Site, name: int) -> None:
-            """A client that keeps its connection, and sends a request a second time if a close crossed it."""
-            peer, number = await made.client(), 0
-            while not over.is_set():
-                number += 1
-                peer.send(*request(b"c%dn%d" % (name, number), name=b"wipe"))
-                answer = await peer.receive()
-                if answer is None:
-                    peer = await made.client()
-                    peer.send(*request(b"c%dn%d" % (name, number), name=b"wipe"))
-                    answer = await peer.receive()
-                answers.append(answer)
-                await asyncio.sleep(0.002)
-            peer.close()
-
         async with site(tmp_path, Backend(), Backend()) as made:
             old = await made.start()
-            clients = [asyncio.create_task(ask_on(made, n)) for n in range(5)]
+            clients = [asyncio.create_task(send_requests(made, n, answers, over)) for n in range(5)]
             await until(lambda: len(answers) > 50)
             idle = await made.client()
             idle.send(b"PING")
@@ -128,7 +131,7 @@
     in_loop(scenario)
 
 
-def test_what_is_open_at_the_old_process_is_answered_by_it(tmp_path: Path) -> None:
+def test_requests_open_at_the_old_process_are_answered_by_it(tmp_path: Path) -> None:
     async def scenario() -> None:
         go_on = asyncio.Event()
 
@@ -155,7 +158,7 @@
     in_loop(scenario)
 
 
-def test_quotas_and_bans_pass_over(tmp_path: Path) -> None:
+def test_quotas_and_overrides_pass_over(tmp_path: Path) -> None:
     async def scenario() -> None:
         backends = Backend(), Backend()
         async with site(tmp_path, *backends) as made:
@@ -263,7 +266,7 @@
     assert counts(old.ask())
 
 
-def test_what_no_process_says_changes_nothing() -> None:
+def test_a_malformed_record_of_a_peer_process_changes_nothing() -> None:
     world = Decisions([entry(1)])
     world.ask()
     for said in (
@@ -279,8 +282,8 @@
     assert list(world.gateway.customers) == ["c"]
 
 
-def test_the_line_to_other_gateways_passes_to_the_new_process(tmp_path: Path) -> None:
-    """The other gateways see one member all along: with the old life, and then with the new one."""
+def test_the_gossip_link_passes_to_the_new_process(tmp_path: Path) -> None:
+    """The other gateways see one member all along: with the old incarnation, and then with the new one."""
 
     async def scenario() -> None:
         (tmp_path / "secret").write_text("a secret that is long enough")
@@ -299,20 +302,20 @@
                 which.config.write_text(json.dumps({**given, "name": which.world.name, "fleet": table}))
             await watcher.start()
 
-            async def seen() -> dict[str, object]:
+            async def member_row() -> dict[str, object]:
                 _, body = await call(watcher.world, "GET", "/ops/fleet")
                 row = dict(json.loads(body)["members"].get("n0", {}))
                 assert row.get("state") in (None, "alive", "suspect")
                 return row
 
             old = await place.start()
-            while not (first := await seen()):
+            while not (first := await member_row()):
                 await asyncio.sleep(0.05)
             await place.start()
-            while (await seen())["life"] <= first["life"]:  # type: ignore[operator]
+            while (await member_row())["life"] <= first["life"]:  # type: ignore[operator]
                 await asyncio.sleep(0.05)
             await old.wait()
             await asyncio.sleep(1.0)  # longer than an answer to a ping may take
-            assert (await seen())["state"] in ("alive", "suspect")
+            assert (await member_row())["state"] in ("alive", "suspect")
 
     in_loop(scenario)
