--- a/switchline/state/persistence.py
+++ b/switchline/state/persistence.py
@@ -216,17 +216,17 @@
             self._metrics.count_past_store(self.store)
             self.store = None
 
-    def save_record(self, serial: int, said: list[Any]) -> None:
+    def save_record(self, serial: int, record: list[Any]) -> None:
         """Save a record of the policy; `RecordsPersisted` answers its serial number."""
         if self.store is None:
             return
-        match said:
+        match record:
             case ["forget", kind, name]:
                 self.store.put(kind, name, None, serial)
             case ["gateway", *_]:
-                self.store.put(KIND_GATEWAY, GATEWAY_NAME, said, serial)
+                self.store.put(KIND_GATEWAY, GATEWAY_NAME, record, serial)
             case [kind, name, *_]:
-                self.store.put(kind, str(name), said, serial)
+                self.store.put(kind, str(name), record, serial)
 
     def save_list(self, raw: dict[str, Any]) -> None:
         """Save an endpoint list, or a change of one, as discovery sent it; its version comes last."""
