--- a/tests/recordings/test_recorded_gossip.py
+++ b/tests/recordings/test_recorded_gossip.py
@@ -18,7 +18,7 @@
 from test_recorded_decisions import RECORDED
 
 from switchline.fleet.endpoint import ProtocolEndpoint
-from switchline.fleet.members import Address
+from switchline.fleet.membership.member import Address
 from testbed.network.fleet_link import Net, address_of
 
 RECORDING = RECORDED / "gossip.jsonl.xz"
--- a/tests/recordings/test_stored_data.py
+++ b/tests/recordings/test_stored_data.py
@@ -133,7 +133,7 @@
     assert len(source.records) == number > 20
     before = segment_paths(folder)[0].read_bytes()
     segments = Segments(folder, NAME)
-    assert (segments.head.n, segments.head.sum, segments.bytes_cut) == (number, checksum, 0)
+    assert (segments.head.number, segments.head.digest, segments.bytes_cut) == (number, checksum, 0)
     segments.add(source.records[-1])
     segments.close()
     assert segment_paths(folder)[0].read_bytes().startswith(before)
