--- a/measure/line.py
+++ b/measure/line.py
@@ -51,7 +51,7 @@
     """Seconds until a fact has reached all."""
     teller = net.nodes[address_of(20)]
     begun = net.now
-    teller.tell(net.wall(address_of(20)), "measure", "", "1")
+    teller.publish(net.wall(address_of(20)), "measure", "", "1")
     net.run(LIMIT_S, lambda: net.counts["facts"] >= len(net.nodes) - 1)
     return net.now - begun
 
--- a/switchline/fleet/dissemination/anti_entropy.py
+++ b/switchline/fleet/dissemination/anti_entropy.py
@@ -14,7 +14,7 @@
 
 EXCHANGE_INTERVAL_S = 12.0  # between two exchanges in a fleet of up to 32 members
 LOG2_SIZE_OFFSET = 4  # the interval grows by log2(members) less this
-JOIN_BACKOFF_S = 0.5  # between two tries of the seeds: at first
+JOIN_BACKOFF_S = 0.5  # first pause between two tries of the seeds
 MAX_JOIN_BACKOFF_S = 8.0
 JOIN_SEEDS = 2  # tried at once
 REJOIN_INTERVAL_S = 15.0  # between two tries of a seed or a dead member, so that a healed fleet finds itself
@@ -29,17 +29,17 @@
         members: Members,
         address: Address,
         seeds: tuple[Address, ...],
-        chance: random.Random,
+        rng: random.Random,
         now_s: float,
     ) -> None:
-        """`address`: this gateway's own; `seeds`: where others may be found; `chance`: of its choices."""
+        """`address`: this gateway's own; `seeds`: where others may be found; `rng`: of its choices."""
         self.exchanged_with: set[str] = set()  # members whose complete state has come to this process
         self._members = members
         self._address = address
         self._seeds = seeds
-        self._chance = chance
+        self._rng = rng
         self._pending: list[Address] = []
-        self._exchange_at = now_s + chance.uniform(0, EXCHANGE_INTERVAL_S)
+        self._exchange_at = now_s + rng.uniform(0, EXCHANGE_INTERVAL_S)
         self._rejoin_at = now_s + REJOIN_INTERVAL_S
         self._join_at = now_s
         self._join_backoff_s = JOIN_BACKOFF_S
@@ -61,7 +61,7 @@
         self._join_at = now_s + self._join_backoff_s * self._jitter()
         self._join_backoff_s = min(MAX_JOIN_BACKOFF_S, self._join_backoff_s * 2)
         seeds = [seed for seed in self._seeds if seed != self._address]
-        self._pending += self._chance.sample(seeds, min(JOIN_SEEDS, len(seeds)))
+        self._pending += self._rng.sample(seeds, min(JOIN_SEEDS, len(seeds)))
 
     def _rejoin(self, now_s: float) -> None:
         """Try one of the dead members and the unknown seeds."""
@@ -72,10 +72,10 @@
         ]
         lost += [seed for seed in self._seeds if seed not in known and seed != self._address]
         if lost:
-            self._pending.append(self._chance.choice(lost))
+            self._pending.append(self._rng.choice(lost))
 
     def _jitter(self) -> float:
-        return self._chance.uniform(1 - JITTER_RATIO, 1 + JITTER_RATIO)
+        return self._rng.uniform(1 - JITTER_RATIO, 1 + JITTER_RATIO)
 
     def request(self, addresses: list[Address]) -> None:
         """Exchange soon with these."""
--- a/switchline/fleet/dissemination/outbox.py
+++ b/switchline/fleet/dissemination/outbox.py
@@ -73,26 +73,18 @@
         me = self._members.me
         number = self.next_number()
         updates, entries = self.queue.pick(self._members.size, first)
-        message = Datagram(
-            me.name,
-            me.incarnation,
-            number,
-            kind,
-            seq,
-            target,
-            reach[0],
-            reach[1],
-            updates,
-            entries,
-            self._clock.last,
-        )
+        identity = me.name, me.incarnation, number
+        message = Datagram(*identity, kind, seq, target, *reach, updates, entries, self._clock.last)
+        self.sent += 1
+        self._datagrams.append((to, self._encode_within_bound(message)))
+
+    def _encode_within_bound(self, message: Datagram) -> bytes:
+        """Return a datagram's frame; gossip that was longer than estimated is left out of it."""
         frame = self._codec.encode(message)
-        # Longer than was estimated: what is left out is sent next time.
-        while len(frame) > MAX_DATAGRAM_BYTES and (entries or updates):
-            del (entries or updates)[-1:]
+        while len(frame) > MAX_DATAGRAM_BYTES and (message.entries or message.updates):
+            del (message.entries or message.updates)[-1:]
             frame = self._codec.encode(message)
-        self.sent += 1
-        self._datagrams.append((to, frame))
+        return frame
 
     def queue_update(self, update: MemberUpdate) -> None:
         """Pass on a claim about a member; each member's suspicion of it is passed on for itself."""
--- a/switchline/fleet/endpoint.py
+++ b/switchline/fleet/endpoint.py
@@ -45,28 +45,23 @@
         me: MemberUpdate,
         seeds: tuple[Address, ...],
         codec: FrameCodec,
-        chance: random.Random,
+        rng: random.Random,
         now_s: float,
         wall_ms: float,
     ) -> None:
         """Begin as the only member that is known.
 
-        Args:
-            me: This member's first claim about itself.
-            seeds: Addresses at which other members may be found.
-            codec: Of the fleet's frames.
-            chance: Source of all random choices.
-            now_s: The time.
-            wall_ms: The wall time.
+        `me` is this member's first claim about itself; `seeds` are addresses at which others may be found;
+        `rng` is the source of all random choices.
         """
         address = me.host, me.port
         self.codec = codec
-        self.members = Members(me, chance)
+        self.members = Members(me, rng)
         self.facts = Facts(me.name, me.incarnation)
         self.clock = HybridClock()
         self.outbox = Outbox(self.members, self.clock, codec, now_s)
-        self.prober = Prober(self.members, address, self.outbox.send, chance, now_s)
-        self.schedule = ExchangeSchedule(self.members, address, seeds, chance, now_s)
+        self.prober = Prober(self.members, address, self.outbox.send, rng, now_s)
+        self.schedule = ExchangeSchedule(self.members, address, seeds, rng, now_s)
         self.refused: dict[str, int] = {}  # by reason
         self.received = 0  # datagrams that were taken
         self.fact_changed: Callable[[Entry], None] = lambda entry: None  # with each entry that is new here
@@ -274,13 +269,13 @@
 
     # This gateway's own facts.
 
-    def tell(self, wall_ms: float, kind: str, name: str, value: str | None) -> bool:
-        """Write a fact; return whether it is new. See `Facts.tell`.
+    def publish(self, wall_ms: float, kind: str, name: str, value: str | None) -> bool:
+        """Write a fact; return whether it is new. See `Facts.publish`.
 
         Raises:
             FactLimitError: The bounds don't allow it.
         """
-        return self.facts.tell(wall_ms, kind, name, value) is not None
+        return self.facts.publish(wall_ms, kind, name, value) is not None
 
     def gossip_now(self) -> None:
         """Send what is new to several members at once, as each moment's delay of it costs requests."""
--- a/switchline/fleet/fact_kinds.py
+++ b/switchline/fleet/fact_kinds.py
@@ -26,32 +26,32 @@
     LOAD = "load"  # attempts per second that it makes, while a zone is in question
     ZONE_REPORT = "zone-met"  # name: a zone; value: what the gateway observed there
     ZONE_FOLLOWED = "zone-on"  # name: a zone; value: version and state of the decision that it follows
-    TOOK_BACKEND = "took-host"  # name: a backend; value: the time of the fleet's call that it acted on
-    TOOK_ZONE = "took-zone"
-    TOOK_SPARE = "took-spare"
-    TOOK_FLOOR = "took-floor"
+    ACK_BACKEND = "took-host"  # name: a backend; value: the time of the fleet's call that it acted on
+    ACK_ZONE = "took-zone"
+    ACK_SPARED_GATEWAY = "took-spare"
+    ACK_VERSION_FLOOR = "took-floor"
 
     # Operators' overrides made at any gateway (`MergeRule.NEWEST_CALL`); value: down or up.
-    HELD_BACKEND = "held-host"
-    HELD_ZONE = "held-zone"
-    HELD_SPARE = "held-spare"  # a gateway that must not be quarantined
-    HELD_FLOOR = "held-floor"  # a version below which a gateway is stale
+    OVERRIDE_BACKEND = "held-host"
+    OVERRIDE_ZONE = "held-zone"
+    OVERRIDE_SPARED_GATEWAY = "held-spare"  # a gateway that must not be quarantined
+    OVERRIDE_VERSION_FLOOR = "held-floor"  # a version below which a gateway is stale
 
     # The same overrides, made for the whole fleet (`MergeRule.NEWEST_CALL`); value: down or up.
-    FLEET_BACKEND = "fleet-host"
-    FLEET_ZONE = "fleet-zone"
-    FLEET_SPARE = "fleet-spare"
-    FLEET_FLOOR = "fleet-floor"
+    FLEET_OVERRIDE_BACKEND = "fleet-host"
+    FLEET_OVERRIDE_ZONE = "fleet-zone"
+    FLEET_OVERRIDE_SPARED_GATEWAY = "fleet-spare"
+    FLEET_OVERRIDE_VERSION_FLOOR = "fleet-floor"
 
     # A decision of one zone's gateways on another zone (`MergeRule.HIGHEST_VERSION`).
     ZONE_DECISION = "zone-act"  # name: "OBSERVERS>ZONE"; value: a `ZoneDecision`
 
 
 FLEET_WIDE: dict[str, FactKind] = {
-    FactKind.HELD_BACKEND: FactKind.FLEET_BACKEND,
-    FactKind.HELD_ZONE: FactKind.FLEET_ZONE,
-    FactKind.HELD_SPARE: FactKind.FLEET_SPARE,
-    FactKind.HELD_FLOOR: FactKind.FLEET_FLOOR,
+    FactKind.OVERRIDE_BACKEND: FactKind.FLEET_OVERRIDE_BACKEND,
+    FactKind.OVERRIDE_ZONE: FactKind.FLEET_OVERRIDE_ZONE,
+    FactKind.OVERRIDE_SPARED_GATEWAY: FactKind.FLEET_OVERRIDE_SPARED_GATEWAY,
+    FactKind.OVERRIDE_VERSION_FLOOR: FactKind.FLEET_OVERRIDE_VERSION_FLOOR,
 }
 """By the kind of an override at one gateway: the kind of the same override for the whole fleet."""
 
--- a/switchline/fleet/facts.py
+++ b/switchline/fleet/facts.py
@@ -116,7 +116,7 @@
 
     # Writing.
 
-    def tell(self, wall_ms: float, kind: str, name: str, value: str | None) -> Entry | None:
+    def publish(self, wall_ms: float, kind: str, name: str, value: str | None) -> Entry | None:
         """Write a fact, or withdraw it.
 
         Args:
@@ -159,9 +159,9 @@
         return stored.entry.value == value and (not is_override or stored.entry.at >= wall_ms)
 
     def offer(self, wall_ms: float, kind: str, name: str, value: str | None) -> None:
-        """Write or withdraw a fact as `tell`, but count one that the bounds don't allow, and leave it out."""
+        """As `publish`, but count a fact that the bounds don't allow, and leave it out."""
         try:
-            self.tell(wall_ms, kind, name, value)
+            self.publish(wall_ms, kind, name, value)
         except FactLimitError:
             self.refused["own"] += 1
 
--- a/switchline/fleet/membership/members.py
+++ b/switchline/fleet/membership/members.py
@@ -33,8 +33,8 @@
 class Members:
     """Owns what is known of each member."""
 
-    def __init__(self, me: MemberUpdate, chance: random.Random) -> None:
-        """`me`: this member's claim about itself; `chance`: source of its random choices."""
+    def __init__(self, me: MemberUpdate, rng: random.Random) -> None:
+        """`me`: this member's claim about itself; `rng`: source of its random choices."""
         self.me = me
         self.others: dict[str, Member] = {}
         # Of the others, those that are present and those that are suspected: needed for each datagram.
@@ -44,12 +44,12 @@
         self.superseded = False  # a later process has this name: this one is silent
         self.over_bound = 0  # members that were not taken
         self.counts: Counter[str] = Counter(dict.fromkeys(MemberEvent, 0))
-        self.ring = ProbeRing(self.present, chance)
-        self.sampler = MemberSampler(self.present, chance)
+        self.ring = ProbeRing(self.present, rng)
+        self.sampler = MemberSampler(self.present, rng)
         self.updated: Callable[[MemberUpdate], None] = lambda update: None  # with each claim that is new
         self.refuted: Callable[[], None] = lambda: None  # after a suspicion of this member
         self.began: Callable[[Incarnation], None] = lambda incarnation: None  # a later one of this member
-        self._chance = chance
+        self._rng = rng
 
     # Reading.
 
@@ -150,7 +150,7 @@
         member.suspecters |= {member.update.suspected_by}
         member.dead_at = now_s + self._timeout_s(0)
         by_another = member.update.suspected_by != self.me.name
-        if by_another and self._chance.random() * self.size < RECHECKERS:
+        if by_another and self._rng.random() * self.size < RECHECKERS:
             self.ring.probe_next(member.update.name)
 
     @staticmethod
--- a/switchline/fleet/membership/probing.py
+++ b/switchline/fleet/membership/probing.py
@@ -83,15 +83,15 @@
     """Owns the probe under way, and the pings that are relayed for others."""
 
     def __init__(
-        self, members: Members, address: Address, send: SendMessage, chance: random.Random, now_s: float
+        self, members: Members, address: Address, send: SendMessage, rng: random.Random, now_s: float
     ) -> None:
-        """`address`: where this member is reached; `chance`: source of its random choices."""
+        """`address`: where this member is reached; `rng`: source of its random choices."""
         self.seq = 0  # of the own probes
-        self.probe_at = now_s + chance.uniform(0, PROBE_INTERVAL_S)
+        self.probe_at = now_s + rng.uniform(0, PROBE_INTERVAL_S)
         self._members = members
         self._address = address
         self._send = send
-        self._chance = chance
+        self._rng = rng
         self._probe: Probe | None = None
         self._relays: dict[int, Relay] = {}  # by the sequence number of the relayed ping
 
@@ -108,7 +108,7 @@
     def restart(self, now_s: float) -> None:
         """Drop the probe after this process stood still: its answer may have come in time."""
         self._probe = None
-        self.probe_at = now_s + self._chance.uniform(0, PROBE_INTERVAL_S)
+        self.probe_at = now_s + self._rng.uniform(0, PROBE_INTERVAL_S)
 
     def run_due(self, now_s: float) -> None:
         """Send nacks and indirect probes that are due, suspect who has not answered, and begin a probe."""
@@ -148,7 +148,7 @@
     def _begin_probe(self, now_s: float) -> None:
         """Ping the next member; one that is suspected hears so, to refute it (Lifeguard's buddy system)."""
         multiplier = self._members.health.probe_multiplier
-        jitter = self._chance.uniform(1 - PROBE_JITTER_RATIO, 1 + PROBE_JITTER_RATIO)
+        jitter = self._rng.uniform(1 - PROBE_JITTER_RATIO, 1 + PROBE_JITTER_RATIO)
         self.probe_at = now_s + PROBE_INTERVAL_S * multiplier * jitter
         if self._members.superseded:
             return
@@ -187,7 +187,7 @@
             return
         if not (message.host and message.port):
             return
-        seq = RELAY_SEQ_BASE + self._chance.getrandbits(RELAY_SEQ_BITS)
+        seq = RELAY_SEQ_BASE + self._rng.getrandbits(RELAY_SEQ_BITS)
         nack_at = now_s + PROBE_TIMEOUT_S * NACK_TIMEOUT_RATIO
         self._relays[seq] = Relay(message.seq, requester.address, nack_at)
         self._ping((message.host, message.port), seq, message.target)
--- a/switchline/fleet/versions/quarantine.py
+++ b/switchline/fleet/versions/quarantine.py
@@ -102,7 +102,9 @@
 
     def evaluate(self, endpoint: ProtocolEndpoint, now_s: float, wall_ms: float, view: StalenessView) -> bool:
         """Publish what this gateway wants and grants; return whether it is to be quarantined now."""
-        me, facts, members = endpoint.members.me, endpoint.facts, endpoint.members
+        facts = endpoint.facts
+        members = endpoint.members
+        me = members.me
         stale = VersionKind.LIST if view.is_list_stale else None
         stale = stale or version_below_floor(facts, me.name, view.list_seq, view.floors)
         self.kind = stale.value if stale is not None else ""
@@ -165,7 +167,8 @@
 
 def grants_for(facts: Facts, members: Members) -> int:
     """Return how many members that are present grant quarantine to this incarnation of this gateway."""
-    me, present = members.me, members.present
+    me = members.me
+    present = members.present
     granted = grant_value(me.incarnation)
     entries = [
         stored.entry
@@ -197,7 +200,8 @@
 
         A gateway in a minority, one that is stale itself and one that has just begun grant none.
         """
-        facts, members = endpoint.facts, endpoint.members
+        facts = endpoint.facts
+        members = endpoint.members
         granted = self._withdraw_needless(facts, members, wall_ms)
         if members.minority or is_stale or now_s - self.began_s < GRANT_DELAY_S:
             return
--- a/switchline/fleet_runtime/transport.py
+++ b/switchline/fleet_runtime/transport.py
@@ -214,7 +214,7 @@
                     log.warning(log_events.FACT_NOT_PUBLISHED, error)
 
     def _put(self, fact: PublishedFact) -> None:
-        self.node.tell(fact.at_ms or now_ms(), fact.kind, fact.name, fact.value)
+        self.node.publish(fact.at_ms or now_ms(), fact.kind, fact.name, fact.value)
 
 
 class DropReport:
--- a/switchline/operators/fleet_calls.py
+++ b/switchline/operators/fleet_calls.py
@@ -38,10 +38,10 @@
 VALUE_CLEARED = "up"
 # The kind of the acknowledging fact by the kind of the call's; its value is the time of the call.
 ACK_KINDS: dict[str, FactKind] = {
-    FactKind.FLEET_BACKEND: FactKind.TOOK_BACKEND,
-    FactKind.FLEET_ZONE: FactKind.TOOK_ZONE,
-    FactKind.FLEET_SPARE: FactKind.TOOK_SPARE,
-    FactKind.FLEET_FLOOR: FactKind.TOOK_FLOOR,
+    FactKind.FLEET_OVERRIDE_BACKEND: FactKind.ACK_BACKEND,
+    FactKind.FLEET_OVERRIDE_ZONE: FactKind.ACK_ZONE,
+    FactKind.FLEET_OVERRIDE_SPARED_GATEWAY: FactKind.ACK_SPARED_GATEWAY,
+    FactKind.FLEET_OVERRIDE_VERSION_FLOOR: FactKind.ACK_VERSION_FLOOR,
 }
 
 
--- a/switchline/zones/agreement.py
+++ b/switchline/zones/agreement.py
@@ -54,9 +54,7 @@
 class ZoneAgreement:
     """Owns one gateway's part in what the fleet decides on zones."""
 
-    def __init__(
-        self, zone: str, place: int, places: int, slow_start: SlowStart, chance: random.Random
-    ) -> None:
+    def __init__(self, zone: str, place: int, places: int, slow_start: SlowStart, rng: random.Random) -> None:
         """Begin without any decision.
 
         Args:
@@ -64,13 +62,13 @@
             place: This gateway's place among all, from 0.
             places: Number of places.
             slow_start: How backends warm up.
-            chance: Source of the random delays of decisions.
+            rng: Source of the random delays of decisions.
         """
         self.zone = zone
         self.place = place
         self.places = places
         self.slow_start = slow_start
-        self.chance = chance
+        self.rng = rng
         self.publisher = ReportPublisher(zone)
         self.progress: dict[str, ZoneProgress] = {}
         self.regions: Mapping[str, str] = {}  # by zone
@@ -116,15 +114,7 @@
         self._forget_unlisted(evaluation)
         for zone in observations:
             self._track(evaluation.facts, zone, now_s)
-        left_since_s = {
-            zone: progress.left_since_s
-            for zone, progress in self.progress.items()
-            if progress.left_since_s is not None
-        }
-        reports = self.publisher.collect(evaluation, left_since_s)
-        self.publisher.update_questions(evaluation, reports)
-        if self.publisher.publish(evaluation, reports, left_since_s):
-            endpoint.gossip_now()
+        reports = self._exchange_reports(evaluation)
         self.publisher.publish_load(evaluation, load_per_s)
         self._decide_all(evaluation, reports)
         questions = self.publisher.questions
@@ -138,6 +128,19 @@
                 self.directives[zone] = directive
         return self.directives
 
+    def _exchange_reports(self, evaluation: Evaluation) -> dict[str, list[ReceivedReport]]:
+        """Publish what this gateway observed; return all gateways' reports by zone."""
+        left_since_s = {
+            zone: progress.left_since_s
+            for zone, progress in self.progress.items()
+            if progress.left_since_s is not None
+        }
+        reports = self.publisher.collect(evaluation, left_since_s)
+        self.publisher.update_questions(evaluation, reports)
+        if self.publisher.publish(evaluation, reports, left_since_s):
+            evaluation.endpoint.gossip_now()
+        return reports
+
     # What is kept between evaluations.
 
     def _note_stall(self, now_s: float) -> None:
@@ -204,7 +207,8 @@
 
         Backends that were lost on its last ramp are no reason to leave it again within `FLAP_WINDOW_S`.
         """
-        now_s, progress = evaluation.now_s, case.progress
+        now_s = evaluation.now_s
+        progress = case.progress
         recent = now_s - progress.version_at_s < FLAP_WINDOW_S
         excused = progress.ramp.lost if recent else frozenset[str]()
         evidence = evidence_to_leave(case.ours, case.reports, case.observation.usable, case.alone)
@@ -272,14 +276,15 @@
     def _is_own_turn(self, progress: ZoneProgress, now_s: float) -> bool:
         """Return whether this gateway writes now what all would: after a random delay, so that few do."""
         # Drawn at each call, as replays of a seed depend on the number of draws.
-        write_at_s = now_s + self.chance.uniform(0, DECISION_JITTER_S)
+        write_at_s = now_s + self.rng.uniform(0, DECISION_JITTER_S)
         if progress.write_at_s is None:
             progress.write_at_s = write_at_s
         return now_s >= progress.write_at_s
 
     def _write(self, evaluation: Evaluation, zone: str, decision: ZoneDecision) -> None:
         """Write the next version of the decision on a zone, and send it at once."""
-        value, name = encode_decision(decision), decision_name(self.zone, zone)
+        name = decision_name(self.zone, zone)
+        value = encode_decision(decision)
         if value is None:
             return
         if evaluation.facts.decide(evaluation.wall_ms, FactKind.ZONE_DECISION, name, value) is not None:
@@ -296,7 +301,8 @@
         Returns:
             The directive; None where there is no decision, or a minority must go by its own evidence.
         """
-        facts, members = evaluation.facts, evaluation.endpoint.members
+        facts = evaluation.facts
+        members = evaluation.endpoint.members
         decision = self.decision(facts, zone)
         progress = self._track(facts, zone, evaluation.now_s)
         if not progress.version:
--- a/switchline/zones/capacity.py
+++ b/switchline/zones/capacity.py
@@ -29,7 +29,8 @@
     Returns:
         By place: requests per second.
     """
-    facts, loads = endpoint.facts, dict[int, float]()
+    facts = endpoint.facts
+    loads: dict[int, float] = {}
     for name, member in endpoint.members.others.items():
         ended = member.state is MemberState.DEAD and now_s - member.since > DEAD_KEEPS_PART_S
         if ended or member.state is MemberState.LEFT or facts.value(FactKind.ZONE, "", name) != zone:
--- a/switchline/zones/coordination.py
+++ b/switchline/zones/coordination.py
@@ -37,11 +37,11 @@
 class ZoneCoordinator:
     """Owns this gateway's part in the fleet's decisions on zones, and the timer of its evaluations."""
 
-    def __init__(self, driver: Driver, chance: random.Random) -> None:
+    def __init__(self, driver: Driver, rng: random.Random) -> None:
         settings = driver.settings
         slow_start = SlowStart(settings.rules.start_capacity, settings.rules.warm_up_ms / 1000)
         self.driver = driver
-        self.agreement = ZoneAgreement(settings.zone, settings.index, settings.gateways, slow_start, chance)
+        self.agreement = ZoneAgreement(settings.zone, settings.index, settings.gateways, slow_start, rng)
         self.peers: GossipTransport | None = None
         self.directives: dict[str, Directive] = {}
         self.noted: AuditCallback = lambda kind, of, version, cause: None  # of the audit
@@ -118,7 +118,8 @@
 
     def _log_decisions(self, peers: GossipTransport) -> None:
         """Log and audit each decision that is new here."""
-        facts, observers = peers.node.facts, self.agreement.zone
+        facts = peers.node.facts
+        observers = self.agreement.zone
         for zone in self.directives:
             version = self.agreement.version(facts, zone)
             if version == self._logged_versions.get(zone, 0):
@@ -152,7 +153,8 @@
         """Return the view of `GET /ops/fleet`, by zone."""
         if self.peers is None:
             return {}
-        facts, agreement = self.peers.node.facts, self.agreement
+        facts = self.peers.node.facts
+        agreement = self.agreement
         found = {}
         for zone, directive in self.directives.items():
             decision = agreement.decision(facts, zone)
--- a/tests/fleet/test_fleet_protocol.py
+++ b/tests/fleet/test_fleet_protocol.py
@@ -111,7 +111,7 @@
 names = st.sampled_from(["a", "b"])
 entries = st.builds(
     Entry,
-    kind=st.sampled_from(["ready", FactKind.HELD_BACKEND]),
+    kind=st.sampled_from(["ready", FactKind.OVERRIDE_BACKEND]),
     name=names,
     origin=st.sampled_from(["g0", "g1", "g2"]),
     incarnation=st.tuples(st.integers(1, 2), st.integers(0, 1)),
@@ -144,23 +144,23 @@
     """What is known of backends out by hand."""
     return {
         name: (stored.entry.value, stored.entry.at)
-        for (name, _), stored in facts.of_kind(FactKind.HELD_BACKEND).items()
+        for (name, _), stored in facts.of_kind(FactKind.OVERRIDE_BACKEND).items()
     }
 
 
 def test_the_newest_call_wins_a_clock_too_far_ahead_is_not_believed_and_deletions_end() -> None:
     facts = Facts("g0", LIFE)
-    assert facts.tell(WALL_MS, FactKind.HELD_BACKEND, "b1", "down")
-    assert facts.tell(WALL_MS, FactKind.HELD_BACKEND, "b1", "down") is None  # nothing new
-    call = Entry(FactKind.HELD_BACKEND, "b1", "g1", (9, 9), 1, WALL_MS + MAX_CLOCK_SKEW_MS + 1, "up")
+    assert facts.publish(WALL_MS, FactKind.OVERRIDE_BACKEND, "b1", "down")
+    assert facts.publish(WALL_MS, FactKind.OVERRIDE_BACKEND, "b1", "down") is None  # nothing new
+    call = Entry(FactKind.OVERRIDE_BACKEND, "b1", "g1", (9, 9), 1, WALL_MS + MAX_CLOCK_SKEW_MS + 1, "up")
     assert not facts.merge(WALL_MS, call) and facts.refused["clock"] == 1
     assert told(facts) == {"b1": ("down", WALL_MS)}
     assert facts.merge(WALL_MS, msgspec.structs.replace(call, at=WALL_MS + 1))
-    assert not facts.tell(
-        WALL_MS, FactKind.HELD_BACKEND, "b1", "down"
+    assert not facts.publish(
+        WALL_MS, FactKind.OVERRIDE_BACKEND, "b1", "down"
     )  # an older call than the one that holds
     assert told(facts) == {"b1": ("up", WALL_MS + 1)}
-    assert facts.tell(WALL_MS, "ready", "", "yes") and facts.tell(WALL_MS, "ready", "", None)
+    assert facts.publish(WALL_MS, "ready", "", "yes") and facts.publish(WALL_MS, "ready", "", None)
     later = WALL_MS + WITHDRAWN_LASTS_MS + 1
     facts.expire(2, later, lambda name: LIFE)
     assert facts.value("ready", "", "g0") is None and ("ready", "", "g0") not in facts.table
@@ -171,11 +171,11 @@
 def test_bounds_are_refused_at_the_origin_and_orphans_are_forgotten() -> None:
     facts = Facts("g0", LIFE)
     for number in range(MAX_ENTRIES_OF_ORIGIN):
-        facts.tell(WALL_MS, "x", str(number), "v")
+        facts.publish(WALL_MS, "x", str(number), "v")
     with pytest.raises(FactLimitError):
-        facts.tell(WALL_MS, "x", "more", "v")
+        facts.publish(WALL_MS, "x", "more", "v")
     with pytest.raises(FactLimitError):
-        facts.tell(WALL_MS, "x", "0", "v" * 1000)
+        facts.publish(WALL_MS, "x", "0", "v" * 1000)
     greedy = [Entry("x", str(n), "g1", LIFE, 1, WALL_MS, "v") for n in range(MAX_ENTRIES_OF_ORIGIN + 9)]
     assert sum(facts.merge(WALL_MS, entry) for entry in greedy) == MAX_ENTRIES_OF_ORIGIN
     assert facts.refused["full"] == 9
@@ -258,13 +258,13 @@
 def test_a_name_that_comes_back_has_a_higher_life_and_facts_of_the_old_one_end() -> None:
     net = fleet(5, 2)
     old = net.nodes[address_of(4)]
-    old.tell(net.wall(address_of(4)), "ready", "", "yes")
+    old.publish(net.wall(address_of(4)), "ready", "", "yes")
     net.run(3)
     net.remove(4)
     new = net.add(4, seeds=(0,))
     net.run(5)
     assert net.all_see("g4", {MemberState.ALIVE}) and new.members.me.incarnation > old.members.me.incarnation
-    new.tell(net.wall(address_of(4)), "ready", "", "no")
+    new.publish(net.wall(address_of(4)), "ready", "", "no")
     net.run(3)
     assert {n.facts.value("ready", "", "g4") for n in net.nodes.values()} == {"no"}
 
@@ -351,12 +351,12 @@
         net.add(number)
     assert net.run(10, net.whole)
     ahead = net.nodes[address_of(2)]
-    ahead.tell(net.wall(address_of(2)), "ready", "", "yes")
-    ahead.tell(net.wall(address_of(2)), FactKind.HELD_BACKEND, "b0", "down")
+    ahead.publish(net.wall(address_of(2)), "ready", "", "yes")
+    ahead.publish(net.wall(address_of(2)), FactKind.OVERRIDE_BACKEND, "b0", "down")
     net.run(15)
     for address, node in net.nodes.items():
         assert node.facts.value("ready", "", "g2") == "yes"  # of itself: no clocks are compared
-        assert (node.facts.value(FactKind.HELD_BACKEND, "b0") == "down") is (address == address_of(2))
+        assert (node.facts.value(FactKind.OVERRIDE_BACKEND, "b0") == "down") is (address == address_of(2))
 
 
 def test_pings_and_the_number_of_the_list_that_is_asked_for_are_apart() -> None:
@@ -379,7 +379,7 @@
 def test_a_replayed_datagram_and_one_of_its_own_change_nothing() -> None:
     net = fleet(3, 10)
     node, other = net.nodes[address_of(0)], net.nodes[address_of(1)]
-    other.tell(net.wall(address_of(1)), "x", "", "1")
+    other.publish(net.wall(address_of(1)), "x", "", "1")
     other.outbox.send(address_of(0), MessageKind.GOSSIP)
     frame = other.take_datagrams()[-1][1]
     assert node.receive_datagram(net.now, WALL_MS, frame) and not node.receive_datagram(
@@ -396,7 +396,7 @@
     net = fleet(4, 11)
     node: ProtocolEndpoint = net.nodes[address_of(0)]
     for number in range(MAX_ENTRIES_OF_ORIGIN):
-        node.tell(WALL_MS, "kind" * 10, "n" * 50 + str(number), "\u20ac" * 400)
+        node.publish(WALL_MS, "kind" * 10, "n" * 50 + str(number), "\u20ac" * 400)
     for _ in range(30):
         node.outbox.send(address_of(1), MessageKind.GOSSIP)
     assert max(len(frame) for _, frame in node.take_datagrams()) <= MAX_DATAGRAM_BYTES
@@ -499,7 +499,7 @@
     def tell(self, who: int) -> None:
         self.told += 1
         node, at = self.net.nodes[address_of(who)], address_of(who)
-        node.tell(self.net.wall(at), "x", str(who), str(self.told))
+        node.publish(self.net.wall(at), "x", str(who), str(self.told))
 
     @rule(for_s=st.sampled_from([0.3, 2.0, 8.0]))
     def pass_time(self, for_s: float) -> None:
--- a/tests/fleet/test_quarantine.py
+++ b/tests/fleet/test_quarantine.py
@@ -50,7 +50,7 @@
 
     def tell(self, number: int) -> None:
         node = self.net.nodes[address_of(number)]
-        node.tell(self.net.wall(address_of(number)), "list", "", str(self.lists[number]))
+        node.publish(self.net.wall(address_of(number)), "list", "", str(self.lists[number]))
 
     def run(self, for_s: float) -> int:
         """Let time pass; the most that were out at once."""
@@ -147,8 +147,8 @@
     ):
         fleet = Fleet(6)
         node, one = fleet.net.nodes[address_of(0)], fleet.shuttings[0]
-        node.facts.tell(0.0, "release", "", "1.9")
-        node.facts.tell(0.0, "config", "", "abcd")
+        node.facts.publish(0.0, "release", "", "1.9")
+        node.facts.publish(0.0, "config", "", "abcd")
         begun = fleet.net.now
         for now, word in ((begun, None), (begun + PATIENCE_S, QuarantineState.WANTED)):
             one.evaluate(node, now, 0.0, StalenessView(5, False, (), floor))
@@ -159,13 +159,15 @@
     fleet = Fleet(11)
     for number in range(11):
         address = address_of(number)
-        fleet.net.nodes[address].tell(fleet.net.wall(address), "release", "", "1.5" if number > 3 else "1.4")
+        fleet.net.nodes[address].publish(
+            fleet.net.wall(address), "release", "", "1.5" if number > 3 else "1.4"
+        )
     assert fleet.run(3 * PATIENCE_S) == 0
     fleet.floors = parse_floors(["program 1.5"])
     assert 1 <= fleet.run(PATIENCE_S + 3.0) <= max_quarantined(11) and set(fleet.out()) <= {0, 1, 2, 3}
     for number in fleet.out():  # the new program starts there, or its facts say so
         address = address_of(number)
-        fleet.net.nodes[address].tell(fleet.net.wall(address), "release", "", "1.5")
+        fleet.net.nodes[address].publish(fleet.net.wall(address), "release", "", "1.5")
     assert fleet.run(RECOVERY_S + 6.0) <= max_quarantined(11) and len(fleet.out()) >= 1
 
 
--- a/tests/linked_fleet.py
+++ b/tests/linked_fleet.py
@@ -50,7 +50,7 @@
             )
             node.fact_changed = self._hears(index)
             for kind, value in (("zone", own(index)), ("index", str(index))):
-                node.tell(self.net.wall(address_of(index)), kind, "", value)
+                node.publish(self.net.wall(address_of(index)), kind, "", value)
             self._begin(index)
         acquaint(self.net)
         facts = [node.facts for node in self.net.nodes.values()]
--- a/tests/zones/test_zone_agreement.py
+++ b/tests/zones/test_zone_agreement.py
@@ -292,7 +292,7 @@
     for number in range(6):
         node = net.add(number)
         for kind, value in (("zone", "a"), ("index", str(number)), (FactKind.LOAD, str(10.0 + number))):
-            node.tell(net.wall(address_of(number)), kind, "", value)
+            node.publish(net.wall(address_of(number)), kind, "", value)
     acquaint(net)
     net.run(4.0)
     seen = {"a": LocalObservation(6), "b": LocalObservation(6, healthy={f"{b:08x}": 0.01 for b in range(6)})}
@@ -357,7 +357,7 @@
     for number in range(3):
         node = net.add(number)
         for kind, value in (("zone", "a"), ("index", str(number)), (FactKind.LOAD, "10.0")):
-            node.tell(net.wall(address_of(number)), kind, "", value)
+            node.publish(net.wall(address_of(number)), kind, "", value)
     acquaint(net)
     net.run(5.0)
     net.remove(2)
@@ -370,7 +370,7 @@
 
 def test_a_ramp_that_began_without_load_still_lets_work_in() -> None:
     net = Net(1)
-    net.add(0).tell(net.wall(address_of(0)), "zone", "", "a")
+    net.add(0).publish(net.wall(address_of(0)), "zone", "", "a")
     node, wall = net.nodes[address_of(0)], net.wall(address_of(0))
     agreement = ZoneAgreement("a", 0, 1, SlowStart(0.2, 16.0), random.Random(1))
     node.facts.decide(wall, FactKind.ZONE_DECISION, "a>b", '["left"]')
@@ -483,7 +483,7 @@
 def test_leaving_waits_a_moment_for_those_who_met_others_well() -> None:
     net = Net(1)
     for number in range(2):
-        net.add(number).tell(net.wall(address_of(number)), "zone", "", "a")
+        net.add(number).publish(net.wall(address_of(number)), "zone", "", "a")
     acquaint(net)
     net.run(4.0)
     node, wall = net.nodes[address_of(0)], net.wall(address_of(0))
@@ -493,7 +493,7 @@
     )
     seen["b"] = LocalObservation(4, lost={f"{b:08x}": 0.0 for b in range(4)})
     other = net.nodes[address_of(1)]
-    other.tell(
+    other.publish(
         wall, FactKind.ZONE_REPORT, "b", '[{"00000000":0,"00000001":0,"00000002":0},{}]'
     )  # seven words, with the own
     net.run(0.5)
