--- a/measure/zones.py
+++ b/measure/zones.py
@@ -25,7 +25,7 @@
 from gateway_fleet import Fleet  # noqa: E402
 from linked_fleet import LinkedFleet  # noqa: E402
 
-from switchline.policy.zones import Zones  # noqa: E402
+from switchline.policy.backends.zones import Zones  # noqa: E402
 from switchline.zones.decision import decode_decision  # noqa: E402
 from switchline.zones.ramp import share_at  # noqa: E402
 
@@ -36,7 +36,7 @@
     """Sees no zones."""
 
     def regroup(self, now: float, backends: object) -> None:
-        self.several = False
+        self.is_multi_zone = False
 
 
 NAMES = "without", "alone", "fleet"
@@ -52,7 +52,7 @@
     if name == "without":
         for gateway in fleet.gateways:
             gateway.zones.__class__ = Without
-            gateway.regroup(fleet.now)
+            gateway.backends.regroup(fleet.now)
     return fleet
 
 
@@ -61,15 +61,15 @@
     found: list[tuple[float, int]] = []
 
     def noting(note: Callable[..., None]) -> Callable[..., None]:
-        def noted(now: float, backend: int, name: str, lost: bool, ended: bool = True) -> None:
-            if lost and name == "b":
+        def noted(now: float, backend: int, name: str, is_lost: bool, has_ended: bool = True) -> None:
+            if is_lost and name == "b":
                 found.append((now, backend))
-            note(now, backend, name, lost, ended)
+            note(now, backend, name, is_lost, has_ended)
 
         return noted
 
     for gateway in fleet.gateways:
-        gateway.zones.note = noting(gateway.zones.note)  # type: ignore[method-assign]
+        gateway.zones.on_outcome = noting(gateway.zones.on_outcome)  # type: ignore[method-assign]
     return found
 
 
--- a/switchline/clients/places.py
+++ b/switchline/clients/places.py
@@ -13,7 +13,7 @@
 
 from switchline.net.descriptors import Budget, Part
 from switchline.operators.metrics import EvictionReason, Metrics
-from switchline.policy.fair_shares import FairShares
+from switchline.policy.quota.fair_shares import FairShares
 
 if TYPE_CHECKING:
     from switchline.clients.connection import ClientConnection
@@ -58,8 +58,8 @@
 
     def _follow_budget(self) -> None:
         """Let proven connections have all places but the young ones' before they are shared out."""
-        self.shares.most = self.limit
-        self.shares.pressed_at = self.limit - self.young_limit
+        self.shares.limit = self.limit
+        self.shares.pressure_from = self.limit - self.young_limit
 
     def opened(self, connection: ClientConnection) -> None:
         """Give a newcomer a place, or mark it as surplus. Once places are few, young ones have a bound."""
@@ -98,7 +98,7 @@
         of_peer = self.proven.get(connection.peer)
         if of_peer and connection in of_peer:
             del of_peer[connection]
-            self.shares.give_back(connection.peer)
+            self.shares.release(connection.peer)
             if not of_peer:
                 del self.proven[connection.peer]
 
--- a/switchline/fleet_runtime/recovery/spending.py
+++ b/switchline/fleet_runtime/recovery/spending.py
@@ -39,7 +39,7 @@
         """What is spent of quotas, for a gateway that asks; None while it is not known here."""
         if not self.can_answer:
             return None
-        reports = gateway_status.spending(self.driver.gateway, now_ms(), MAX_QUOTAS)
+        reports = gateway_status.quota_reports(self.driver.gateway, now_ms(), MAX_QUOTAS)
         return [
             RemainingQuota(one.customer, one.plan, one.even_share, one.remaining_units) for one in reports
         ]
--- a/switchline/requests/attempts.py
+++ b/switchline/requests/attempts.py
@@ -13,7 +13,7 @@
 from switchline.net.streams import StreamedResponse
 from switchline.operators.metrics import OutcomeKind
 from switchline.policy import interface as api
-from switchline.policy.entities import NEVER_RAN
+from switchline.policy.requests.request import NEVER_RAN
 from switchline.requests.context import RequestContext
 from switchline.requests.lifecycle import RequestLifecycle
 from switchline.requests.request import Request
--- a/switchline/requests/lifecycle.py
+++ b/switchline/requests/lifecycle.py
@@ -12,7 +12,7 @@
 from switchline.net.descriptors import Part
 from switchline.operators.metrics import OutcomeKind
 from switchline.policy import interface as api
-from switchline.policy.fair_shares import PRESSED, FairShares
+from switchline.policy.quota.fair_shares import PRESSURE_RATIO, FairShares
 from switchline.requests.arrivals import LONGEST_WAIT_MS, CommandReader, MalformedCommandError
 from switchline.requests.context import RequestContext
 from switchline.requests.request import Request
@@ -45,10 +45,10 @@
         if command.id in self.open:
             raise MalformedCommandError("id in use")
         event = self.reader.read(command)
-        self.shares.most = min(
+        self.shares.limit = min(
             self.max_open, OPEN_PER_CONNECTION * self.backends.budget.limit_of(Part.BACKENDS)
         )
-        self.shares.pressed_at = int(self.shares.most * PRESSED)
+        self.shares.pressure_from = int(self.shares.limit * PRESSURE_RATIO)
         if self.is_ending or not self.shares.admits(event.customer):
             self._reject_for_capacity(event.request_class, slot)
             return
@@ -138,7 +138,7 @@
         """A request has ended: its place is free."""
         request = self.open.pop(request_id, None)
         if request is not None:
-            self.shares.give_back(request.command.customer)
+            self.shares.release(request.command.customer)
         return request
 
     def drop_body(self, request: Request) -> None:
--- a/switchline/service/audit_trail.py
+++ b/switchline/service/audit_trail.py
@@ -9,7 +9,7 @@
 
 from switchline.clock import now_ms
 from switchline.operators.metrics import OutcomeKind
-from switchline.policy.leases import PERIOD_MS
+from switchline.policy.quota.lease_sizing import PERIOD_MS
 from switchline.service.parts import GatewayParts
 
 if TYPE_CHECKING:
@@ -62,8 +62,8 @@
         """Record the list of backends in use, by its number and a digest of its backends."""
         if self.audit is None:
             return
-        backends = self.parts.driver.gateway.backends.values()
-        known = sorted((backend.id, backend.ready, backend.started) for backend in backends)
+        backends = self.parts.driver.gateway.backends.by_id.values()
+        known = sorted((backend.id, backend.is_ready, backend.started_ms) for backend in backends)
         digest = hashlib.blake2b(repr(known).encode(), digest_size=4).hexdigest()
         version = f"{self.parts.discovery.version} {digest}"
         self.record("list", "", version, f"discovery: {len(known)} backends")
--- a/switchline/service/driver.py
+++ b/switchline/service/driver.py
@@ -24,6 +24,7 @@
 from switchline.operators.metrics import Metrics, OutcomeKind
 from switchline.policy import Gateway, gateway_status
 from switchline.policy import interface as api
+from switchline.policy.persistence.codec import decode_record, encode_record
 from switchline.requests.attempts import AttemptSender
 from switchline.requests.context import RequestContext
 from switchline.requests.lifecycle import REFUSED, RequestLifecycle
@@ -34,7 +35,6 @@
 MAX_KNOWN_NAMES = 1_024  # backends and zones that are remembered after they have left the list
 NOT_IN_METRIC_NAMES = re.compile(r"[^A-Za-z0-9_-]")
 MAX_METRIC_NAME_LENGTH = 64
-RECOVERY_RAMP_REASON = "return"  # of a rejection
 
 Name = TypeVar("Name", bound=Hashable)
 
@@ -114,13 +114,13 @@
         """The live state that operators fetch with the counts."""
         return {
             "outstanding": len(self.requests.open),
-            "discovered": len(self.gateway.backends),
-            "ejected": gateway_status.ejected(self.gateway, now_ms()),
+            "discovered": len(self.gateway.backends.by_id),
+            "ejected": gateway_status.ejected_backends(self.gateway, now_ms()),
         }
 
     def zones(self) -> dict[str, dict[str, int]]:
         """The metrics of each zone, under a name that can stand in a metric's; of two alike, those of one."""
-        by_zone = gateway_status.figures_of(self.gateway.zones, now_ms())
+        by_zone = gateway_status.zone_metrics(self.gateway.zones, now_ms())
         return {zone_metric_name(zone): metrics for zone, metrics in by_zone.items()}
 
     def give(self, event: api.Event) -> None:
@@ -163,8 +163,8 @@
             case api.Fail(request):
                 self.report.counts["failed"] += 1
                 self.requests.fail(request)
-            case api.SetTimer(delay, token):
-                self.timers.at(now_ms() + delay, partial(self.give, api.TimerFired(token)))
+            case api.SetTimer(delay, timer):
+                self.timers.at(now_ms() + delay, partial(self.give, api.TimerFired(timer)))
             case api.Count():
                 self._count(action)
             case _:
@@ -173,18 +173,18 @@
     def _publish(self, action: api.Action) -> None:
         """Carry out an action for the peer process, the disk or the log."""
         match action:
-            case api.Replicate(message):
-                self.replicate(message)
+            case api.Replicate(record):
+                self.replicate(encode_record(record))
             case api.PersistRecord(serial, record):
-                self.persist(serial, record)
+                self.persist(serial, encode_record(record))
             case api.LogMessage(text):
                 log.info("%s", text)
             case api.FollowList():
                 pass  # the list is always followed
 
     def _reject(self, action: api.Reject) -> None:
-        self.report.counts["refused for " + action.reason] += 1
-        self.withheld += action.reason == RECOVERY_RAMP_REASON
+        self.report.counts["refused for " + action.cause.value] += 1
+        self.withheld += action.cause is api.RejectionCause.RECOVERY
         retry_after_ms = math.ceil(action.retry_after_ms)
         reply = b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms > 0 else REFUSED
         self.requests.finish(action.request, reply, OutcomeKind.DECLINED)
@@ -202,12 +202,20 @@
     def restore_record(self, record: list[Any], at: float) -> bool:
         """Give the policy a record of an earlier process; whether it could be restored."""
         try:
-            self.gateway.handle(now_ms(), api.RecordRestored(record, at))
+            self.gateway.handle(now_ms(), api.RecordRestored(decode_record(record), at))
         except (ValueError, TypeError, OverflowError) as error:
             log.info(log_events.RECORD_REJECTED, error)
             return False
         return True
 
+    def on_peer_record(self, values: list[Any]) -> None:
+        """Give the policy a record of the other process; it refuses one that can't be read."""
+        try:
+            record = decode_record(values)
+        except ValueError:
+            record = None
+        self.give(api.PeerProcessMessage(record))
+
     def apply_list(
         self, scope: api.ListScope, members: tuple[Member, ...], held_until: float = -math.inf
     ) -> None:
--- a/switchline/service/upgrade.py
+++ b/switchline/service/upgrade.py
@@ -48,7 +48,7 @@
             private_file(parts.config.name, SOCKET_FILE),
             HandoverEvents(
                 joined=partial(parts.driver.give, api.PeerProcessJoined()),
-                record_received=lambda record: parts.driver.give(api.PeerProcessMessage(record)),
+                record_received=parts.driver.on_peer_record,
                 serving=self._hand_over,
                 left=self._take_back,
                 descriptors_reported=self._set_peer_descriptors,
--- a/switchline/state/__init__.py
+++ b/switchline/state/__init__.py
@@ -7,7 +7,7 @@
 
 A power loss takes what was saved since the last commit: 20 ms of changes while the disk keeps up, 1.5 s at
 most, after which the store is off (`state.on` 0). An operator's call is replied to after its commit, so none
-is lost. Spending of quotas is reserved on disk ahead of it (`switchline.policy.durable_state`), so that what
-was spent is not given a second time; only a customer's first request may be served before its reservation is
-on disk.
+is lost. Spending of quotas is reserved on disk ahead of it (`switchline.policy.persistence.durable_state`),
+so that what was spent is not given a second time; only a customer's first request may be served before its
+reservation is on disk.
 """
--- a/switchline/zones/coordination.py
+++ b/switchline/zones/coordination.py
@@ -83,7 +83,7 @@
     def _run_timer(self) -> None:
         self._timer = asyncio.get_running_loop().call_later(URGENT_EVALUATION_S, self._run_timer)
         now_s = time.monotonic()
-        losses = self.driver.gateway.zones.losses
+        losses = self.driver.gateway.zones.lost_attempts
         due = now_s - self._evaluated_s >= EVALUATION_S
         if losses != self._losses or self._urgent or due:
             self._losses = losses
@@ -94,11 +94,11 @@
     def _evaluate(self, now_s: float) -> None:
         """Publish what was observed, take part in what is decided, and have the policy follow it."""
         gateway = self.driver.gateway
-        if self.peers is None or not gateway.zones.several:
+        if self.peers is None or not gateway.zones.is_multi_zone:
             self._follow({})
             return
         observations = observe_zones(gateway, now_ms())
-        load_per_s = gateway_status.offered(gateway, now_ms())
+        load_per_s = gateway_status.attempt_rate_per_s(gateway, now_ms())
         self.agreement.regions = gateway.zones.regions
         directives = self.agreement.evaluate(self.peers.node, now_s, now_ms(), observations, load_per_s)
         if self.peers.node.facts.refused["own"] and not self._bound_logged:
@@ -176,8 +176,10 @@
 def observe_zones(gateway: Gateway, now: float) -> dict[str, LocalObservation]:
     """Return what a gateway observes in each zone with usable backends; `now` in milliseconds."""
     return {
-        zone: LocalObservation(seen.usable, _ages_s(seen.lost), _ages_s(seen.well), seen.slow, seen.warmth)
-        for zone, seen in gateway_status.met(gateway, now).items()
+        zone: LocalObservation(
+            seen.usable, _ages_s(seen.lost_ms), _ages_s(seen.well_ms), seen.slow, seen.warmth
+        )
+        for zone, seen in gateway_status.zone_observations(gateway, now).items()
         if seen.usable
     }
 
@@ -196,7 +198,7 @@
     """Return a directive as the policy takes it, with milliseconds for seconds."""
     return api.ZoneDirective(
         zone=zone,
-        state=directive.state.value if directive.state is not None else "",
+        state=api.ZoneState(directive.state.value) if directive.state is not None else None,
         rate_per_s=directive.rate_per_s,
         capacity_ratio=directive.capacity_ratio,
         probe_interval_ms=directive.probe_interval_s * 1000,
--- a/tests/linked_fleet.py
+++ b/tests/linked_fleet.py
@@ -93,7 +93,7 @@
         if node is None or index in self.lone or self.net.stopped.get(address_of(index), 0) > self.net.now:
             return
         self.net.run(max(0.0, self.seconds() - self.net.now))
-        losses = self.gateways[index].zones.losses
+        losses = self.gateways[index].zones.lost_attempts
         if (
             losses != self.losses[index]
             or self.urgent[index]
@@ -101,7 +101,10 @@
         ):
             self.losses[index], self.urgent[index], self.evaluated_s[index] = losses, False, self.net.now
             gateway, wall = self.gateways[index], self.net.wall(address_of(index))
-            seen, load = observe_zones(gateway, self.now), gateway_status.offered(gateway, self.now)
+            seen, load = (
+                observe_zones(gateway, self.now),
+                gateway_status.attempt_rate_per_s(gateway, self.now),
+            )
             self.agreements[index].regions = gateway.zones.regions
             directives = self.agreements[index].evaluate(node, self.net.now, wall, seen, load)
             self.net.carry(address_of(index), node)
@@ -118,7 +121,7 @@
             for g, agreement in zip(self.gateways, self.agreements, strict=True)
             if own in ("", agreement.zone)
         ]
-        return {gateway.zones.zones[zone].state.value for gateway in of}
+        return {gateway.zones.by_name[zone].state.value for gateway in of}
 
     def decisions_on(self, zone: str) -> list[ZoneDecision]:
         """The decisions on a zone that the first gateway has heard of, in their order."""
--- a/tests/service/test_driver.py
+++ b/tests/service/test_driver.py
@@ -152,7 +152,7 @@
 def test_a_report_tells_what_became_of_the_requests(caplog: pytest.LogCaptureFixture) -> None:
     async def scenario() -> None:
         scene = Scene()
-        scene.module.answers[api.RequestArrived] = [api.Reject("r1", 30.0, "quota")]
+        scene.module.answers[api.RequestArrived] = [api.Reject("r1", 30.0, api.RejectionCause.QUOTA)]
         scene.driver.report.states = lambda: {"clients.idle": 2, "clients.young": 0}
         scene.ask()
         with caplog.at_level("INFO"):
