--- a/testbed/network/fleet_link.py
+++ b/testbed/network/fleet_link.py
@@ -1,4 +1,4 @@
-"""The line between gateways on a hand-set clock: many nodes, and a network with a seed."""
+"""The fleet link on a hand-set clock: many protocol endpoints, and a network with a seed."""
 
 from __future__ import annotations
 
@@ -20,37 +20,41 @@
 
 
 class Net:
-    """Nodes by address, what is under way between them, and what the network does to it.
+    """Endpoints by address, the datagrams under way between them, and the faults of the network.
 
-    `lossy` tells whether what goes from one address to another is lost. Times are seconds.
+    `cut` tells whether what goes from one address to another is lost. Times are seconds.
     """
 
     def __init__(self, seed: int, trip_s: float = 0.001, jitter_s: float = 0.004) -> None:
         self.chance = random.Random(seed)
         self.now = 1_000.0
-        self.trip_s, self.jitter_s = trip_s, jitter_s
+        self.trip_s = trip_s
+        self.jitter_s = jitter_s
         self.nodes: dict[Address, ProtocolEndpoint] = {}
         self.stopped: dict[Address, float] = {}  # until when
-        self.loss = self.duplicate = 0.0
+        self.loss = 0.0  # probability of each datagram
+        self.duplicate = 0.0  # likewise
         self.cut: Callable[[Address, Address], bool] = lambda a, b: False
         self.queue: list[tuple[float, int, Address, bytes | None, Address]] = []
         self.order = itertools.count()
         self.clocks: dict[Address, float] = {}  # milliseconds by which a wall clock is off
         self.due: dict[Address, float] = {}  # the next tick
-        self.held: dict[Address, list[bytes]] = {}  # for a process that is stopped
+        self.paused_frames: dict[Address, list[bytes]] = {}  # that wait for a stopped process
         self.counts: Counts[str] = Counts()
-        self.watched, self.known_dead = "", 0
+        self.watched = ""  # the member whose death is counted
+        self.known_dead = 0  # members that know of it
         self.fates: list[int] = []  # of the next datagrams, the last first: 0 lost, 1 late, 2 doubled
 
     def wall(self, at: Address) -> float:
+        """Return the wall time of the process at an address, in milliseconds."""
         return WALL_MS + self.now * 1000 + self.clocks.get(at, 0.0)
 
     def add(
-        self, number: int, seeds: Iterable[int] = (0,), life: Incarnation | None = None, name: str = ""
+        self, number: int, seeds: Iterable[int] = (0,), incarnation: Incarnation | None = None, name: str = ""
     ) -> ProtocolEndpoint:
-        """Start a node; one of the same number before it is gone without a word."""
+        """Start an endpoint; an earlier one of the same number is gone without leaving."""
         address = address_of(number)
-        given = life or (int(self.wall(address)), self.chance.getrandbits(30))
+        given = incarnation or (int(self.wall(address)), self.chance.getrandbits(30))
         node = ProtocolEndpoint(
             alive_claim(name or f"g{number}", given, address),
             tuple(address_of(one) for one in seeds),
@@ -65,15 +69,17 @@
         return node
 
     def remove(self, number: int) -> None:
+        """End an endpoint without leaving, as a crash does."""
         self.nodes.pop(address_of(number), None)
 
     def stop(self, number: int, for_s: float) -> None:
-        """A process stands still; what comes meanwhile waits for it, as far as its socket holds it."""
+        """Pause a process; what arrives meanwhile waits for it, as much as its socket buffers."""
         address = address_of(number)
         self.stopped[address] = self.due[address] = self.now + for_s
         self.push(self.now + for_s, address, None, address)
 
     def push(self, at: float, to: Address, frame: bytes | None, source: Address) -> None:
+        """Have a frame arrive at a time; None for a timer."""
         heapq.heappush(self.queue, (at, next(self.order), to, frame, source))
 
     def run(self, for_s: float, until: Callable[[], bool] | None = None) -> bool:
@@ -86,10 +92,10 @@
             if node is None:
                 continue
             if self.stopped.get(to, 0.0) > self.now:
-                if frame is not None and len(self.held.setdefault(to, [])) < 200:
-                    self.held[to].append(frame)
+                if frame is not None and len(self.paused_frames.setdefault(to, [])) < 200:
+                    self.paused_frames[to].append(frame)
                 continue
-            for waited in self.held.pop(to, []):
+            for waited in self.paused_frames.pop(to, []):
                 node.receive_datagram(self.now, self.wall(to), waited)
             if frame is None:
                 if self.due.get(to) not in (None, at):
@@ -108,6 +114,7 @@
         return until is not None and until()
 
     def carry(self, source: Address, node: ProtocolEndpoint) -> None:
+        """Put what an endpoint has to send under way, with the network's faults."""
         for to, frame in node.take_datagrams():
             self.counts["datagrams"] += 1
             self.counts["bytes"] += len(frame)
@@ -134,12 +141,13 @@
         if other.receive_exchange(self.now, self.wall(to), node.exchange_frame(False), False):
             node.receive_exchange(self.now, self.wall(source), other.exchange_frame(True), True)
 
-    # ---- what is seen ----
+    # What the members know.
 
     def watch(self, name: str) -> bool:
         """Count the members that come to know of a death, without looking at all of them at each event."""
         if self.watched != name:
-            self.watched, self.known_dead = name, 0
+            self.watched = name
+            self.known_dead = 0
             for node in self.nodes.values():
                 if self.sees(node, name) is MemberState.DEAD:
                     self.known_dead += 1
@@ -147,25 +155,26 @@
         return True
 
     def _listen(self, node: ProtocolEndpoint) -> None:
-        tell = node.outbox.queue_update
+        queue_update = node.outbox.queue_update
 
-        def changed(rumor: MemberUpdate) -> None:
-            if rumor.name == self.watched and rumor.state is MemberState.DEAD:
+        def updated(update: MemberUpdate) -> None:
+            if update.name == self.watched and update.state is MemberState.DEAD:
                 self.known_dead += 1
-            tell(rumor)
+            queue_update(update)
 
-        node.members.updated = changed
+        node.members.updated = updated
 
     def count_facts(self, kind: str) -> None:
         """Count each node that comes to know a fact of a kind."""
 
-        def told(entry: Entry) -> None:
+        def count(entry: Entry) -> None:
             self.counts["facts"] += entry.kind == kind
 
         for node in self.nodes.values():
-            node.fact_changed = told
+            node.fact_changed = count
 
     def sees(self, node: ProtocolEndpoint, name: str) -> MemberState | None:
+        """Return the state of a member as an endpoint knows it."""
         member = node.members.others.get(name)
         return member.state if member is not None else None
 
@@ -186,22 +195,25 @@
 
 
 def address_of(number: int) -> Address:
+    """Return the address of the endpoint of a number."""
     return f"127.9.{number // 200}.{number % 200 + 1}", 7_946
 
 
 def acquaint(net: Net) -> None:
-    """All know each other, as if long together: for fleets whose coming together takes too long to play."""
-    rumors = [node.members.me for node in net.nodes.values()]
+    """Have all members know each other: for fleets that take too long to join on a hand-set clock."""
+    claims = [node.members.me for node in net.nodes.values()]
     for node in net.nodes.values():
         members = node.members
-        members.others = {r.name: Member(r, net.now, net.now) for r in rumors if r is not members.me}
+        members.others = {
+            claim.name: Member(claim, net.now, net.now) for claim in claims if claim is not members.me
+        }
         members.present.clear()
         members.present.update(members.others)
         node.outbox.queue = GossipQueue()
 
 
 def fleet(size: int, seed: int, settle_s: float = 20.0, met: bool = False) -> Net:
-    """A fleet that has come together from two seeds; `met`: that begins with all known to all."""
+    """Return a fleet that has joined from two seeds; `met`: in which all know each other at the start."""
     net = Net(seed)
     for number in range(size):
         net.add(number, seeds=(0, 1))
--- a/tests/fleet/test_fleet_protocol.py
+++ b/tests/fleet/test_fleet_protocol.py
@@ -1,4 +1,4 @@
-"""The line between gateways, pure: seals, facts, members, and whole fleets on a hand-set clock."""
+"""The protocol between gateways: frames, facts, members, and complete fleets on a hand-set clock."""
 
 from __future__ import annotations
 
@@ -39,15 +39,15 @@
 )
 from testbed.network.fleet_link import SEAL, WALL_MS, Net, address_of, fleet
 
-LIFE = (5, 1)
+INCARNATION = (5, 1)
 
 
-# ---- seals ----
+# ---- frames ----
 
 
 def ping(number: int = 1, **given: Any) -> Datagram:
     return Datagram(
-        "g1", LIFE, number, MessageKind.PING, seq=7, target="g0", host="127.0.0.1", port=7, **given
+        "g1", INCARNATION, number, MessageKind.PING, seq=7, target="g0", host="127.0.0.1", port=7, **given
     )
 
 
@@ -76,7 +76,7 @@
     assert SEAL.decode_datagram(SEAL.prefix + SEAL.checksum(body) + body) == ping()
 
 
-def test_numbers_come_once_whatever_their_order_and_an_older_life_never() -> None:
+def test_numbers_are_accepted_once_in_any_order_and_an_older_incarnation_never() -> None:
     window = ReplayWindow((2, 0))
     assert [window.accept((2, 0), n) for n in (5, 3, 5, 4, 3, 100, 36, 37, 37)] == [
         *(True, True, False, True, False),
@@ -122,7 +122,7 @@
 
 
 def merged(some: list[Entry]) -> dict[Any, Entry]:
-    facts = Facts("me", LIFE)
+    facts = Facts("me", INCARNATION)
     for entry in some:
         facts.merge(WALL_MS, entry)
     return {key: stored.entry for key, stored in facts.table.items()}
@@ -140,8 +140,8 @@
     assert merged([*merged(some[:half]).values(), *merged(some[half:]).values()]) == merged(some)
 
 
-def told(facts: Facts) -> dict[str, tuple[str | None, float]]:
-    """What is known of backends out by hand."""
+def overrides(facts: Facts) -> dict[str, tuple[str | None, float]]:
+    """The overrides of backends that are known."""
     return {
         name: (stored.entry.value, stored.entry.at)
         for (name, _), stored in facts.of_kind(FactKind.OVERRIDE_BACKEND).items()
@@ -149,54 +149,56 @@
 
 
 def test_the_newest_call_wins_a_clock_too_far_ahead_is_not_believed_and_deletions_end() -> None:
-    facts = Facts("g0", LIFE)
+    facts = Facts("g0", INCARNATION)
     assert facts.publish(WALL_MS, FactKind.OVERRIDE_BACKEND, "b1", "down")
     assert facts.publish(WALL_MS, FactKind.OVERRIDE_BACKEND, "b1", "down") is None  # nothing new
     call = Entry(FactKind.OVERRIDE_BACKEND, "b1", "g1", (9, 9), 1, WALL_MS + MAX_CLOCK_SKEW_MS + 1, "up")
     assert not facts.merge(WALL_MS, call) and facts.refused["clock"] == 1
-    assert told(facts) == {"b1": ("down", WALL_MS)}
+    assert overrides(facts) == {"b1": ("down", WALL_MS)}
     assert facts.merge(WALL_MS, msgspec.structs.replace(call, at=WALL_MS + 1))
     assert not facts.publish(
         WALL_MS, FactKind.OVERRIDE_BACKEND, "b1", "down"
     )  # an older call than the one that holds
-    assert told(facts) == {"b1": ("up", WALL_MS + 1)}
+    assert overrides(facts) == {"b1": ("up", WALL_MS + 1)}
     assert facts.publish(WALL_MS, "ready", "", "yes") and facts.publish(WALL_MS, "ready", "", None)
     later = WALL_MS + WITHDRAWN_LASTS_MS + 1
-    facts.expire(2, later, lambda name: LIFE)
+    facts.expire(2, later, lambda name: INCARNATION)
     assert facts.value("ready", "", "g0") is None and ("ready", "", "g0") not in facts.table
-    old = Entry("ready", "", "g1", LIFE, 1, WALL_MS, None)
+    old = Entry("ready", "", "g1", INCARNATION, 1, WALL_MS, None)
     assert not facts.merge(later, old)  # what has ended is not brought back by who still tells it
 
 
 def test_bounds_are_refused_at_the_origin_and_orphans_are_forgotten() -> None:
-    facts = Facts("g0", LIFE)
+    facts = Facts("g0", INCARNATION)
     for number in range(MAX_ENTRIES_OF_ORIGIN):
         facts.publish(WALL_MS, "x", str(number), "v")
     with pytest.raises(FactLimitError):
         facts.publish(WALL_MS, "x", "more", "v")
     with pytest.raises(FactLimitError):
         facts.publish(WALL_MS, "x", "0", "v" * 1000)
-    greedy = [Entry("x", str(n), "g1", LIFE, 1, WALL_MS, "v") for n in range(MAX_ENTRIES_OF_ORIGIN + 9)]
+    greedy = [
+        Entry("x", str(n), "g1", INCARNATION, 1, WALL_MS, "v") for n in range(MAX_ENTRIES_OF_ORIGIN + 9)
+    ]
     assert sum(facts.merge(WALL_MS, entry) for entry in greedy) == MAX_ENTRIES_OF_ORIGIN
     assert facts.refused["full"] == 9
-    lives = {"g1": LIFE}
-    facts.expire(10, WALL_MS, lives.get)
+    incarnations = {"g1": INCARNATION}
+    facts.expire(10, WALL_MS, incarnations.get)
     assert facts.count_of_origin["g1"] == MAX_ENTRIES_OF_ORIGIN
-    lives["g1"] = (6, 1)  # a later life: what the earlier one told ends
-    facts.expire(20, WALL_MS, lives.get)
-    facts.expire(100, WALL_MS, lives.get)
+    incarnations["g1"] = (6, 1)  # a later one: the facts of the earlier end
+    facts.expire(20, WALL_MS, incarnations.get)
+    facts.expire(100, WALL_MS, incarnations.get)
     assert "g1" not in facts.count_of_origin and facts.count_of_origin["g0"] == MAX_ENTRIES_OF_ORIGIN
 
 
 # ---- members ----
 
 
-def rumor(name: str, life: int, incarnation: int, state: MemberState, by: str = "") -> MemberUpdate:
-    return MemberUpdate(name, (life, 0), incarnation, state, "127.0.0.1", 7, by)
+def claim(name: str, incarnation: int, refutation: int, state: MemberState, by: str = "") -> MemberUpdate:
+    return MemberUpdate(name, (incarnation, 0), refutation, state, "127.0.0.1", 7, by)
 
 
-rumors = st.builds(
-    rumor,
+claims = st.builds(
+    claim,
     st.sampled_from(["g1", "g2"]),
     st.integers(1, 2),
     st.integers(0, 2),
@@ -206,12 +208,12 @@
 
 
 @settings(max_examples=400)
-@given(st.lists(rumors, max_size=12), st.randoms(use_true_random=False))
-def test_what_is_known_of_members_does_not_depend_on_the_order_of_rumors(
+@given(st.lists(claims, max_size=12), st.randoms(use_true_random=False))
+def test_what_is_known_of_members_does_not_depend_on_the_order_of_claims(
     some: list[MemberUpdate], lot: random.Random
 ) -> None:
     def known(given: list[MemberUpdate]) -> dict[str, Any]:
-        members = Members(rumor("g0", 1, 0, MemberState.ALIVE), random.Random(1))
+        members = Members(claim("g0", 1, 0, MemberState.ALIVE), random.Random(1))
         for one in given:
             members.merge(one, 0.0)
         return {
@@ -235,11 +237,11 @@
         assert net.whole(), fates
 
 
-def test_two_lives_of_one_name_never_merge_and_the_later_one_holds() -> None:
+def test_two_incarnations_of_one_name_never_merge_and_the_later_one_holds() -> None:
     net = fleet(6, 1)
     first = net.nodes[address_of(3)]
     other = net.add(
-        30, seeds=(0,), name="g3", life=(first.members.me.incarnation[0] + 1, 1)
+        30, seeds=(0,), name="g3", incarnation=(first.members.me.incarnation[0] + 1, 1)
     )  # at another address
     net.run(10)
     assert first.members.superseded and not other.members.superseded
@@ -255,7 +257,7 @@
     assert net.all_see("g3", {MemberState.ALIVE})
 
 
-def test_a_name_that_comes_back_has_a_higher_life_and_facts_of_the_old_one_end() -> None:
+def test_a_name_that_returns_has_a_higher_incarnation_and_facts_of_the_old_one_end() -> None:
     net = fleet(5, 2)
     old = net.nodes[address_of(4)]
     old.publish(net.wall(address_of(4)), "ready", "", "yes")
@@ -370,7 +372,7 @@
 
 
 def test_a_fact_over_the_bound_of_its_gateway_is_left_out_where_it_is_only_offered() -> None:
-    facts = Facts("g0", LIFE)
+    facts = Facts("g0", INCARNATION)
     for number in range(MAX_ENTRIES_OF_ORIGIN + 3):
         facts.offer(WALL_MS, "zone-met", str(number), "1")
     assert len(facts.table) == MAX_ENTRIES_OF_ORIGIN and facts.refused["own"] == 3
@@ -458,10 +460,10 @@
         net.add(3, seeds=(0,))
         net.run(1.3)
     assert net.run(20, net.whole)
-    lives = {
+    incarnations = {
         node.members.others["g3"].update.incarnation for a, node in net.nodes.items() if a != address_of(3)
     }
-    assert lives == {net.nodes[address_of(3)].members.me.incarnation}
+    assert incarnations == {net.nodes[address_of(3)].members.me.incarnation}
 
 
 class AnyPlay(RuleBasedStateMachine):
@@ -506,7 +508,7 @@
         self.net.run(for_s)
 
     @invariant()
-    def no_life_is_seen_that_was_never_lived(self) -> None:
+    def no_incarnation_is_known_that_never_was(self) -> None:
         for node in self.net.nodes.values():
             for member in node.members.others.values():
                 alive = self.net.nodes[member.address].members.me
@@ -517,9 +519,9 @@
         self.net.loss = self.net.duplicate = 0.0
         assert self.net.run(90, self.net.whole)
         self.net.run(60)  # exchanges: whatever was missed is repaired
-        lives = {node.members.me.incarnation for node in self.net.nodes.values()}
+        incarnations = {node.members.me.incarnation for node in self.net.nodes.values()}
         of_living = [
-            {(e.kind, e.name, e.value) for e in node.facts.entries() if e.incarnation in lives}
+            {(e.kind, e.name, e.value) for e in node.facts.entries() if e.incarnation in incarnations}
             for node in self.net.nodes.values()
         ]
         assert all(one == of_living[0] for one in of_living)
--- a/tests/linked_fleet.py
+++ b/tests/linked_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet on a hand-set clock whose gateways have a line between them: modules, nodes and zones together."""
+"""A fleet on a hand-set clock whose gateways gossip: policies, endpoints and zone agreements."""
 
 from __future__ import annotations
 
@@ -84,7 +84,7 @@
         return None
 
     def seconds(self) -> float:
-        """The time of the line."""
+        """The time of the fleet link, in seconds."""
         return self.began_s + (self.now - self.began_ms) / 1000
 
     def _tick(self, index: int) -> None:
