--- a/switchline/policy/quota/leases.py
+++ b/switchline/policy/quota/leases.py
@@ -11,13 +11,12 @@
 from switchline.policy.persistence.durable_state import DurableState
 from switchline.policy.persistence.replication import PeerReplication
 from switchline.policy.quota.counter_capacity import CounterCapacity
-from switchline.policy.quota.customer import Customer
+from switchline.policy.quota.customer import LEASE_MS, Customer
 from switchline.policy.quota.customers import CustomerTable
 from switchline.policy.quota.lease_sizing import (
     PERIOD_MS,
     fill_buckets,
     refresh_interval_ms,
-    renew_until,
     share_after_period,
     share_reading,
     size_lease,
@@ -93,7 +92,7 @@
         """
         customer = request.customer
         if not self._replication.calls_counter:
-            self._replication.replicate_spending(customer, actions, unreported_units=request.units)
+            self._replication.replicate_demand(customer, request.units, actions)
             return False
         customer.unreported_units += 0.0 if self.is_stale else request.units
         if now < customer.next_refresh_ms or self.is_stale:
@@ -119,9 +118,8 @@
     def correct(self, customer: Customer, units: float, actions: api.Actions) -> None:
         """Take the units that an answer shows a request to have used beyond its guess, here and over all."""
         calls_counter = self._replication.calls_counter
-        self._replication.replicate_spending(
-            customer, actions, unreported_units=0.0 if calls_counter else units, tokens=units, units=units
-        )
+        unreported_units = 0.0 if calls_counter else units
+        self._replication.replicate_correction(customer, units, unreported_units, actions)
         customer.unreported_units += units if calls_counter else 0.0
         customer.spent_units += units
         customer.fleet_units -= units
@@ -170,7 +168,7 @@
         max_request_units = self._settings.max_request_units
         self.fill(now, customer)
         self._durable_state.on_lease_renewed(customer)
-        customer.lease_expires_ms = renew_until(now)
+        customer.lease_expires_ms = now + LEASE_MS
         if not call.amount:  # how the last period ended
             share_after_period(now, customer, total, max_request_units)
             return False
