--- a/switchline/backends/attempt.py
+++ b/switchline/backends/attempt.py
@@ -22,7 +22,7 @@
     Attributes:
         backend: its number.
         encode: returns the request's bytes, given the milliseconds that are left to the client.
-        expires_at_ms: monotonic time at which the client gives up.
+        expires_at_ms: by `now_ms`, when the client gives up.
         on_ended: called with the outcome and the answer's value.
         on_written: called when the last byte of the request has left.
         on_streamed_answer: called with the length of a long answer that begins; returns where its bytes go,
--- a/switchline/clients/commands.py
+++ b/switchline/clients/commands.py
@@ -42,8 +42,8 @@
         customer: of the request.
         safe: whether it arrived as a request that is safe to repeat.
         attributes: by name.
-        wait: how long the client waits, in milliseconds.
-        came_at: monotonic milliseconds; it may have waited behind others of its connection since.
+        time_left_ms: how long the client waits.
+        received_at_ms: by `now_ms`; it may have waited behind others of its connection since.
         stream: a long value, whose bytes follow what is encoded here.
     """
 
@@ -56,13 +56,13 @@
     customer: str
     safe: bool
     attributes: dict[bytes, bytes]
-    wait: float
-    came_at: float
+    time_left_ms: float
+    received_at_ms: float
     stream: StreamedRequestBody | None = None
 
     def encode(self, time_left_ms: int) -> bytes:
         """Encode the command with the time left that a backend is told."""
-        time_left = min(time_left_ms, math.ceil(self.wait))
+        time_left = min(time_left_ms, math.ceil(self.time_left_ms))
         attributes = b"%b%d%b" % (self.before, time_left, self.after)
         return b"*%d\r\n%b%b%b" % (self.length, self.head, bulk(attributes), self.body)
 
@@ -82,14 +82,14 @@
 
 
 def parse_command(
-    args: list[bytes], stream: StreamedRequestBody | None = None, came_at: float | None = None
+    args: list[bytes], stream: StreamedRequestBody | None = None, received_at_ms: float | None = None
 ) -> Command:
     """Parse a request.
 
     Args:
         args: of the command.
         stream: a long value that is still arriving, in place of the last argument.
-        came_at: monotonic milliseconds at which its bytes arrived; now by default.
+        received_at_ms: by `now_ms`, when its bytes arrived; now by default.
 
     Raises:
         ValueError: it is not a request; the text says why, for the client.
@@ -98,8 +98,8 @@
         raise ValueError("wrong number of arguments")
     verb, customer, request, listed = args[:HEAD_ARGUMENTS]
     attributes = parse_attributes(listed)
-    wait = float(attributes.values[TIME_LEFT])
-    if wait <= 0:
+    time_left = float(attributes.values[TIME_LEFT])
+    if time_left <= 0:
         raise ValueError("no time left")
     value = args[HEAD_ARGUMENTS:]
     id_text = request.decode("ascii")
@@ -118,8 +118,8 @@
         customer=customer_text,
         safe=verb.upper() == SAFE_VERB,
         attributes=attributes.values,
-        wait=wait,
-        came_at=now_ms() if came_at is None else came_at,
+        time_left_ms=time_left,
+        received_at_ms=now_ms() if received_at_ms is None else received_at_ms,
         stream=stream,
     )
 
--- a/switchline/discovery/client.py
+++ b/switchline/discovery/client.py
@@ -15,7 +15,7 @@
 from switchline.clock import now_ms
 from switchline.config import Address
 from switchline.discovery.call import CallEvent, Ended, Opened, Received, call
-from switchline.discovery.endpoint_list import DiscoveryError, Member, read_list
+from switchline.discovery.endpoint_list import DiscoveryError, ListedBackend, read_list
 from switchline.discovery.poll_schedule import PollSchedule
 from switchline.net.descriptors import FIXED_PARTS, Budget, Part
 from switchline.net.json_stream import StreamError
@@ -23,13 +23,13 @@
 
 log = logging.getLogger(__name__)
 
-# A change is due 6 s after discovery had it, whatever became of calls meanwhile (TERMS). So a silence, a call
-# that is silent as well and the complete list from the one after it must fit into that time together.
+# The platform counts a change as notified 6 s after discovery had it, whatever became of calls meanwhile. So
+# a silence, a call that is silent as well and the complete list from the one after it must fit into that.
 SILENCE_LIMIT_S = 2.6  # an empty line comes every 2 s
 ANSWER_LIMIT_S = 1.0  # from the opening of a call to the head of its answer
 MAX_CALLS = FIXED_PARTS[Part.DISCOVERY]  # open at once
 
-Listener = Callable[[ListScope, tuple[Member, ...]], None]
+Listener = Callable[[ListScope, tuple[ListedBackend, ...]], None]
 
 
 class OpenCall:
@@ -66,11 +66,11 @@
         spread_s: that the polls of the fleet are spread over; 0: a poll costs nobody anything.
 
     Attributes:
-        held_until: monotonic milliseconds until which the list was known to be valid.
+        valid_until_ms: by `now_ms`, until when the list was known to be valid.
         heard: set once something has arrived.
-        took: called after each change that was accepted.
-        keep: called with each list or change that was accepted, as discovery sent it.
-        weigh: called with each list or change before it is accepted; returns what is accepted of it, or None.
+        on_accepted: called after each change that was accepted.
+        persist: called with each list or change that was accepted, as discovery sent it.
+        filter_list: called with each list or change before it is accepted; returns what is accepted, or None.
     """
 
     def __init__(
@@ -88,11 +88,11 @@
         self.budget = budget
         self.schedule = PollSchedule(chance, spread_s)
         self.first_wait = self.schedule.first_delay_s() if version is not None else 0.0
-        self.held_until = -math.inf
+        self.valid_until_ms = -math.inf
         self.heard = asyncio.Event()
-        self.took: Callable[[], None] = lambda: None
-        self.keep: Callable[[dict[str, Any]], None] = lambda raw: None
-        self.weigh: Callable[[dict[str, Any]], dict[str, Any] | None] = lambda raw: raw
+        self.on_accepted: Callable[[], None] = lambda: None
+        self.persist: Callable[[dict[str, Any]], None] = lambda raw: None
+        self.filter_list: Callable[[dict[str, Any]], dict[str, Any] | None] = lambda raw: raw
         self.calls: list[OpenCall] = []  # the oldest first
         self._ended: OpenCall | None = None  # the newest call, if it has ended by itself
         self._wake = asyncio.Event()  # a call has ended, another one is followed, or all shall begin anew
@@ -207,7 +207,7 @@
             for raw in event.lists:
                 self._accept(raw)
         if isinstance(event, Received) and event.is_heartbeat and self.version is not None:
-            self.held_until = now_ms()
+            self.valid_until_ms = now_ms()
 
     # ---- changes ----
 
@@ -220,7 +220,7 @@
         if not received.whole and self.version is not None and received.version < self.version:
             self.version = None  # discovery counts anew, or repeats what is long over
             raise DiscoveryError(f"a change of an older list, {received.version}")
-        accepted = self.weigh(raw)
+        accepted = self.filter_list(raw)
         if accepted is None:
             raise DiscoveryError("its list is held back")
         if accepted is not raw:
@@ -228,7 +228,7 @@
         if received.whole or received.members:
             self.listener(ListScope.FULL if received.whole else ListScope.CHANGES, received.members)
         self.version = received.version
-        self.held_until = now_ms()
-        self.keep(accepted)
-        self.took()
+        self.valid_until_ms = now_ms()
+        self.persist(accepted)
+        self.on_accepted()
         self.heard.set()
--- a/switchline/discovery/endpoint_list.py
+++ b/switchline/discovery/endpoint_list.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Member:
+class ListedBackend:
     """A backend on the list, with the address to connect to."""
 
     entry: BackendEntry
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MemberList:
+class BackendList:
     """The list, or a change of it.
 
     Attributes:
@@ -43,7 +43,7 @@
 
     version: int
     whole: bool
-    members: tuple[Member, ...]
+    members: tuple[ListedBackend, ...]
 
 
 def host_number(host: str) -> int:
@@ -52,16 +52,16 @@
     return int.from_bytes(digest, "big")
 
 
-def read_list(raw: Any) -> MemberList:
+def read_list(raw: Any) -> BackendList:
     """Decode a list or a change; raises DiscoveryError if it is malformed."""
     try:
         members = tuple(read_member(host) for host in raw.get("hosts") or ())
-        return MemberList(int(raw["seq"]), bool(raw.get("whole")), members)
+        return BackendList(int(raw["seq"]), bool(raw.get("whole")), members)
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
         raise DiscoveryError(f"{type(error).__name__}: {error}") from error
 
 
-def read_member(raw: dict[str, Any]) -> Member:
+def read_member(raw: dict[str, Any]) -> ListedBackend:
     """Decode a host; raises KeyError, TypeError or ValueError if it is malformed."""
     started = float(raw.get("born_ms") or 0)
     if not math.isfinite(started):
@@ -73,4 +73,4 @@
         started_ms=started,
         state=HEALTH[raw["health"]],
     )
-    return Member(entry, parse_address(raw["dial"]))
+    return ListedBackend(entry, parse_address(raw["dial"]))
--- a/switchline/fleet_runtime/list_repair.py
+++ b/switchline/fleet_runtime/list_repair.py
@@ -12,7 +12,7 @@
 
 from switchline import log_events
 from switchline.discovery.client import Discovery
-from switchline.discovery.endpoint_list import DiscoveryError, MemberList, read_list
+from switchline.discovery.endpoint_list import BackendList, DiscoveryError, read_list
 from switchline.fleet.endpoint import ProtocolEndpoint
 from switchline.fleet.fact_kinds import FactKind
 from switchline.fleet.messages import EndpointList, Exchange, Wanted
@@ -133,7 +133,7 @@
         self.record("brought up", "list", str(self.repaired_to), f"by {senders}: {named}")
         self.driver.apply_list(api.ListScope.CHANGES, found.members)
 
-    def _read(self, changes: list[Host]) -> MemberList | None:
+    def _read(self, changes: list[Host]) -> BackendList | None:
         try:
             return read_list({"seq": self.repaired_to, "whole": False, "hosts": changes})
         except DiscoveryError as error:
--- a/switchline/fleet_runtime/recovery/backend_list.py
+++ b/switchline/fleet_runtime/recovery/backend_list.py
@@ -13,7 +13,7 @@
 
 from switchline import log_events
 from switchline.discovery.client import Discovery
-from switchline.discovery.endpoint_list import DiscoveryError, MemberList, read_list
+from switchline.discovery.endpoint_list import BackendList, DiscoveryError, read_list
 from switchline.fleet.messages import MAX_LISTED_HOSTS, EndpointList, ListedHost
 from switchline.fleet.versions.staleness import binding_changes, removes_all, seq_or_no_list
 from switchline.policy import interface as api
@@ -39,7 +39,7 @@
         self.hosts = 0  # changed by another gateway's list
         self.rejected = 0  # lists of other gateways that could not be read
         self.record: RecordVersion = record_nothing
-        discovery.weigh = self.filter_doubtful
+        discovery.filter_list = self.filter_doubtful
 
     def newer_than(self, number: int) -> EndpointList | None:
         """The list here, for a gateway that asks with the number of its own; None where it is no newer."""
@@ -75,7 +75,7 @@
         self.driver.apply_list(api.ListScope.CHANGES, found.members)
         self.discovery.anew()
 
-    def _read(self, number: int, changes: list[dict[str, Any]]) -> MemberList | None:
+    def _read(self, number: int, changes: list[dict[str, Any]]) -> BackendList | None:
         try:
             return read_list({"seq": number, "whole": False, "hosts": changes})
         except DiscoveryError as error:
--- a/switchline/fleet_runtime/recovery/spending.py
+++ b/switchline/fleet_runtime/recovery/spending.py
@@ -77,5 +77,5 @@
             return
         self.waiting_for.discard(exchange.sender)
         for one in exchange.spent:
-            self.driver.give(api.PeerQuotaReport(one.key, one.plan, one.even, one.left))
+            self.driver.give(api.GatewayQuotaReport(one.key, one.plan, one.even, one.left))
         self.customers += len(exchange.spent)
--- a/switchline/policy/backends/outlier_scores.py
+++ b/switchline/policy/backends/outlier_scores.py
@@ -17,10 +17,14 @@
 # Weight of one outcome in the score of slowness, and in those of failures.
 SLOWNESS_WEIGHT = 0.15
 FAILURE_WEIGHT = 0.3
-FAILURE_COST = 8.0  # how much failing always raises a backend's cost: clearly behind any healthy peer
+BACKEND_FAILURE_COST = 8.0  # how much failing always raises a backend's cost: clearly behind any healthy peer
 EJECTION_SCORE = 0.5  # from which on a backend counts as ejected: it costs five times as much
 NEGLIGIBLE_SCORE = 0.01
-NOT_RUN = {api.Outcome.FULL, api.Outcome.CONNECT, api.Outcome.NO_CAPACITY}  # the backend took no work
+REFUSED_BY_BACKEND = {
+    api.Outcome.FULL,
+    api.Outcome.CONNECT,
+    api.Outcome.NO_CAPACITY,
+}  # the backend took no work
 
 
 class OutlierScores:
@@ -77,7 +81,7 @@
         self, now: float, backend: Backend, outcome: api.Outcome, score_names: tuple[str, str, str]
     ) -> None:
         """Take an outcome into the scores of failures: one that took no work says nothing of the others."""
-        is_refusing = outcome in NOT_RUN
+        is_refusing = outcome in REFUSED_BY_BACKEND
         is_failed = outcome not in (api.Outcome.OK, api.Outcome.IGNORED)
         for name in (REFUSING,) if is_refusing else (REFUSING, *score_names):
             target = is_refusing or (name != REFUSING and is_failed)
--- a/switchline/policy/backends/recovery_ramp.py
+++ b/switchline/policy/backends/recovery_ramp.py
@@ -10,7 +10,7 @@
 
 # The latest an answer may be expected while backends are cold, in latency objectives; less for low priority.
 MAX_LOAD_RATIO = 0.95
-PRIORITY_SPAN = 0.3
+RECOVERY_PRIORITY_SPAN = 0.3
 RAISING_RATIO = 0.9  # of the threshold: a load under it raises the share
 RISE_PER_S = 1.0  # how the share rises and falls, as an exponent of e
 MAX_LIFT = 16.0
@@ -63,7 +63,8 @@
             answered_ms: When the last answer came.
         """
         threshold = min(
-            MAX_LOAD_RATIO - PRIORITY_SPAN * priority_deficit, usual_threshold / max(warm_ratio, 1e-3)
+            MAX_LOAD_RATIO - RECOVERY_PRIORITY_SPAN * priority_deficit,
+            usual_threshold / max(warm_ratio, 1e-3),
         )
         direction = int(answered_ms > max(self._began_ms, now - MAX_ANSWER_AGE_MS))
         if load_ratio >= RAISING_RATIO * threshold:
--- a/switchline/policy/backends/selection.py
+++ b/switchline/policy/backends/selection.py
@@ -7,7 +7,7 @@
 from switchline.policy import interface as api
 from switchline.policy.backends.backend import Backend
 from switchline.policy.backends.backend_table import BackendTable
-from switchline.policy.backends.outlier_scores import FAILURE_COST, OutlierScores
+from switchline.policy.backends.outlier_scores import BACKEND_FAILURE_COST, OutlierScores
 from switchline.policy.backends.recovery_ramp import RecoveryRamp
 from switchline.policy.backends.zone_routing import ZoneRouting
 from switchline.policy.backends.zones import Zones
@@ -143,7 +143,7 @@
         """Give what an answer should take in ms, with failures and attempts in flight as surcharges."""
         latency_ms = max(1.0, self._latency.mean_ms + self.outliers.slowness_ms(now, backend))
         failure_probability = self.outliers.failure_probability(now, backend, request.score_names)
-        return latency_ms * (1 + FAILURE_COST * failure_probability) * (backend.in_flight + 1)
+        return latency_ms * (1 + BACKEND_FAILURE_COST * failure_probability) * (backend.in_flight + 1)
 
     def _in_open_zones(self, now: float, request: Request, candidates: list[Backend]) -> list[Backend]:
         """Of the candidates, give those in zones that are open.
--- a/switchline/policy/backends/zone_routing.py
+++ b/switchline/policy/backends/zone_routing.py
@@ -9,7 +9,7 @@
 
 # Of all usable backends: where fewer remain, the fault is held to be common, and no zone is left.
 PANIC_RATIO = 0.3
-FAILURE_COST = 1.0  # how much failing raises the cost of a zone: it is still met until it is surely lost
+ZONE_FAILURE_COST = 1.0  # how much failing raises the cost of a zone: it is still met until it is surely lost
 # The cost of a step away from the own zone: without a price for crossing, per price, and at most.
 MIN_DISTANCE_COST = 0.05
 DISTANCE_COST_PER_PRICE = 5.0
@@ -67,7 +67,7 @@
         least = min((scores[name] for name, zone in zones.by_name.items() if zone.usable), default=0.0)
         step_cost = self._step_cost()
         return {
-            name: (1 + FAILURE_COST * max(0.0, score - least)) * (1 + step_cost * self.distance(name))
+            name: (1 + ZONE_FAILURE_COST * max(0.0, score - least)) * (1 + step_cost * self.distance(name))
             for name, score in scores.items()
         }
 
--- a/switchline/policy/gateway.py
+++ b/switchline/policy/gateway.py
@@ -103,7 +103,7 @@
             api.RegionsChanged: self.zones.on_regions_changed,
             api.StalenessChanged: self._on_staleness,
             api.FleetOutage: self._on_outage,
-            api.PeerQuotaReport: self._on_peer_quota,
+            api.GatewayQuotaReport: self._on_peer_quota,
             api.PeerProcessJoined: self._on_peer_joined,
             api.PeerProcessMessage: self._on_peer_message,
             api.PeerProcessLeft: self._on_peer_left,
@@ -204,7 +204,7 @@
         self.backends.on_outage(now, event)
         self.durable_state.spread_refreshes(now, self.customers.by_key.values())
 
-    def _on_peer_quota(self, now: float, event: api.PeerQuotaReport, _: api.Actions) -> None:
+    def _on_peer_quota(self, now: float, event: api.GatewayQuotaReport, _: api.Actions) -> None:
         """A peer reports what all have left of a quota: a disk that is lost or old forgets what it spent."""
         plan = self.customers.plans.get(event.plan)
         if plan and 0 <= event.remaining_units <= plan.burst_units and 0 < event.even_share <= 1:
--- a/switchline/policy/gateway_status.py
+++ b/switchline/policy/gateway_status.py
@@ -60,7 +60,7 @@
     }
 
 
-def quota_reports(gateway: Gateway, now: float, limit: int) -> list[api.PeerQuotaReport]:
+def quota_reports(gateway: Gateway, now: float, limit: int) -> list[api.GatewayQuotaReport]:
     """Give what all gateways have left of customers' quotas, as this one knows: where most is spent first.
 
     Args:
@@ -75,7 +75,7 @@
             passed_s = max(0.0, now - customer.filled_at_ms) / 1000
             left = min(plan.burst_units, max(0.0, customer.fleet_units + passed_s * plan.rate_per_s))
             if left < plan.burst_units:
-                reports.append(api.PeerQuotaReport(customer.key, plan.name, customer.even_share, left))
+                reports.append(api.GatewayQuotaReport(customer.key, plan.name, customer.even_share, left))
     plans = gateway.customers.plans
     reports.sort(key=lambda report: report.remaining_units - plans[report.plan].burst_units)
     return reports[:limit]
--- a/switchline/policy/interface/__init__.py
+++ b/switchline/policy/interface/__init__.py
@@ -1,6 +1,7 @@
 """The interface of the decisions: settings, events that go in, actions that come out, state records.
 
-All times are milliseconds on the caller's monotonic clock. Nothing here decides anything.
+All times are Unix milliseconds on the caller's clock, which never steps (`switchline.clock`). Nothing here
+decides anything.
 """
 
 from switchline.policy.interface.actions import (
@@ -28,11 +29,11 @@
     CounterReplied,
     Event,
     FleetOutage,
+    GatewayQuotaReport,
     GossipReceived,
     PeerProcessJoined,
     PeerProcessLeft,
     PeerProcessMessage,
-    PeerQuotaReport,
     PersistenceChanged,
     RecordRestored,
     RecordsPersisted,
@@ -97,7 +98,7 @@
     "PeerProcessJoined",
     "PeerProcessLeft",
     "PeerProcessMessage",
-    "PeerQuotaReport",
+    "GatewayQuotaReport",
     "PersistRecord",
     "PersistenceChanged",
     "Plan",
--- a/switchline/policy/interface/actions.py
+++ b/switchline/policy/interface/actions.py
@@ -25,14 +25,18 @@
 
 
 class RejectionCause(Enum):
-    """Why a request was rejected, as logs and metrics name it."""
+    """Why a request was rejected; the values are those of the periodic log line.
 
-    QUOTA = "quota"
+    Metrics count rejected requests by class alone. A request that is rejected before it reaches the decisions
+    (`switchline.requests.lifecycle`: no slot for it, no place for its connection) is logged as "room" too.
+    """
+
+    QUOTA = "quota"  # the quota, the open requests, or what the disk has reserved of the quota
     CEILING = "ceiling"
     OVERLOAD = "time"  # its answer would come too late
     RECOVERY = "return"  # the whole fleet recovers from a power loss
     NO_BACKEND = "backends"
-    ATTEMPTS = "attempts"  # its attempts failed, and there is time or budget for no other
+    ATTEMPTS = "attempts"  # its attempts failed and no other may be made, or it expired before the first
     NO_CONNECTION = "room"  # this gateway has no connection left for it
 
 
--- a/switchline/policy/interface/events.py
+++ b/switchline/policy/interface/events.py
@@ -1,4 +1,4 @@
-"""Events that a gateway's decisions take. Times are milliseconds on the caller's monotonic clock."""
+"""Events that a gateway's decisions take. Times are Unix milliseconds on the caller's clock."""
 
 from __future__ import annotations
 
@@ -85,7 +85,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerQuotaReport:
+class GatewayQuotaReport:
     """What another gateway knows all gateways together to have left of a customer's quota.
 
     Attributes:
@@ -300,7 +300,7 @@
     | ZoneDirective
     | StalenessChanged
     | FleetOutage
-    | PeerQuotaReport
+    | GatewayQuotaReport
     | RequestArrived
     | AttemptEnded
     | AnswerStarted
--- a/switchline/policy/quota/admission.py
+++ b/switchline/policy/quota/admission.py
@@ -1,7 +1,7 @@
 """Admission: whether a request is within its customer's limits, and can be answered in time.
 
-The checks come in a fixed order, as some draw random numbers: quota, open requests, load, ceiling, durable
-state, load shedding.
+The checks come in a fixed order, as some draw random numbers: quota, open requests, load, durable state,
+ceiling, load shedding.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 # a class of no priority.
 SHEDDING_RATIO = 0.55
 SHEDDING_JITTER = 0.5
-PRIORITY_SPAN = 0.45
+SHEDDING_PRIORITY_SPAN = 0.45
 LOW_LOAD_RATIO = 0.1  # under which capacity counts as clearly spare
 
 
@@ -77,7 +77,10 @@
 
     @property
     def cause(self) -> api.RejectionCause:
-        """Why the request is rejected, if it is: by the checks, or for want of a backend."""
+        """Why the request is rejected, if it is: by the checks, or for want of a backend.
+
+        While the fleet recovers, all that is not over a limit counts as RECOVERY, a lack of backends too.
+        """
         if self.is_recovering and not self.is_over_limit:
             return api.RejectionCause.RECOVERY
         return api.RejectionCause.NO_BACKEND if self.is_admitted else self.limit
@@ -159,7 +162,7 @@
         """
         deficit = self._priority_deficit(request.request_class)
         jitter = SHEDDING_JITTER * self._rng.random() if self._load.is_thin() else 0.0
-        threshold = SHEDDING_RATIO * (1 - PRIORITY_SPAN * deficit)
+        threshold = SHEDDING_RATIO * (1 - SHEDDING_PRIORITY_SPAN * deficit)
         if is_recovering:
             threshold = self._recovery_ramp.shedding_threshold(
                 now,
@@ -254,7 +257,10 @@
         self._max_retry_after_ms = settings.max_retry_after_ms
 
     def wait_ms(self, request: Request, verdict: AdmissionVerdict) -> float:
-        """Give when a rejected client should come back: once its quota holds the request.
+        """Give when a rejected client should come back.
+
+        Where units are missing: once the quota has them. For any other cause, the ceiling too: the usual
+        wait, a part of the latency objective.
 
         While the whole fleet recovers, the waits are spread, so that those rejected don't all come back at
         once.
--- a/switchline/policy/quota/customer.py
+++ b/switchline/policy/quota/customer.py
@@ -6,7 +6,7 @@
 
 from switchline.policy import interface as api
 
-LEASE_MS = 15_000.0  # the design's lease
+LEASE_MS = 15_000.0  # as long as other gateways may count on what this one has reported
 # Parts of a burst, in largest requests: under the first a lease is too thin to spend, under the other next
 # to nothing.
 SPARSE_REQUESTS = 1.5
@@ -183,7 +183,7 @@
         self.ceiling_tokens = record.ceiling_tokens
         self.quota_share = record.quota_share
         self.admit_probability = record.admit_probability
-        # Whole where a plan's burst is given as a whole number and time has added nothing to it yet.
+        # An int stays an int, so that the record reads as before: a plan's burst may be a whole number.
         self.fleet_units = type(self.fleet_units)(record.fleet_units)
         self.spent_units = record.spent_units
         self.lease_expires_ms = record.lease_expires_ms
--- a/switchline/policy/requests/final_answer.py
+++ b/switchline/policy/requests/final_answer.py
@@ -24,9 +24,9 @@
 
     Args:
         request: The request.
-        retry_after_ms: When to come back; 0: the usual wait.
+        retry_after_ms: When to come back; 0: the usual wait, a part of the latency objective.
         cause: Why it is rejected.
-        max_retry_after_ms: The longest Retry-After.
+        max_retry_after_ms: The longest Retry-After; 0: the answer names none.
     """
     if not is_safe_to_repeat(request):
         return api.Fail(request.id)
--- a/switchline/policy/requests/patience.py
+++ b/switchline/policy/requests/patience.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from switchline.policy.backends.outlier_scores import FAILURE_COST
+from switchline.policy.backends.outlier_scores import BACKEND_FAILURE_COST
 from switchline.policy.requests.latency import MAX_SAMPLE_MULTIPLE
 
 UNKNOWN_RATIO = 0.4  # of the latency objective, before any latency is known
@@ -22,5 +22,5 @@
         failure_probability: How likely the backend fails the request.
         latency_objective_ms: That of the request's class.
     """
-    multiple = max(MIN_MEAN_MULTIPLE, MAX_SAMPLE_MULTIPLE / (1 + FAILURE_COST * failure_probability))
+    multiple = max(MIN_MEAN_MULTIPLE, MAX_SAMPLE_MULTIPLE / (1 + BACKEND_FAILURE_COST * failure_probability))
     return multiple * mean_ms if mean_ms else initial_patience_ms(latency_objective_ms)
--- a/switchline/requests/arrivals.py
+++ b/switchline/requests/arrivals.py
@@ -33,7 +33,7 @@
             request_class=given[b"c"].decode(),
             plan=given.get(b"t", b"").decode(),
             customer=command.customer,
-            expires_ms=command.came_at + self._patience_ms(command),
+            expires_ms=command.received_at_ms + self._patience_ms(command),
             units=float(given.get(b"units", b"0")),
             spread=int(given.get(b"spread", b"1")),
             first=int(given.get(b"first", b"0")),
@@ -44,7 +44,7 @@
         return event
 
     def _patience_ms(self, command: Command) -> float:
-        return LONGEST_BODY_MS if command.stream is not None else min(command.wait, LONGEST_WAIT_MS)
+        return LONGEST_BODY_MS if command.stream is not None else min(command.time_left_ms, LONGEST_WAIT_MS)
 
     def _check(self, event: api.RequestArrived, command: Command) -> None:
         kind = self.classes.get(event.request_class)
--- a/switchline/requests/lifecycle.py
+++ b/switchline/requests/lifecycle.py
@@ -84,7 +84,7 @@
         now = now_ms()
         if request is None or request.streaming_attempt is not None:
             return
-        wait = min(request.command.wait, LONGEST_WAIT_MS)
+        wait = min(request.command.time_left_ms, LONGEST_WAIT_MS)
         from_head = request.arrived_at + wait
         request.expires = from_head if now < from_head else now + wait
         if request.expiry_timer is not None:
--- a/switchline/requests/request.py
+++ b/switchline/requests/request.py
@@ -38,7 +38,7 @@
     @property
     def arrived_at(self) -> float:
         """When its head came."""
-        return self.command.came_at
+        return self.command.received_at_ms
 
     @property
     def body_is_spent(self) -> bool:
--- a/switchline/service/audit_trail.py
+++ b/switchline/service/audit_trail.py
@@ -47,7 +47,7 @@
         self.record("quota", "", LEASED_QUOTA, "start")
         self.record_config("start")
         self.record_backend_list()
-        self.parts.discovery.took = self.record_backend_list
+        self.parts.discovery.on_accepted = self.record_backend_list
 
     def record(self, kind: str, subject: str = "", version: str = "", cause: str = "") -> None:
         """Record that a subject has another version, or (without one) an act that follows from a version."""
--- a/switchline/service/driver.py
+++ b/switchline/service/driver.py
@@ -19,7 +19,7 @@
 from switchline.backends.pool import BackendPool
 from switchline.clock import Timers, now_ms
 from switchline.counter.client import Counter
-from switchline.discovery.endpoint_list import Member, host_number
+from switchline.discovery.endpoint_list import ListedBackend, host_number
 from switchline.net.streams import BufferBudget
 from switchline.operators.metrics import Metrics, OutcomeKind
 from switchline.policy import Gateway, gateway_status
@@ -217,7 +217,7 @@
         self.give(api.PeerProcessMessage(record))
 
     def apply_list(
-        self, scope: api.ListScope, members: tuple[Member, ...], held_until: float = -math.inf
+        self, scope: api.ListScope, members: tuple[ListedBackend, ...], held_until: float = -math.inf
     ) -> None:
         """The list has changed. The policy hears first: it retries elsewhere the attempts that end now.
 
--- a/switchline/service/parts.py
+++ b/switchline/service/parts.py
@@ -13,7 +13,7 @@
 from switchline.config import Config
 from switchline.counter.client import Counter
 from switchline.discovery.client import Discovery
-from switchline.discovery.endpoint_list import Member, read_list
+from switchline.discovery.endpoint_list import ListedBackend, read_list
 from switchline.discovery.poll_schedule import poll_spread_s
 from switchline.guard import Guard
 from switchline.net.descriptors import FLEET_DESCRIPTORS, PROCESS_DESCRIPTORS, STATE_DESCRIPTORS, Budget
@@ -86,8 +86,8 @@
         rng = random.Random(config.seed)
         return Discovery(config.discovery, version, self._on_list, rng, self.descriptors, spread_s)
 
-    def _on_list(self, scope: api.ListScope, members: tuple[Member, ...]) -> None:
-        self.driver.apply_list(scope, members, self.discovery.held_until)
+    def _on_list(self, scope: api.ListScope, members: tuple[ListedBackend, ...]) -> None:
+        self.driver.apply_list(scope, members, self.discovery.valid_until_ms)
 
     def close_clients(self) -> None:
         """Close the connections of clients; a fault in it is contained."""
--- a/switchline/service/reload.py
+++ b/switchline/service/reload.py
@@ -1,7 +1,7 @@
 """SIGHUP: what a changed configuration changes while the gateway runs.
 
 `discovery` and `counter` (addresses), `connections` and the limit of descriptors, `regions`, and the table
-`fleet`. Everything else holds from the next start on.
+`fleet`. Everything else holds from the next start on, but for the deadlines that a drain waits for.
 """
 
 from __future__ import annotations
--- a/switchline/service/upgrade.py
+++ b/switchline/service/upgrade.py
@@ -50,7 +50,7 @@
                 joined=partial(parts.driver.give, api.PeerProcessJoined()),
                 record_received=parts.driver.on_peer_record,
                 serving=self._hand_over,
-                left=self._take_back,
+                left=self._on_peer_process_gone,
                 descriptors_reported=self._set_peer_descriptors,
             ),
         )
@@ -80,8 +80,8 @@
             await asyncio.sleep(DESCRIPTOR_REPORT_INTERVAL_S)
         self.stop.set()
 
-    def _take_back(self) -> None:
-        """The peer process is gone; what was handed over to it is taken back."""
+    def _on_peer_process_gone(self) -> None:
+        """The peer process is gone; an old process takes back what it had handed over to a new one."""
         self.parts.driver.give(api.PeerProcessLeft())
         self._set_peer_descriptors(0)
         if self._emptying is None:
--- a/switchline/state/persistence.py
+++ b/switchline/state/persistence.py
@@ -30,7 +30,7 @@
     KIND_ZONE_DECISION,
     MAX_ZONE_DECISIONS,
     StateRestorer,
-    ZoneDecision,
+    ZoneDecisionRow,
     downtime_s,
     encode_override,
 )
@@ -75,7 +75,7 @@
         self.discovery = discovery
         self.overrides = overrides
         self.saved_list = SavedEndpointList()
-        self.zone_decisions: dict[str, ZoneDecision] = {}
+        self.zone_decisions: dict[str, ZoneDecisionRow] = {}
         self.restorer = StateRestorer(driver, discovery, overrides, self.saved_list)
         self.loop = asyncio.get_running_loop()
         self.store: StateStore | None = None
@@ -87,7 +87,7 @@
         self._had_folder = False  # a second gateway of a folder never has it, and never retries
         self._metrics = StateMetrics()
         driver.persist = self.save_record
-        discovery.keep = self.save_list
+        discovery.persist = self.save_list
 
     @property
     def restored(self) -> int:
@@ -237,7 +237,7 @@
             version_record = self.saved_list.version_record(int(raw["seq"]))
             self.store.put(KIND_LIST, LIST_VERSION_NAME, version_record)
 
-    def save_zone_decision(self, name: str, decision: ZoneDecision) -> None:
+    def save_zone_decision(self, name: str, decision: ZoneDecisionRow) -> None:
         """Save a decision of the fleet on a zone."""
         if name in self.zone_decisions or len(self.zone_decisions) < MAX_ZONE_DECISIONS:
             self.zone_decisions[name] = decision
--- a/switchline/state/restore.py
+++ b/switchline/state/restore.py
@@ -34,7 +34,7 @@
 ZONE_DECISION_LIFETIME_MS = 86_400_000.0  # as for the fact that gossip carries
 MAX_DOWNTIME_FOR_ZONES_S = 600.0  # after which the fleet's decisions may be long over
 
-ZoneDecision = list[Any]  # the fields of a fact, as `switchline.zones` encodes them
+ZoneDecisionRow = list[Any]  # the fields of a fact, as `switchline.zones` encodes them
 
 
 def is_valid_zone_decision(value: Any) -> bool:
@@ -130,7 +130,7 @@
                 self.dropped += 1
         return changes
 
-    def zone_decisions(self, saved: SavedState) -> dict[str, ZoneDecision] | None:
+    def zone_decisions(self, saved: SavedState) -> dict[str, ZoneDecisionRow] | None:
         """Return the fleet's decisions on zones by name; None after a downtime that is long, or unknown."""
         if not downtime_s(saved) <= MAX_DOWNTIME_FOR_ZONES_S:  # NaN is an unknown one
             return None
--- a/tests/clients/test_clients.py
+++ b/tests/clients/test_clients.py
@@ -578,7 +578,7 @@
     assert len(taken) == connections.MAX_PIPELINED
     now[0] += 300.0
     slots[0].answer(b"+OK\r\n")
-    assert [command.came_at for command in taken] == [1_000.0] * len(commands)
+    assert [command.received_at_ms for command in taken] == [1_000.0] * len(commands)
 
 
 def test_a_request_expires_by_when_it_came() -> None:
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -12,7 +12,7 @@
 
 from switchline.discovery import client as module
 from switchline.discovery import poll_schedule
-from switchline.discovery.endpoint_list import DiscoveryError, Member, host_number, read_list
+from switchline.discovery.endpoint_list import DiscoveryError, ListedBackend, host_number, read_list
 from switchline.discovery.poll_schedule import MAX_SPREAD_S, poll_spread_s
 from switchline.net.descriptors import Budget
 from switchline.policy.interface import BackendState, ListScope
@@ -32,7 +32,7 @@
         self.service: Discovery = Discovery()
         self.version, self.heard = version, Heard()
 
-    def take(self, scope: ListScope, members: tuple[Member, ...]) -> None:
+    def take(self, scope: ListScope, members: tuple[ListedBackend, ...]) -> None:
         self.heard.append((scope, [(m.entry.backend, m.entry.state) for m in members]))
 
     async def __aenter__(self) -> Watch:
@@ -122,7 +122,7 @@
             await watch.watched(1)
             take, faults = watch.take, [RuntimeError("not now")]
 
-            def faulty(scope: ListScope, members: tuple[Member, ...]) -> None:
+            def faulty(scope: ListScope, members: tuple[ListedBackend, ...]) -> None:
                 if faults:
                     raise faults.pop()
                 take(scope, members)
--- a/tests/fleet/test_outage.py
+++ b/tests/fleet/test_outage.py
@@ -184,16 +184,16 @@
 ) -> None:
     kept: Any = RecordsPersisted("h1", "h2")
     one = FleetRecovery({}, kept, cast(Any, None), kept, 0)
-    assert kept.weigh({"seq": 9, "whole": True, "hosts": []}) is None and one.backend_list.is_withheld
+    assert kept.filter_list({"seq": 9, "whole": True, "hosts": []}) is None and one.backend_list.is_withheld
     older = {"seq": 3, "whole": True, "hosts": [{"host": "h2", "health": "draining"}]}
-    found = kept.weigh(older)
+    found = kept.filter_list(older)
     assert found["seq"] == 7 and not found["whole"]
     (host,) = found["hosts"]
     assert (host["host"], host["health"], host["dial"]) == ("h2", "draining", "127.0.0.1:1")
     for holds in (older | {"seq": 7}, {"seq": 2, "whole": False, "hosts": []}):
-        assert kept.weigh(holds) is holds
+        assert kept.filter_list(holds) is holds
     one.backend_list.doubt_until_s -= DOUBT_S
-    assert kept.weigh(older) is older  # it says so still: then it is so
+    assert kept.filter_list(older) is older  # it says so still: then it is so
 
 
 def test_spending_that_another_knows_is_not_given_twice_and_the_most_careful_word_holds() -> None:
@@ -206,7 +206,7 @@
     )  # its even share: six
     for word in (
         told,
-        api.PeerQuotaReport("cbas", "bas", told.even_share, 18.0),
+        api.GatewayQuotaReport("cbas", "bas", told.even_share, 18.0),
     ):  # a liar's, or an older one's
         lost.handle(1e6 + 20, word)
     assert lost.customers.by_key["cbas"].tokens == pytest.approx(told.remaining_units / 3, abs=0.1)
@@ -217,8 +217,8 @@
 @pytest.mark.parametrize("spoilt", [(0.5, -1.0), (0.5, 21.0), (0.0, 3.0), (1.5, 3.0), (0.5, math.nan)])
 def test_spending_out_of_range_changes_nothing(spoilt: tuple[float, float]) -> None:
     gateway = module()
-    gateway.handle(1e6, api.PeerQuotaReport("cbas", "bas", *spoilt))
-    gateway.handle(1e6, api.PeerQuotaReport("cbas", "unknown", 0.5, 1.0))
+    gateway.handle(1e6, api.GatewayQuotaReport("cbas", "bas", *spoilt))
+    gateway.handle(1e6, api.GatewayQuotaReport("cbas", "unknown", 0.5, 1.0))
     assert not gateway.customers.by_key
 
 
@@ -435,4 +435,4 @@
         7, [ListedHost("h1", "127.0.0.1:1", "", 0, "up", 0.0)]
     ) and not one.backend_list.newer_than(7)
     empty = {"seq": 9, "whole": True, "hosts": []}
-    assert kept.weigh(empty) is empty
+    assert kept.filter_list(empty) is empty
--- a/tests/neutral_form.py
+++ b/tests/neutral_form.py
@@ -243,7 +243,7 @@
     "staleness_changed": ObjectForm(api.StalenessChanged, names(stale="stale")),
     "fleet_outage": ObjectForm(api.FleetOutage, names(since_ms="since_ms", recovered_at_ms="recovered_ms")),
     "peer_quota_report": ObjectForm(
-        api.PeerQuotaReport,
+        api.GatewayQuotaReport,
         names(customer="customer", plan="plan", even_share="even_share", units_left="remaining_units"),
     ),
     "regions_changed": ObjectForm(api.RegionsChanged, names(zone_regions=pairs_form("regions"))),
--- a/tests/service/test_wall_clock.py
+++ b/tests/service/test_wall_clock.py
@@ -98,12 +98,12 @@
     async def scenario() -> None:
         async with Watch() as watch:
             await until(lambda: watch.service.watches)
-            assert watch.client.held_until == -math.inf
+            assert watch.client.valid_until_ms == -math.inf
             watch.service.say(b"")
-            await until(lambda: watch.client.held_until > 0)
-            silent_from = watch.client.held_until
+            await until(lambda: watch.client.valid_until_ms > 0)
+            silent_from = watch.client.valid_until_ms
             watch.service.change(42, host("h9", 1))
             await until(lambda: watch.client.version == 42)
-            assert watch.client.held_until >= silent_from
+            assert watch.client.valid_until_ms >= silent_from
 
     in_loop(scenario)
