--- a/tests/backends/test_backends.py
+++ b/tests/backends/test_backends.py
@@ -3,89 +3,24 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import AsyncIterator
-from contextlib import asynccontextmanager
-from typing import Any
 
 import pytest
+from backend_attempts import Try, pool
 
 from switchline.backends import connection as module
 from switchline.backends import pool as pool_module
-from switchline.backends.attempt import Attempt
 from switchline.backends.connection import Connection
 from switchline.backends.pool import BackendPool
-from switchline.clock import Timers, now_ms
 from switchline.net.descriptors import Budget
 from switchline.net.idle import MEMORY_MS, IdleTimes
-from switchline.net.streams import BufferBudget
-from switchline.operators.metrics import Metrics
 from switchline.policy.interface import BackendState, Outcome
-from testbed.network.sockets import LOCAL, Peer, Reply, Server, encode, until
+from testbed.network.sockets import LOCAL, Peer, Reply, Server, until
 from testbed.stand_ins.backends import Backend
-from testbed.stand_ins.single_gateway import World, in_loop, request, running
+from testbed.stand_ins.single_gateway import World, in_loop, running
 
 SERVED = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
 
-@asynccontextmanager
-async def pool(*servers: Server, **given: Any) -> AsyncIterator[BackendPool]:
-    loop = asyncio.get_running_loop()
-    values: dict[str, Any] = dict(
-        connect_timeout=250,
-        keepalive=15_000,
-        budget=Budget(1024),
-        metrics=Metrics([]),
-        buffer_budget=BufferBudget(2**26),
-    )
-    made = BackendPool(loop, Timers(loop), **{**values, **given})
-    for number, server in enumerate(servers):
-        await server.start()
-        made.update(number, (LOCAL, server.port), BackendState.READY)
-    try:
-        yield made
-    finally:
-        made.close()
-        for server in servers:
-            await server.stop()
-
-
-class Try:
-    """An attempt and how it ended."""
-
-    def __init__(
-        self,
-        pool: BackendPool,
-        backend: int = 0,
-        wait: float = 3000,
-        body: bytes = b"",
-        id: bytes = b"9b1f03aa5c7e2d41",
-    ) -> None:
-        self.endings: list[tuple[Outcome, bytes]] = []
-        self.over = asyncio.Event()
-        expires = now_ms() + wait
-        self.hindered: Outcome | None = None  # why it must not begin
-        self.written = False  # its last byte has left
-        calls = self.encode, expires, self.ended, self.on_written, lambda *_: None, lambda _: self.hindered
-        self.attempt = Attempt(backend, *calls)
-        self.body, self.id = body, id
-        pool.send(self.attempt)
-
-    def encode(self, wait: int) -> bytes:
-        return encode(*request(self.id, wait=wait, body=self.body))
-
-    def on_written(self, attempt: Attempt) -> None:
-        self.written = True
-
-    def ended(self, attempt: Attempt, outcome: Outcome, value: bytes) -> None:
-        self.endings.append((outcome, value))
-        self.over.set()
-
-    async def result(self) -> tuple[Outcome, bytes]:
-        await self.over.wait()
-        (ending,) = self.endings
-        return ending
-
-
 async def idle_connection(pool: BackendPool) -> Connection:
     """The one idle connection, once its last answer has settled."""
     await until(lambda: pool.endpoints[0].idle)
--- a/tests/clients/test_connections.py
+++ b/tests/clients/test_connections.py
@@ -16,12 +16,13 @@
 from typing import Any
 
 import pytest
+from backend_attempts import Try, pool
+from connection_figures import config, figures
+from cutting_backend import Cutting
+from driver_scene import Scene
+from gateway_process import connect, start
 from hypothesis import given
 from hypothesis import strategies as st
-from test_backends import Try, pool
-from test_driver import Scene
-from test_process import connect, start
-from test_streams import Cutting
 
 from switchline.clients import server as clients
 from switchline.clients import supervision, watchdog
@@ -105,11 +106,6 @@
 # ---- settings ----
 
 
-def config(**changes: Any) -> dict[str, Any]:
-    world = World()
-    return {**world.config(), "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", **changes}
-
-
 def test_connections_may_be_configured() -> None:
     assert parse_config(config()).shares == Shares()
     made = parse_config(config(connections={"clients": 0.6, "connects": 2}))
@@ -692,15 +688,6 @@
     in_loop(scenario)
 
 
-async def figures(world: World) -> dict[str, int]:
-    reader, writer = await asyncio.open_connection(LOCAL, world.operator)
-    writer.write(b"GET /ops/stats HTTP/1.1\r\nHost: x\r\n\r\n")
-    text = (await reader.read()).decode()
-    writer.close()
-    lines = [line.split("|")[0] for line in text.split("\r\n\r\n", 1)[1].split()]
-    return {name.removeprefix("edge_lb."): int(value) for name, value in (line.split(":") for line in lines)}
-
-
 def test_a_drain_told_while_attempts_wait_sends_them_nowhere() -> None:
     async def scenario() -> None:
         server = Backend()
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -9,6 +9,7 @@
 from typing import Any
 
 import pytest
+from discovery_watch import Watch
 
 from switchline.discovery import client as module
 from switchline.discovery import poll_schedule
@@ -22,33 +23,6 @@
 from testbed.stand_ins.single_gateway import World, in_loop, running
 
 TOLD_S = 6.0  # after which a change counts as told
-Heard = list[tuple[ListScope, list[tuple[int, BackendState]]]]
-
-
-class Watch:
-    """Discovery's client at work against a fake, and what it reported."""
-
-    def __init__(self, version: int | None = 41) -> None:
-        self.service: Discovery = Discovery()
-        self.version, self.heard = version, Heard()
-
-    def take(self, scope: ListScope, members: tuple[ListedBackend, ...]) -> None:
-        self.heard.append((scope, [(m.entry.backend, m.entry.state) for m in members]))
-
-    async def __aenter__(self) -> Watch:
-        await self.service.start()
-        address = (LOCAL, self.service.port)
-        self.client = module.Discovery(address, self.version, self.take, random.Random(1), Budget(256))
-        self.task = asyncio.create_task(self.client.run())
-        return self
-
-    async def __aexit__(self, *_: object) -> None:
-        self.task.cancel()
-        await asyncio.wait({self.task})
-        await self.service.stop()
-
-    async def watched(self, count: int) -> None:
-        await until(lambda: len(self.service.watches) >= count)
 
 
 def test_changes_are_followed_from_the_known_version_on() -> None:
--- a/tests/net/test_streams.py
+++ b/tests/net/test_streams.py
@@ -6,7 +6,8 @@
 import random
 
 import pytest
-from test_operators import stats
+from cutting_backend import Cutting
+from operator_calls import stats
 
 from switchline.clients import server as clients
 from switchline.clients import watchdog
@@ -43,27 +44,6 @@
         at = end
 
 
-class Cutting(Backend):
-    """Gives its answer in pieces, each when it is told to go on, and then perhaps breaks."""
-
-    def __init__(self, reply: bytes, cuts: list[int], breaks: bool = False) -> None:
-        super().__init__()
-        self.pieces = [reply[a:b] for a, b in zip([0, *cuts], [*cuts, len(reply)], strict=True)]
-        self.breaks, self.go_on = breaks, asyncio.Semaphore(0)
-
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        peer = Peer(reader, writer)
-        while (command := await peer.receive()) is not None:
-            self.got.append(command)
-            for number, piece in enumerate(self.pieces):
-                if number:
-                    await self.go_on.acquire()
-                writer.write(piece)
-                await writer.drain()
-            if self.breaks:
-                return
-
-
 @pytest.mark.parametrize("seed", range(3))
 def test_a_long_value_comes_through_both_ways_however_it_is_cut(
     seed: int, monkeypatch: pytest.MonkeyPatch
--- a/tests/operators/test_overrides.py
+++ b/tests/operators/test_overrides.py
@@ -10,7 +10,7 @@
 import pytest
 from helpers import World as Decisions
 from helpers import backends, entry, sends
-from test_operators import call, stats
+from operator_calls import call, stats
 
 from switchline.clock import Timers
 from switchline.operators.overrides import OperatorOverrides, private_file
--- a/tests/policy/test_leases.py
+++ b/tests/policy/test_leases.py
@@ -4,6 +4,7 @@
 
 import pytest
 from helpers import BASIC, World, counts, entry, refusals, sends
+from lease_answers import answer
 
 from switchline.policy import interface as api
 from switchline.policy.quota.admission import SCATTERED_RATIO
@@ -29,10 +30,6 @@
     return sent
 
 
-def answer(world: World, call: api.Count, reading: float, outcome: api.Outcome = api.Outcome.OK) -> None:
-    world.give(api.CounterReplied(call.name, outcome, reading))
-
-
 def play(world: World, numbers: dict[str, float]) -> list[api.Action]:
     """Ask once for a customer of many gateways, with a counter that answers at once."""
     todo, done = world.ask(spread=20), list[api.Action]()
--- a/tests/policy/test_zones.py
+++ b/tests/policy/test_zones.py
@@ -11,13 +11,13 @@
 
 import neutral_form
 import pytest
+from connection_figures import config, figures
 from gateway_fleet import Fleet
 from helpers import settings
 from hypothesis import given
 from hypothesis import settings as limits
 from hypothesis import strategies as st
-from test_connections import config, figures
-from test_operators import call
+from operator_calls import call
 
 from switchline.config import ConfigError, parse_config
 from switchline.policy import interface as api
--- a/tests/recordings/test_stored_data.py
+++ b/tests/recordings/test_stored_data.py
@@ -17,7 +17,7 @@
 
 import msgspec
 import pytest
-from test_operators import stats
+from operator_calls import stats
 from test_recorded_decisions import RECORDED, lines
 
 from switchline import clock
--- a/tests/service/test_guard.py
+++ b/tests/service/test_guard.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from test_driver import Scene
+from driver_scene import Scene
 
 from switchline.clients.commands import bulk
 from switchline.clients.slot import Slot
--- a/tests/service/test_process.py
+++ b/tests/service/test_process.py
@@ -16,6 +16,7 @@
 from typing import Any
 
 import pytest
+from gateway_process import ROOT, connect, start
 
 from switchline import clock
 from switchline.clients.server import ClientServer
@@ -28,24 +29,11 @@
 from switchline.service.drain import CLOSING_S
 from switchline.service.service import Service
 from testbed.network.addresses import claimed_port
-from testbed.network.sockets import LOCAL, Peer, Reply, encode, until
+from testbed.network.sockets import LOCAL, Reply, encode, until
 from testbed.stand_ins.agents import host
 from testbed.stand_ins.backends import Backend
 from testbed.stand_ins.single_gateway import World, in_loop, request, running
 
-ROOT = Path(__file__).parents[2]
-
-
-async def start(config: Path) -> asyncio.subprocess.Process:
-    return await asyncio.create_subprocess_exec(
-        sys.executable,
-        "-m",
-        "switchline",
-        cwd=ROOT,
-        env={**os.environ, "LB_CONFIG": str(config)},
-        stderr=asyncio.subprocess.PIPE,
-    )
-
 
 @dataclass
 class Program:
@@ -77,14 +65,6 @@
             await server.stop()
 
 
-async def connect(port: int) -> Peer:
-    while True:
-        try:
-            return Peer(*await asyncio.open_connection(LOCAL, port))
-        except ConnectionRefusedError:
-            await asyncio.sleep(0.01)
-
-
 def test_sigterm_finishes_what_is_in_and_ends_with_0(tmp_path: Path) -> None:
     async def scenario() -> None:
         go_on = asyncio.Event()
--- a/tests/service/test_wall_clock.py
+++ b/tests/service/test_wall_clock.py
@@ -6,9 +6,9 @@
 import math
 
 import pytest
-from helpers import RULES, World, entry
-from test_discovery import Watch
-from test_leases import answer, counts
+from discovery_watch import Watch
+from helpers import RULES, World, counts, entry
+from lease_answers import answer
 
 from switchline.logs import MAX_LINES, PERIOD_S, RateLimit
 from switchline.policy import interface as api
--- a/tests/state/test_persistence.py
+++ b/tests/state/test_persistence.py
@@ -17,9 +17,9 @@
 from typing import Any
 
 import pytest
-from test_operators import call, stats
-from test_process import connect, start
-from test_upgrade import Site, site
+from gateway_process import connect, start
+from operator_calls import call, stats
+from upgrade_site import Site, site
 
 from switchline.config import ConfigError, parse_config
 from switchline.net.descriptors import PROCESS_DESCRIPTORS, STATE_DESCRIPTORS, Budget
--- /dev/null
+++ b/tests/support/gateway_process.py
@@ -0,0 +1,31 @@
+"""A gateway as a process of its own."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import sys
+from pathlib import Path
+
+from testbed.network.sockets import LOCAL, Peer
+
+ROOT = Path(__file__).parents[2]
+
+
+async def start(config: Path) -> asyncio.subprocess.Process:
+    return await asyncio.create_subprocess_exec(
+        sys.executable,
+        "-m",
+        "switchline",
+        cwd=ROOT,
+        env={**os.environ, "LB_CONFIG": str(config)},
+        stderr=asyncio.subprocess.PIPE,
+    )
+
+
+async def connect(port: int) -> Peer:
+    while True:
+        try:
+            return Peer(*await asyncio.open_connection(LOCAL, port))
+        except ConnectionRefusedError:
+            await asyncio.sleep(0.01)
--- /dev/null
+++ b/tests/support/lease_answers.py
@@ -0,0 +1,11 @@
+"""Answers of the counter to the calls of a lease."""
+
+from __future__ import annotations
+
+from helpers import World
+
+from switchline.policy import interface as api
+
+
+def answer(world: World, call: api.Count, reading: float, outcome: api.Outcome = api.Outcome.OK) -> None:
+    world.give(api.CounterReplied(call.name, outcome, reading))
--- a/tests/upgrade/test_upgrade.py
+++ b/tests/upgrade/test_upgrade.py
@@ -7,87 +7,21 @@
 import os
 import signal
 import socket
-import sys
-from collections.abc import AsyncIterator
-from contextlib import asynccontextmanager
 from pathlib import Path
 
 import pytest
 from helpers import World as Decisions
 from helpers import counts, entry, refusals, sends
-from test_operators import call
+from operator_calls import call
+from upgrade_site import Site, site
 
 from switchline.operators.overrides import private_file
 from switchline.policy import interface as api
 from switchline.policy.persistence.codec import decode_record, encode_record
 from testbed.network.addresses import claimed_port
-from testbed.network.sockets import LOCAL, Peer, Reply, until
+from testbed.network.sockets import LOCAL, Reply, until
 from testbed.stand_ins.backends import Backend
-from testbed.stand_ins.single_gateway import World, in_loop, request
-
-ROOT = Path(__file__).parents[2]
-
-
-class Site:
-    """The platform's side of an upgrade: the listening socket, the files, and the processes."""
-
-    def __init__(self, world: World, directory: Path) -> None:
-        self.world = world
-        self.directory = directory
-        self.listener = socket.create_server((LOCAL, 0))
-        self.port = self.listener.getsockname()[1]
-        self.processes: list[asyncio.subprocess.Process] = []
-        self.config = directory / "config.json"
-        self.config.write_text(json.dumps({**world.config(), "listen": f"{LOCAL}:{self.port}"}))
-
-    async def start(self) -> asyncio.subprocess.Process:
-        """Start one more process; it has said yes when this returns."""
-        self.world.operator = claimed_port()
-        given = {
-            "LB_CONFIG": os.fspath(self.config),
-            "LB_OPERATOR": f"{LOCAL}:{self.world.operator}",
-            "LB_INHERITED_FD": str(self.listener.fileno()),
-            "TMPDIR": os.fspath(self.directory),
-        }
-        process = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-m",
-            "switchline",
-            cwd=ROOT,
-            env={**os.environ, **given},
-            pass_fds=[self.listener.fileno()],
-            stderr=asyncio.subprocess.DEVNULL,
-        )
-        self.processes.append(process)
-        while True:
-            try:
-                if (await call(self.world, "GET", "/ops/readiness"))[0] == 200:
-                    return process
-            except (ConnectionError, IndexError):
-                pass
-            await asyncio.sleep(0.01)
-
-    async def client(self) -> Peer:
-        return Peer(*await asyncio.open_connection(LOCAL, self.port))
-
-
-@asynccontextmanager
-async def site(directory: Path, *backends: Backend) -> AsyncIterator[Site]:
-    world = World(*backends)
-    servers = [*backends, world.counter, world.discovery]
-    for server in servers:
-        await server.start()
-    made = Site(world, directory)
-    try:
-        yield made
-    finally:
-        for process in made.processes:
-            if process.returncode is None:
-                process.kill()
-            await process.wait()
-        made.listener.close()
-        for server in servers:
-            await server.stop()
+from testbed.stand_ins.single_gateway import in_loop, request
 
 
 async def send_requests(made: Site, client: int, answers: list[object], over: asyncio.Event) -> None:
