--- a/measure/line.py
+++ b/measure/line.py
@@ -112,7 +112,7 @@
     for seed in seeds:
         net, chance = fleet(size, seed), random.Random(seed)
         net.loss = LOSS
-        before = sum(node.members.counts["died"] for node in net.nodes.values())
+        before = sum(node.members.event_counts["died"] for node in net.nodes.values())
         stops = 0
         for _ in range(int(minutes * 60 / EACH_S)):
             for number in chance.sample(range(size), max(1, size // PART)):
@@ -121,7 +121,7 @@
             net.run(EACH_S)
         net.loss = 0.0
         net.run(20.0)
-        died = sum(node.members.counts["died"] for node in net.nodes.values()) - before
+        died = sum(node.members.event_counts["died"] for node in net.nodes.values()) - before
         left = sum(
             m.state is not MemberState.ALIVE for n in net.nodes.values() for m in n.members.others.values()
         )
--- a/switchline/fleet/dissemination/outbox.py
+++ b/switchline/fleet/dissemination/outbox.py
@@ -5,7 +5,7 @@
 from collections.abc import Hashable
 
 from switchline.fleet.dissemination.gossip_queue import GossipQueue, Item
-from switchline.fleet.facts import key_of
+from switchline.fleet.facts import fact_key
 from switchline.fleet.frames import FrameCodec
 from switchline.fleet.hybrid_clock import HybridClock
 from switchline.fleet.membership.member import Address
@@ -25,7 +25,7 @@
     def __init__(self, members: Members, clock: HybridClock, codec: FrameCodec, now_s: float) -> None:
         """`codec`: of the fleet's frames."""
         self.queue = GossipQueue()
-        self.sent = 0  # datagrams
+        self.sent_datagrams = 0  # datagrams
         self.ticked_s = now_s  # the endpoint's last tick
         self._members = members
         self._clock = clock
@@ -53,7 +53,7 @@
         *,
         seq: int = 0,
         target: str = "",
-        reach: Address = NO_ADDRESS,
+        address: Address = NO_ADDRESS,
         first: MemberUpdate | None = None,
     ) -> None:
         """Put out one datagram with as much gossip as it holds.
@@ -65,7 +65,7 @@
             kind: What it is.
             seq: Of a ping, and of the answers to it.
             target: Of a ping, and of an indirect one: who is pinged.
-            reach: The address that it names; see `Datagram.host`.
+            address: The address that it names; see `Datagram.host`.
             first: Gossip that goes before the queue's.
         """
         if self._members.superseded and kind is not MessageKind.ACK:
@@ -74,8 +74,8 @@
         number = self.next_number()
         updates, entries = self.queue.pick(self._members.size, first)
         identity = me.name, me.incarnation, number
-        message = Datagram(*identity, kind, seq, target, *reach, updates, entries, self._clock.last)
-        self.sent += 1
+        message = Datagram(*identity, kind, seq, target, *address, updates, entries, self._clock.last)
+        self.sent_datagrams += 1
         self._datagrams.append((to, self._encode_within_bound(message)))
 
     def _encode_within_bound(self, message: Datagram) -> bytes:
@@ -93,7 +93,7 @@
 
     def queue_entry(self, entry: Entry) -> None:
         """Pass on a version of a fact."""
-        self._queue(("fact", *key_of(entry)), entry)
+        self._queue(("fact", *fact_key(entry)), entry)
 
     def _queue(self, key: Hashable, item: Item) -> None:
         self.queue.add(key, item)
--- a/switchline/fleet/endpoint.py
+++ b/switchline/fleet/endpoint.py
@@ -63,12 +63,12 @@
         self.prober = Prober(self.members, address, self.outbox.send, rng, now_s)
         self.schedule = ExchangeSchedule(self.members, address, seeds, rng, now_s)
         self.refused: dict[str, int] = {}  # by reason
-        self.received = 0  # datagrams that were taken
-        self.fact_changed: Callable[[Entry], None] = lambda entry: None  # with each entry that is new here
+        self.received_datagrams = 0  # datagrams that were taken
+        self.on_fact: Callable[[Entry], None] = lambda entry: None  # with each entry that is new here
         # What this gateway wants of the others, the list that it has, and what becomes of their answers.
         self.wants = Wanted.NOTHING
         self.list_seq = -1
-        self.answered: Callable[[Exchange], None] = lambda exchange: None
+        self.on_answer: Callable[[Exchange], None] = lambda exchange: None
         # What it has for the others: the list here, if newer than a number; the quotas, if they are known.
         self.newer_list: Callable[[int], EndpointList | None] = lambda seq: None
         self.known_quotas: Callable[[], list[RemainingQuota] | None] = lambda: None
@@ -81,14 +81,14 @@
 
     def _connect(self) -> None:
         """Have what changes in the tables passed on."""
-        self.members.updated = self.outbox.queue_update
-        self.members.refuted = self.outbox.gossip_to_many
-        self.members.began = self.facts.begin_incarnation
-        self.facts.changed = self._on_entry
+        self.members.on_update = self.outbox.queue_update
+        self.members.on_refutation = self.outbox.gossip_to_many
+        self.members.on_new_incarnation = self.facts.begin_incarnation
+        self.facts.on_change = self._on_entry
 
     def _on_entry(self, entry: Entry) -> None:
         self.outbox.queue_entry(entry)
-        self.fact_changed(entry)
+        self.on_fact(entry)
 
     def take_datagrams(self) -> list[tuple[Address, bytes]]:
         """Return, and forget, the datagrams to send now."""
@@ -96,7 +96,7 @@
 
     # The passing of time.
 
-    def due(self, now_s: float) -> float:
+    def next_tick_at_s(self, now_s: float) -> float:
         """Return when `tick` is to be called at the latest; what comes in may make it earlier."""
         due_s = min(
             self.prober.probe_at, self._expire_at, now_s + PROBE_INTERVAL_S, self.prober.next_timeout_s()
@@ -123,7 +123,7 @@
 
     # Receiving.
 
-    def refuse(self, reason: str) -> None:
+    def count_refused(self, reason: str) -> None:
         """Count something that was dropped."""
         self.refused[reason] = self.refused.get(reason, 0) + 1
 
@@ -138,9 +138,9 @@
             self._refuse_older(message)
             self._check_replay(message)
         except FrameRefusedError as error:
-            self.refuse(error.reason)
+            self.count_refused(error.reason)
             return False
-        self.received += 1
+        self.received_datagrams += 1
         self._merge(now_s, message)
         member = self.members.others.get(message.sender)
         match message.kind:
@@ -222,15 +222,15 @@
         entries = list(self.facts.entries())
         state = Exchange(me.name, me.incarnation, number, answer, updates, entries, timestamp=self.clock.last)
         if not answer:
-            wanted = msgspec.structs.replace(state, wants=int(self.wants), seq=self.list_seq)
+            wanted = msgspec.structs.replace(state, wants=int(self.wants), list_seq=self.list_seq)
             return self.codec.encode(wanted)
         request = self._unanswered
         self._unanswered = None
         if request is not None and request.wants:
             state = msgspec.structs.replace(
                 state,
-                listed=self.newer_list(request.seq) if request.wants & Wanted.LIST else None,
-                spent=self.known_quotas() if request.wants & Wanted.QUOTAS else None,
+                endpoint_list=self.newer_list(request.list_seq) if request.wants & Wanted.LIST else None,
+                remaining_quotas=self.known_quotas() if request.wants & Wanted.QUOTAS else None,
             )
         return self.codec.encode(state)
 
@@ -252,19 +252,19 @@
             if message.answer is not answer:
                 raise FrameRefusedError(RefusalReason.REPLAY)
             if self.members.later_claim(message.sender, message.incarnation) is not None:
-                self.refuse(RefusalReason.OLDER)
+                self.count_refused(RefusalReason.OLDER)
                 return not answer  # the answer tells it what holds; nothing of its own is taken
             if message.sender != self.members.me.name:
                 self._check_replay(message)
         except FrameRefusedError as error:
-            self.refuse(error.reason)
+            self.count_refused(error.reason)
             return False
         self._merge(now_s, message)
         self.schedule.completed(message.sender)
         if not answer:
             self._unanswered = message
-        elif message.listed is not None or message.spent is not None:
-            self.answered(message)
+        elif message.endpoint_list is not None or message.remaining_quotas is not None:
+            self.on_answer(message)
         return True
 
     # This gateway's own facts.
--- a/switchline/fleet/fact_kinds.py
+++ b/switchline/fleet/fact_kinds.py
@@ -55,9 +55,9 @@
 }
 """By the kind of an override at one gateway: the kind of the same override for the whole fleet."""
 
-OPERATOR_KINDS: frozenset[str] = frozenset({*FLEET_WIDE, *FLEET_WIDE.values()})
+OVERRIDE_KINDS: frozenset[str] = frozenset({*FLEET_WIDE, *FLEET_WIDE.values()})
 VERSIONED_KINDS: frozenset[str] = frozenset({FactKind.ZONE_DECISION})
-SHARED_KINDS: frozenset[str] = OPERATOR_KINDS | VERSIONED_KINDS
+SHARED_KINDS: frozenset[str] = OVERRIDE_KINDS | VERSIONED_KINDS
 """Kinds without an owner: one entry for each name, which any gateway may replace."""
 
 
@@ -70,7 +70,7 @@
 
 
 _MERGE_RULES: dict[str, MergeRule] = {
-    **dict.fromkeys(OPERATOR_KINDS, MergeRule.NEWEST_CALL),
+    **dict.fromkeys(OVERRIDE_KINDS, MergeRule.NEWEST_CALL),
     **dict.fromkeys(VERSIONED_KINDS, MergeRule.HIGHEST_VERSION),
 }
 
--- a/switchline/fleet/facts.py
+++ b/switchline/fleet/facts.py
@@ -13,7 +13,7 @@
 from typing import Any, NamedTuple
 
 from switchline.fleet.fact_kinds import (
-    OPERATOR_KINDS,
+    OVERRIDE_KINDS,
     SHARED_KINDS,
     VERSIONED_KINDS,
     FactKind,
@@ -26,9 +26,9 @@
 MAX_ENTRIES_OF_ORIGIN = 64
 MAX_DECISIONS = 256  # names of one versioned kind
 MAX_CLOCK_SKEW_MS = 300_000.0
-SHARED_LASTS_MS = 86_400_000.0  # a decision, and an override that was taken back: longer than any partition
-WITHDRAWN_LASTS_MS = 600_000.0
-ORPHAN_LASTS_MS = 60_000.0  # a fact whose origin's incarnation is gone
+SHARED_ENTRY_TTL_MS = 86_400_000.0  # longer than any partition
+WITHDRAWAL_TTL_MS = 600_000.0
+ORPHAN_TTL_MS = 60_000.0  # a fact whose origin's incarnation is gone
 MAX_PLACE_DIGITS = 5
 OVERRIDE_DOWN = "down"  # value of an operators' override that holds
 
@@ -45,7 +45,7 @@
     """A fact of this gateway that the bounds don't allow."""
 
 
-def key_of(entry: Entry) -> FactKey:
+def fact_key(entry: Entry) -> FactKey:
     """Return the key of the fact that an entry is a version of."""
     return FactKey(entry.kind, entry.name, "" if entry.kind in SHARED_KINDS else entry.origin)
 
@@ -59,14 +59,14 @@
     value = (entry.value is None, entry.value or "")
     match merge_rule(entry.kind):
         case MergeRule.HIGHEST_VERSION:
-            return (entry.version, value, entry.origin, entry.incarnation, entry.at)
+            return (entry.version, value, entry.origin, entry.incarnation, entry.at_ms)
         case MergeRule.NEWEST_CALL:
-            return (entry.at, value, entry.origin, entry.incarnation, entry.version)
+            return (entry.at_ms, value, entry.origin, entry.incarnation, entry.version)
         case MergeRule.OWNER:
-            return (entry.incarnation, entry.version, entry.at, value)
+            return (entry.incarnation, entry.version, entry.at_ms, value)
 
 
-def higher(one: Entry, other: Entry) -> Entry:
+def overriding_entry(one: Entry, other: Entry) -> Entry:
     """Return the one of two entries of a key that holds."""
     return one if precedence(one) >= precedence(other) else other
 
@@ -77,14 +77,14 @@
     Decisions end after `SHARED_LASTS_MS`, as do overrides that were taken back; an override that holds never
     does. Of a gateway's own facts withdrawals end, after `WITHDRAWN_LASTS_MS`.
     """
-    age_ms = wall_ms - entry.at
+    age_ms = wall_ms - entry.at_ms
     match merge_rule(entry.kind):
         case MergeRule.HIGHEST_VERSION:
-            return age_ms > SHARED_LASTS_MS
+            return age_ms > SHARED_ENTRY_TTL_MS
         case MergeRule.NEWEST_CALL:
-            return entry.value != OVERRIDE_DOWN and age_ms > SHARED_LASTS_MS
+            return entry.value != OVERRIDE_DOWN and age_ms > SHARED_ENTRY_TTL_MS
         case MergeRule.OWNER:
-            return entry.value is None and age_ms > WITHDRAWN_LASTS_MS
+            return entry.value is None and age_ms > WITHDRAWAL_TTL_MS
 
 
 @dataclass(slots=True)
@@ -108,11 +108,12 @@
         self.origin = origin
         self.incarnation = incarnation
         self.table: dict[FactKey, StoredFact] = {}
-        self.kinds: dict[str, dict[FactKey, StoredFact]] = {}  # the same entries by kind
-        self.count_of_origin: dict[str, int] = {}
+        self.by_kind: dict[str, dict[FactKey, StoredFact]] = {}  # the same entries by kind
+        self.count_by_origin: dict[str, int] = {}
         self.last_version = 0
         self.refused: dict[str, int] = {"full": 0, "clock": 0, "own": 0}
-        self.changed: Callable[[Entry], None] = lambda entry: None  # called with each entry that is new here
+        # Called with each entry that is new here.
+        self.on_change: Callable[[Entry], None] = lambda entry: None
 
     # Writing.
 
@@ -133,12 +134,12 @@
         """
         if len(value or "") > MAX_VALUE_CHARS or len(name) > MAX_NAME_CHARS:
             raise FactLimitError(f"{kind} {name[:MAX_NAME_CHARS]!r}: too long to be told")
-        is_override = kind in OPERATOR_KINDS
+        is_override = kind in OVERRIDE_KINDS
         key = FactKey(kind, name, "" if is_override else self.origin)
         stored = self.table.get(key)
         if self._is_known(stored, wall_ms, value, is_override):
             return None
-        at_bound = self.count_of_origin.get(self.origin, 0) >= MAX_ENTRIES_OF_ORIGIN
+        at_bound = self.count_by_origin.get(self.origin, 0) >= MAX_ENTRIES_OF_ORIGIN
         if stored is None and at_bound and not is_override:
             raise FactLimitError(
                 f"{kind} {name!r}: {MAX_ENTRIES_OF_ORIGIN} facts of one gateway are the most"
@@ -156,16 +157,16 @@
         """Return whether a value is the one that holds; an override must not be of a newer call either."""
         if stored is None:
             return value is None and not is_override
-        return stored.entry.value == value and (not is_override or stored.entry.at >= wall_ms)
+        return stored.entry.value == value and (not is_override or stored.entry.at_ms >= wall_ms)
 
-    def offer(self, wall_ms: float, kind: str, name: str, value: str | None) -> None:
+    def publish_if_allowed(self, wall_ms: float, kind: str, name: str, value: str | None) -> None:
         """As `publish`, but count a fact that the bounds don't allow, and leave it out."""
         try:
             self.publish(wall_ms, kind, name, value)
         except FactLimitError:
             self.refused["own"] += 1
 
-    def decide(self, wall_ms: float, kind: str, name: str, value: str) -> Entry | None:
+    def publish_decision(self, wall_ms: float, kind: str, name: str, value: str) -> Entry | None:
         """Write the next version of a decision; return None where the table is full."""
         version = self.version(kind, name) + 1
         entry = Entry(kind, name, self.origin, self.incarnation, version, wall_ms, value)
@@ -179,9 +180,9 @@
             if old.kind not in SHARED_KINDS and old.origin == self.origin:
                 self.last_version += 1
                 entry = Entry(
-                    old.kind, old.name, self.origin, incarnation, self.last_version, old.at, old.value
+                    old.kind, old.name, self.origin, incarnation, self.last_version, old.at_ms, old.value
                 )
-                self.merge(entry.at, entry)
+                self.merge(entry.at_ms, entry)
 
     # Merging.
 
@@ -190,13 +191,13 @@
 
         An entry that has expired, is over a bound, or is an override from a clock too far ahead is refused.
         """
-        if entry.kind in OPERATOR_KINDS and entry.at > wall_ms + MAX_CLOCK_SKEW_MS:
+        if entry.kind in OVERRIDE_KINDS and entry.at_ms > wall_ms + MAX_CLOCK_SKEW_MS:
             self.refused["clock"] += 1
             return False
-        key = key_of(entry)
+        key = fact_key(entry)
         stored = self.table.get(key)
         if stored is not None:
-            if stored.entry == entry or higher(stored.entry, entry) == stored.entry:
+            if stored.entry == entry or overriding_entry(stored.entry, entry) == stored.entry:
                 return False
             self._count(stored.entry, -1)
             stored.entry = entry
@@ -207,9 +208,9 @@
             if self._is_over_bound(entry):
                 self.refused["full"] += 1
                 return False
-            self.table[key] = self.kinds.setdefault(entry.kind, {})[key] = StoredFact(entry)
+            self.table[key] = self.by_kind.setdefault(entry.kind, {})[key] = StoredFact(entry)
         self._count(entry, 1)
-        self.changed(entry)
+        self.on_change(entry)
         return True
 
     def _is_over_bound(self, entry: Entry) -> bool:
@@ -217,16 +218,16 @@
         if len(self.table) >= MAX_ENTRIES:
             return True
         if entry.kind in VERSIONED_KINDS:
-            return len(self.kinds.get(entry.kind, ())) >= MAX_DECISIONS
-        of_origin = self.count_of_origin.get(entry.origin, 0)
-        return entry.kind not in OPERATOR_KINDS and of_origin >= MAX_ENTRIES_OF_ORIGIN
+            return len(self.by_kind.get(entry.kind, ())) >= MAX_DECISIONS
+        of_origin = self.count_by_origin.get(entry.origin, 0)
+        return entry.kind not in OVERRIDE_KINDS and of_origin >= MAX_ENTRIES_OF_ORIGIN
 
     def _count(self, entry: Entry, step: int) -> None:
-        count = self.count_of_origin.get(entry.origin, 0) + step
+        count = self.count_by_origin.get(entry.origin, 0) + step
         if count:
-            self.count_of_origin[entry.origin] = count
+            self.count_by_origin[entry.origin] = count
         else:
-            self.count_of_origin.pop(entry.origin, None)
+            self.count_by_origin.pop(entry.origin, None)
 
     # Expiry.
 
@@ -256,13 +257,13 @@
         elif not stored.orphaned_s:
             stored.orphaned_s = now_s
         else:
-            return (now_s - stored.orphaned_s) * 1000 > ORPHAN_LASTS_MS
+            return (now_s - stored.orphaned_s) * 1000 > ORPHAN_TTL_MS
         return False
 
     def _drop(self, key: FactKey, stored: StoredFact) -> None:
-        del self.table[key], self.kinds[key.kind][key]
-        if not self.kinds[key.kind]:
-            del self.kinds[key.kind]
+        del self.table[key], self.by_kind[key.kind][key]
+        if not self.by_kind[key.kind]:
+            del self.by_kind[key.kind]
         self._count(stored.entry, -1)
 
     # Reading.
@@ -290,4 +291,4 @@
 
     def of_kind(self, kind: str) -> dict[tuple[str, str], StoredFact]:
         """Return the facts of a kind by name and origin."""
-        return {(key.name, key.origin): stored for key, stored in self.kinds.get(kind, {}).items()}
+        return {(key.name, key.origin): stored for key, stored in self.by_kind.get(kind, {}).items()}
--- a/switchline/fleet/frames.py
+++ b/switchline/fleet/frames.py
@@ -23,8 +23,8 @@
 
 PROTOCOL_VERSION = 1
 FLEET_DIGEST_BYTES = 4
-CHECKSUM_BYTES = 16
-HEADER_BYTES = 1 + FLEET_DIGEST_BYTES + CHECKSUM_BYTES
+MAC_BYTES = 16
+HEADER_BYTES = 1 + FLEET_DIGEST_BYTES + MAC_BYTES
 KEY_BYTES = 32
 MAX_SENDERS = 6_000  # whose message numbers are remembered
 KEY_PURPOSE = b"line of a fleet"  # BLAKE2b's personalization: a part of the protocol
@@ -64,14 +64,14 @@
         self._datagrams = msgspec.msgpack.Decoder(Datagram)
         self._exchanges = msgspec.msgpack.Decoder(Exchange)
 
-    def checksum(self, body: bytes) -> bytes:
+    def mac(self, body: bytes) -> bytes:
         """Return the keyed checksum of a body under this codec's prefix."""
-        return hashlib.blake2b(self.prefix + body, digest_size=CHECKSUM_BYTES, key=self.key).digest()
+        return hashlib.blake2b(self.prefix + body, digest_size=MAC_BYTES, key=self.key).digest()
 
     def encode(self, message: Datagram | Exchange) -> bytes:
         """Return a message as a frame."""
         body = self._encoder.encode(message)
-        return self.prefix + self.checksum(body) + body
+        return self.prefix + self.mac(body) + body
 
     def decode_datagram(self, frame: bytes) -> Datagram:
         """Return the datagram in a frame.
@@ -107,7 +107,7 @@
         if frame[:checksum_at] != self.prefix:
             raise FrameRefusedError(RefusalReason.FLEET)
         body = frame[HEADER_BYTES:]
-        if not hmac.compare_digest(frame[checksum_at:HEADER_BYTES], self.checksum(body)):
+        if not hmac.compare_digest(frame[checksum_at:HEADER_BYTES], self.mac(body)):
             raise FrameRefusedError(RefusalReason.KEY)
         return body
 
--- a/switchline/fleet/membership/member.py
+++ b/switchline/fleet/membership/member.py
@@ -36,10 +36,10 @@
     """
 
     update: MemberUpdate
-    since: float
-    heard: float
+    state_changed_at_s: float
+    last_heard_s: float
     suspecters: frozenset[str] = frozenset()
-    dead_at: float = math.inf
+    dead_at_s: float = math.inf
     rechecked: bool = False
 
     @property
--- a/switchline/fleet/membership/members.py
+++ b/switchline/fleet/membership/members.py
@@ -15,7 +15,7 @@
 from switchline.fleet.membership.member import Member, MemberEvent, precedence
 from switchline.fleet.membership.sampling import MemberSampler, ProbeRing
 from switchline.fleet.membership.suspicion import (
-    FORGET_S,
+    DEAD_MEMBER_TTL_S,
     MAX_CONFIRMATIONS,
     RECHECK_S,
     RECHECKERS,
@@ -42,13 +42,15 @@
         self.suspected: dict[str, Member] = {}
         self.health = LocalHealth()
         self.superseded = False  # a later process has this name: this one is silent
-        self.over_bound = 0  # members that were not taken
-        self.counts: Counter[str] = Counter(dict.fromkeys(MemberEvent, 0))
-        self.ring = ProbeRing(self.present, rng)
+        self.over_limit = 0  # members that were not taken
+        self.event_counts: Counter[str] = Counter(dict.fromkeys(MemberEvent, 0))
+        self.probe_ring = ProbeRing(self.present, rng)
         self.sampler = MemberSampler(self.present, rng)
-        self.updated: Callable[[MemberUpdate], None] = lambda update: None  # with each claim that is new
-        self.refuted: Callable[[], None] = lambda: None  # after a suspicion of this member
-        self.began: Callable[[Incarnation], None] = lambda incarnation: None  # a later one of this member
+        # Called with each claim that is new here, after a refutation, and after the start of a later
+        # incarnation of this member.
+        self.on_update: Callable[[MemberUpdate], None] = lambda update: None
+        self.on_refutation: Callable[[], None] = lambda: None
+        self.on_new_incarnation: Callable[[Incarnation], None] = lambda incarnation: None
         self._rng = rng
 
     # Reading.
@@ -59,14 +61,14 @@
         return 1 + len(self.present)
 
     @property
-    def not_left(self) -> int:
+    def size_with_dead(self) -> int:
         """Members that did not leave, this one too; the dead are among them."""
         return 1 + sum(member.state is not MemberState.LEFT for member in self.others.values())
 
     @property
     def minority(self) -> bool:
         """Whether half or more of the fleet is lost to this member."""
-        return is_minority(self.size, self.not_left)
+        return is_minority(self.size, self.size_with_dead)
 
     def incarnation_of(self, name: str) -> Incarnation | None:
         """Return the incarnation of a member that is present."""
@@ -88,7 +90,7 @@
         """Note a message of a member itself."""
         member = self.others.get(name)
         if member is not None and member.update.incarnation == incarnation:
-            member.heard = now_s
+            member.last_heard_s = now_s
 
     def merge(self, update: MemberUpdate, now_s: float) -> bool:
         """Take a claim if it overrides the one that holds; return whether it changed anything."""
@@ -101,37 +103,37 @@
             return self._is_confirmation(member, update) and self._confirm(member, update)
         was_present = member.is_present
         member.update = update
-        member.since = now_s
+        member.state_changed_at_s = now_s
         member.suspecters = frozenset()
-        member.dead_at = math.inf
+        member.dead_at_s = math.inf
         member.rechecked = False
         self._index(update.name, member)
         if update.state is MemberState.SUSPECT:
-            self.counts[MemberEvent.SUSPECTED] += 1
+            self.event_counts[MemberEvent.SUSPECTED] += 1
             self._begin_suspicion(member, now_s)
         elif update.state is MemberState.ALIVE and not was_present:
-            member.heard = now_s
-            self.counts[MemberEvent.JOINED] += 1
-            self.ring.insert(update.name)
+            member.last_heard_s = now_s
+            self.event_counts[MemberEvent.JOINED] += 1
+            self.probe_ring.insert(update.name)
         elif was_present and not member.is_present:
             died = update.state is MemberState.DEAD
-            self.counts[MemberEvent.DIED if died else MemberEvent.LEFT] += 1
-        self.updated(update)
+            self.event_counts[MemberEvent.DIED if died else MemberEvent.LEFT] += 1
+        self.on_update(update)
         return True
 
     def _add(self, update: MemberUpdate, now_s: float) -> bool:
         """Take a member that was unknown."""
         if len(self.others) >= MAX_MEMBERS:
-            self.over_bound += 1
+            self.over_limit += 1
             return False
         member = self.others[update.name] = Member(update, now_s, now_s)
         self._index(update.name, member)
         if update.state is MemberState.SUSPECT:
             self._begin_suspicion(member, now_s)
         if member.is_present:
-            self.counts[MemberEvent.JOINED] += 1
-            self.ring.insert(update.name)
-        self.updated(update)
+            self.event_counts[MemberEvent.JOINED] += 1
+            self.probe_ring.insert(update.name)
+        self.on_update(update)
         return True
 
     def _index(self, name: str, member: Member) -> None:
@@ -148,10 +150,10 @@
     def _begin_suspicion(self, member: Member, now_s: float) -> None:
         """Begin the timeout; a few members, at random, probe the suspected one next."""
         member.suspecters |= {member.update.suspected_by}
-        member.dead_at = now_s + self._timeout_s(0)
+        member.dead_at_s = now_s + self._timeout_s(0)
         by_another = member.update.suspected_by != self.me.name
         if by_another and self._rng.random() * self.size < RECHECKERS:
-            self.ring.probe_next(member.update.name)
+            self.probe_ring.probe_next(member.update.name)
 
     @staticmethod
     def _is_confirmation(member: Member, update: MemberUpdate) -> bool:
@@ -167,8 +169,8 @@
             return False
         member.suspecters |= {by}
         timeout_s = self._timeout_s(len(member.suspecters) - 1)
-        member.dead_at = min(member.dead_at, member.since + timeout_s)
-        self.updated(update)
+        member.dead_at_s = min(member.dead_at_s, member.state_changed_at_s + timeout_s)
+        self.on_update(update)
         return True
 
     def _timeout_s(self, confirmations: int) -> float:
@@ -186,7 +188,7 @@
             return False
         if self.me.state is MemberState.LEFT:
             return False
-        self.counts[MemberEvent.REFUTED] += 1
+        self.event_counts[MemberEvent.REFUTED] += 1
         self.health.worsen(1)
         self.refute(update.refutation + 1)
         return True
@@ -203,8 +205,8 @@
         incarnation = update.incarnation[0] + 1, self.me.incarnation[1]
         self.me = self._claim(MemberState.ALIVE, incarnation, 0)
         self.superseded = False
-        self.began(incarnation)
-        self.updated(self.me)
+        self.on_new_incarnation(incarnation)
+        self.on_update(self.me)
         return True
 
     def _claim(self, state: MemberState, incarnation: Incarnation, refutation: int) -> MemberUpdate:
@@ -213,13 +215,13 @@
     def refute(self, refutation: int) -> None:
         """Claim that this member is alive, above all that was claimed before."""
         self.me = self._claim(MemberState.ALIVE, self.me.incarnation, refutation)
-        self.updated(self.me)
-        self.refuted()
+        self.on_update(self.me)
+        self.on_refutation()
 
     def leave(self) -> None:
         """Claim that this member leaves."""
         self.me = self._claim(MemberState.LEFT, self.me.incarnation, self.me.refutation)
-        self.updated(self.me)
+        self.on_update(self.me)
 
     # The passing of time.
 
@@ -249,14 +251,14 @@
         """
         dead = []
         for name, member in self.suspected.items():
-            if member.dead_at > now_s:
+            if member.dead_at_s > now_s:
                 continue
             if member.rechecked or is_widely_suspected(len(member.suspecters), self.size):
                 dead.append(name)
             else:
                 member.rechecked = True
-                member.dead_at = now_s + RECHECK_S * self.health.suspicion_multiplier
-                self.ring.probe_next(name)
+                member.dead_at_s = now_s + RECHECK_S * self.health.suspicion_multiplier
+                self.probe_ring.probe_next(name)
         for name in dead:
             known = self.others[name].update
             self.merge(
@@ -270,11 +272,11 @@
         """Begin suspicions anew after this process stood still: what it missed says nothing of the others."""
         self.health.worsen(STALL_PENALTY)
         for member in self.suspected.values():
-            member.since = now_s
-            member.dead_at = now_s + self._timeout_s(len(member.suspecters) - 1)
+            member.state_changed_at_s = now_s
+            member.dead_at_s = now_s + self._timeout_s(len(member.suspecters) - 1)
 
     def forget(self, now_s: float) -> None:
         """Forget members that are dead, or left, for `FORGET_S`."""
         for name, member in list(self.others.items()):
-            if not member.is_present and now_s - member.since > FORGET_S:
+            if not member.is_present and now_s - member.state_changed_at_s > DEAD_MEMBER_TTL_S:
                 del self.others[name]
--- a/switchline/fleet/membership/probing.py
+++ b/switchline/fleet/membership/probing.py
@@ -28,7 +28,7 @@
 
 
 class SendMessage(Protocol):
-    """Sends one datagram; `reach` is its address field, `first` gossip that goes before the queue's."""
+    """Sends one datagram; `address` is its address field, `first` gossip that goes before the queue's."""
 
     def __call__(
         self,
@@ -37,7 +37,7 @@
         *,
         seq: int = 0,
         target: str = "",
-        reach: Address = NO_ADDRESS,
+        address: Address = NO_ADDRESS,
         first: MemberUpdate | None = None,
     ) -> None:
         """Send to an address; the other arguments are fields of the datagram."""
@@ -135,7 +135,7 @@
         for helper in self._members.sampler.helpers(INDIRECT_PROBES, probe.name, now_s):
             probe.helpers += 1
             self._send(
-                helper.address, MessageKind.PING_REQ, seq=self.seq, target=probe.name, reach=member.address
+                helper.address, MessageKind.PING_REQ, seq=self.seq, target=probe.name, address=member.address
             )
 
     def _fail(self, probe: Probe, now_s: float) -> None:
@@ -152,7 +152,7 @@
         self.probe_at = now_s + PROBE_INTERVAL_S * multiplier * jitter
         if self._members.superseded:
             return
-        member = self._members.ring.next()
+        member = self._members.probe_ring.next()
         if member is None:
             return
         self.seq += 1
@@ -162,7 +162,7 @@
         self._ping(member.address, self.seq, member.update.name, first)
 
     def _ping(self, to: Address, seq: int, target: str, first: MemberUpdate | None = None) -> None:
-        self._send(to, MessageKind.PING, seq=seq, target=target, reach=self._address, first=first)
+        self._send(to, MessageKind.PING, seq=seq, target=target, address=self._address, first=first)
 
     # Messages that came.
 
--- a/switchline/fleet/membership/sampling.py
+++ b/switchline/fleet/membership/sampling.py
@@ -67,7 +67,7 @@
         lately = [
             member
             for name, member in self._present.items()
-            if name != target and now_s - member.heard <= HEARD_LATELY_S
+            if name != target and now_s - member.last_heard_s <= HEARD_LATELY_S
         ]
         chosen = self._rng.sample(lately, min(number, len(lately)))
         excluded = [target, *(member.update.name for member in chosen)]
--- a/switchline/fleet/membership/suspicion.py
+++ b/switchline/fleet/membership/suspicion.py
@@ -19,7 +19,9 @@
 LOG_SIZE_SCALE = 2.0  # timeouts grow by log10(members) over this, from 100 members on
 RECHECK_S = 1.0  # for one more probe of a member that few suspect
 RECHECKERS = 6.0  # members, at random, that probe a suspected one at once
-FORGET_S = 600.0  # the dead are known so long, so that a minority knows itself and old gossip raises nobody
+# Dead members, and those that left, are remembered for so long that a minority knows that it is one, and that
+# old gossip does not bring a dead member back.
+DEAD_MEMBER_TTL_S = 600.0
 MAX_HEALTH_SCORE = 8
 MAX_SCORE_OF_DOUBT = 2  # of the score as far as it lengthens suspicions
 STALL_PENALTY = 3  # to the score of a process that stood still
@@ -75,11 +77,11 @@
     return suspecters > min(MAX_CONFIRMATIONS, members - 2)
 
 
-def is_minority(present: int, not_left: int) -> bool:
+def is_minority(present: int, size_with_dead: int) -> bool:
     """Return whether half or more of the fleet is lost to this member; it then takes part in no decision.
 
     Args:
         present: Members that are alive or suspected, this one too.
-        not_left: Members that did not leave, this one too; the dead are among them.
+        size_with_dead: Members that did not leave, this one too; the dead are among them.
     """
-    return present * 2 <= not_left
+    return present * 2 <= size_with_dead
--- a/switchline/fleet/messages.py
+++ b/switchline/fleet/messages.py
@@ -92,7 +92,7 @@
         origin: The gateway that wrote it.
         incarnation: The origin's, as it wrote it.
         version: Rises with each entry of an incarnation, or with each version of a decision.
-        at: When it became so, in milliseconds of the origin's wall clock.
+        at_ms: When it became so, in milliseconds of the origin's wall clock.
         value: The value; None where the fact is withdrawn.
     """
 
@@ -101,7 +101,7 @@
     origin: Name
     incarnation: Incarnation
     version: Count
-    at: WallTimeMs
+    at_ms: WallTimeMs
     value: Annotated[str, msgspec.Meta(max_length=MAX_VALUE_CHARS)] | None
 
 
@@ -168,14 +168,14 @@
     Attributes:
         key: The customer's key.
         plan: The customer's plan.
-        even: The even share of one gateway, as a ratio of the quota.
-        left: Units that all gateways have left together.
+        even_share: The even share of one gateway, as a ratio of the quota.
+        remaining_units: Units that all gateways have left together.
     """
 
     key: Annotated[str, msgspec.Meta(max_length=MAX_CUSTOMER_KEY_CHARS)]
     plan: Name
-    even: Annotated[float, msgspec.Meta(gt=0, le=1)]
-    left: Annotated[float, msgspec.Meta(ge=0, le=1e9)]
+    even_share: Annotated[float, msgspec.Meta(gt=0, le=1)]
+    remaining_units: Annotated[float, msgspec.Meta(ge=0, le=1e9)]
 
 
 class Exchange(msgspec.Struct, array_like=True, frozen=True):
@@ -189,9 +189,9 @@
         updates: All members that the sender knows.
         entries: All facts that the sender knows.
         wants: Bits of `Wanted`: what the sender asks for.
-        seq: The number of the sender's endpoint list; -1 where it has none.
-        listed: Of an answer: the endpoint list, if it was wanted and is newer.
-        spent: Of an answer: the quotas, if they were wanted and are known.
+        list_seq: The number of the sender's endpoint list; -1 where it has none.
+        endpoint_list: Of an answer: the endpoint list, if it was wanted and is newer.
+        remaining_quotas: Of an answer: the quotas, if they were wanted and are known.
         timestamp: The sender's last of its hybrid logical clock.
     """
 
@@ -202,7 +202,7 @@
     updates: list[MemberUpdate]
     entries: list[Entry]
     wants: Count = 0
-    seq: Annotated[int, msgspec.Meta(ge=-1, le=2**63 - 1)] = -1
-    listed: EndpointList | None = None
-    spent: Annotated[list[RemainingQuota], msgspec.Meta(max_length=MAX_QUOTAS)] | None = None
+    list_seq: Annotated[int, msgspec.Meta(ge=-1, le=2**63 - 1)] = -1
+    endpoint_list: EndpointList | None = None
+    remaining_quotas: Annotated[list[RemainingQuota], msgspec.Meta(max_length=MAX_QUOTAS)] | None = None
     timestamp: HybridTimestamp = (0, 0)
--- a/switchline/fleet/versions/quarantine.py
+++ b/switchline/fleet/versions/quarantine.py
@@ -111,13 +111,13 @@
         self._grants.update(endpoint, now_s, wall_ms, view, stale is not None)
         self._note_staleness(stale is not None, now_s)
         wants = self._wants(facts, members, now_s, view.spared)
-        granted = wants and 2 * grants_for(facts, members) > members.not_left
+        granted = wants and 2 * grants_for(facts, members) > members.size_with_dead
         if self.out and wants and not granted:
             self._end("the others don't grant it any more")
         elif granted and not self.out:
             self._begin(now_s)
         state = QuarantineState.QUARANTINED if self.out else QuarantineState.WANTED
-        facts.offer(wall_ms, FactKind.QUARANTINE, "", state if wants else None)
+        facts.publish_if_allowed(wall_ms, FactKind.QUARANTINE, "", state if wants else None)
         return self.out
 
     def _note_staleness(self, is_stale: bool, now_s: float) -> None:
@@ -211,11 +211,11 @@
             if stored.entry.value in (QuarantineState.WANTED, QuarantineState.QUARANTINED)
         }
         for name in sorted((wanted & members.present.keys()) - granted):
-            if len(granted) >= grants_of_each(members.not_left):
+            if len(granted) >= grants_of_each(members.size_with_dead):
                 return
             if name not in view.spared and self._is_stale(facts, name, view):
                 incarnation = members.present[name].update.incarnation
-                facts.offer(wall_ms, FactKind.QUARANTINE_GRANT, name, grant_value(incarnation))
+                facts.publish_if_allowed(wall_ms, FactKind.QUARANTINE_GRANT, name, grant_value(incarnation))
                 granted.add(name)
 
     @staticmethod
@@ -245,6 +245,6 @@
                 wants = facts.value(FactKind.QUARANTINE, "", name) is not None
                 is_needed = is_current and (wants or not member.is_present)
             if not is_needed:
-                facts.offer(wall_ms, FactKind.QUARANTINE_GRANT, name, None)
+                facts.publish_if_allowed(wall_ms, FactKind.QUARANTINE_GRANT, name, None)
                 granted.discard(name)
         return granted
--- a/switchline/fleet_runtime/exchange.py
+++ b/switchline/fleet_runtime/exchange.py
@@ -74,7 +74,7 @@
             if self.node.receive_exchange(self.loop.time(), now_ms(), frame, True):
                 self.on_merged()
         except (OSError, ValueError, EOFError, ExchangeError):
-            self.node.refuse("exchange")
+            self.node.count_refused("exchange")
         finally:
             self._outgoing -= 1
             if writer is not None:
@@ -93,7 +93,7 @@
                     await writer.drain()
                     self.on_merged()
         except (OSError, ValueError, EOFError, ExchangeError):
-            self.node.refuse("exchange")
+            self.node.count_refused("exchange")
         finally:
             self._incoming -= 1
             writer.close()
--- a/switchline/fleet_runtime/list_repair.py
+++ b/switchline/fleet_runtime/list_repair.py
@@ -48,70 +48,70 @@
         self.discovery = discovery
         self.state = state
         self.rng = rng
-        self.is_behind = False
+        self.is_stale = False
         self.lists: dict[str, EndpointList] = {}  # by their gateways
-        self.repaired_to = -1  # the number of the newest list that two others have reached
+        self.repaired_seq = -1  # the number of the newest list that two others have reached
         self.hosts = 0  # changed by others' lists
         self.record: RecordVersion = record_nothing
         self._stale = StaleListWatch()
         self._applied: set[tuple[str, str]] = set()  # hosts and their health, by others' lists
         self._next_request_s = 0.0
 
-    def own_number(self) -> int:
+    def own_seq(self) -> int:
         """The number of the own agent's list; -1 where there is none."""
         return seq_or_no_list(self.discovery.version)
 
     def tick(self, node: ProtocolEndpoint) -> None:
         """Called now and then: compare the own list with the others', and ask for newer ones."""
         now_s = time.monotonic()
-        if self.own_number() >= self.repaired_to and self._applied:
+        if self.own_seq() >= self.repaired_seq and self._applied:
             self._applied.clear()  # the own agent is level
         numbers = {
             name: parse_list_number(node.facts.value(FactKind.LIST, "", name))
             for name in node.members.present
         }
-        is_behind = self._stale.is_stale(now_s, self.own_number(), numbers.values())
-        self._set_behind(is_behind and not node.members.minority, numbers, node)
-        if self.is_behind and now_s >= self._next_request_s:
+        is_stale = self._stale.is_stale(now_s, self.own_seq(), numbers.values())
+        self._set_behind(is_stale and not node.members.minority, numbers, node)
+        if self.is_stale and now_s >= self._next_request_s:
             self._request_lists(node, numbers, now_s)
 
-    def _set_behind(self, is_behind: bool, numbers: dict[str, int | None], node: ProtocolEndpoint) -> None:
-        own = self.own_number()
-        if is_behind and not self.is_behind:
+    def _set_behind(self, is_stale: bool, numbers: dict[str, int | None], node: ProtocolEndpoint) -> None:
+        own = self.own_seq()
+        if is_stale and not self.is_stale:
             newest = max((seq for seq in numbers.values() if seq is not None), default=-1)
             log.warning(log_events.LIST_BEHIND, own, newest)
             self.record("behind", "list", str(own), f"most have a newer one, up to {newest}")
-        if self.is_behind and not is_behind:
+        if self.is_stale and not is_stale:
             log.info(log_events.LIST_LEVEL, own)
             self.record("level", "list", str(own), "its agent tells as much as the others'")
             self.lists.clear()
             node.wants &= ~Wanted.LIST
-        self.is_behind = is_behind
+        self.is_stale = is_stale
 
     def _request_lists(self, node: ProtocolEndpoint, numbers: dict[str, int | None], now_s: float) -> None:
         """Ask some of the gateways that have a newer list for it."""
-        level = max(self.own_number(), self.repaired_to)
+        level = max(self.own_seq(), self.repaired_seq)
         newer = [name for name, seq in numbers.items() if seq is not None and seq > level]
         if newer:
             self._next_request_s = now_s + REQUEST_INTERVAL_S
             node.wants |= Wanted.LIST
-            node.list_seq = self.own_number()
+            node.list_seq = self.own_seq()
             some = self.rng.sample(sorted(newer), min(GATEWAYS_ASKED, len(newer)))
             node.exchange_with([node.members.present[name].address for name in some])
 
     def on_exchange(self, exchange: Exchange) -> None:
         """Another gateway sent its list; what two lists agree on is applied."""
         own = self.state.saved_hosts()
-        if not self.is_behind or exchange.listed is None or own is None:
+        if not self.is_stale or exchange.endpoint_list is None or own is None:
             return
-        if exchange.listed.seq <= self.own_number():
+        if exchange.endpoint_list.seq <= self.own_seq():
             return
-        self._store(exchange.sender, exchange.listed)
-        newer = [listed for listed in self.lists.values() if listed.seq > self.own_number()]
+        self._store(exchange.sender, exchange.endpoint_list)
+        newer = [listed for listed in self.lists.values() if listed.seq > self.own_seq()]
         found = agreed_changes(own, newer)
         changes = [host for host in found if _key(host) not in self._applied]
         if len(newer) > 1:
-            self.repaired_to = max(self.repaired_to, sorted(listed.seq for listed in newer)[-2])
+            self.repaired_seq = max(self.repaired_seq, sorted(listed.seq for listed in newer)[-2])
         if changes and not removes_all(own, found):
             self._apply(changes)
 
@@ -129,20 +129,20 @@
         self.hosts += len(changes)
         named = ", ".join(f"{host['host']} {host['health']}" for host in changes[:MAX_LOGGED_HOSTS])
         senders = ", ".join(sorted(self.lists))
-        log.warning(log_events.LIST_REPAIRED, self.repaired_to, senders, named)
-        self.record("brought up", "list", str(self.repaired_to), f"by {senders}: {named}")
+        log.warning(log_events.LIST_REPAIRED, self.repaired_seq, senders, named)
+        self.record("brought up", "list", str(self.repaired_seq), f"by {senders}: {named}")
         self.driver.apply_list(api.ListScope.CHANGES, found.members)
 
     def _read(self, changes: list[Host]) -> BackendList | None:
         try:
-            return read_list({"seq": self.repaired_to, "whole": False, "hosts": changes})
+            return read_list({"seq": self.repaired_seq, "whole": False, "hosts": changes})
         except DiscoveryError as error:
             log.warning(log_events.PEER_LIST_REJECTED, error)
             return None
 
     def gauges(self) -> dict[str, int]:
         """Whether the list here is behind, and how many hosts were changed by others' lists."""
-        return {"fleet.behind": int(self.is_behind), "fleet.brought_up": self.hosts}
+        return {"fleet.behind": int(self.is_stale), "fleet.brought_up": self.hosts}
 
 
 def _key(host: Host) -> tuple[str, str]:
--- a/switchline/fleet_runtime/membership.py
+++ b/switchline/fleet_runtime/membership.py
@@ -91,7 +91,7 @@
         if self.recovery is None:
             return
         if took_over:
-            self.recovery.settle()  # the older process still has this gateway's name in the fleet
+            self.recovery.skip()  # the older process still has this gateway's name in the fleet
             return
         await self.join()
         if self.member is not None:
@@ -124,8 +124,8 @@
             if not self.took_over():  # else the older process knows better, and has told the others
                 zones.recall(self.state.zone_decisions)
             zones.keep = self.state.save_zone_decision
-        node.fact_changed = self._on_fact
-        node.answered = self._on_exchange
+        node.on_fact = self._on_fact
+        node.on_answer = self._on_exchange
         transport.on_published = self._tick
         divergence = DivergenceWatch(self.parts, self.trail)
         quarantine = QuarantineControl(
@@ -145,7 +145,7 @@
         member.zones.close()
         member.quarantine.close()
 
-    def knows(self, name: str) -> bool:
+    def is_known_member(self, name: str) -> bool:
         """Whether a gateway of this name is, or was, a member."""
         if self.member is None:
             return False
@@ -169,7 +169,7 @@
         if member is not None:
             node = member.transport.node
             member.divergence.tick(node)
-            if self.list_repair is not None and (takes_clients or member.quarantine.is_out):
+            if self.list_repair is not None and (takes_clients or member.quarantine.is_quarantined):
                 self.list_repair.tick(node)
                 member.quarantine.tick(node, self.list_repair)
         self.trail.record("ready", "", "yes" if self.parts.clients.takes_clients else "no")
--- a/switchline/fleet_runtime/recovery/backend_list.py
+++ b/switchline/fleet_runtime/recovery/backend_list.py
@@ -23,7 +23,7 @@
 
 log = logging.getLogger(__name__)
 
-DOUBT_S = 30.0  # from the start
+DISCOVERY_DOUBT_S = 30.0  # from the start
 
 
 class ListRecovery:
@@ -34,7 +34,7 @@
         self.driver = driver
         self.discovery = discovery
         self.newest: EndpointList | None = None
-        self.doubt_until_s = began_s + DOUBT_S  # monotonic
+        self.doubt_until_s = began_s + DISCOVERY_DOUBT_S  # monotonic
         self.is_withheld = False
         self.hosts = 0  # changed by another gateway's list
         self.rejected = 0  # lists of other gateways that could not be read
--- a/switchline/fleet_runtime/recovery/coordinator.py
+++ b/switchline/fleet_runtime/recovery/coordinator.py
@@ -84,7 +84,7 @@
         """The transport is open, or another one is."""
         self._node = transport.node
         self._node.newer_list = self.backend_list.newer_than
-        self._node.known_quotas = self.spending.known_here
+        self._node.known_quotas = self.spending.known_quotas
 
     def facts(self) -> Iterator[PublishedFact]:
         """For a while after the start: how long this gateway was down."""
@@ -94,7 +94,7 @@
     def _started_lately(self) -> bool:
         return time.monotonic() < self.started_lately_until_s
 
-    def settle(self) -> None:
+    def skip(self) -> None:
         """Recover nothing: this process takes over from an older one, and only answers the others."""
         self.stages.skip()
         self.spending.can_answer = True
@@ -155,7 +155,7 @@
 
     def on_exchange(self, exchange: Exchange) -> None:
         """Another gateway sent its list, or spending, that was asked for."""
-        self.backend_list.offer(exchange.listed)
+        self.backend_list.offer(exchange.endpoint_list)
         self.spending.on_exchange(exchange)
 
     def tick(self) -> None:
--- a/switchline/fleet_runtime/recovery/overrides.py
+++ b/switchline/fleet_runtime/recovery/overrides.py
@@ -56,15 +56,15 @@
             is_set = held.entry.value == "down"
             is_due = at_start or self._arrived_late(held, now_s)
             is_adopted = is_due and (is_set or name in overrides.active)
-            if ((kind, name) in self.adopted or is_adopted) and held.entry.at > overrides.last_changed_ms(
+            if ((kind, name) in self.adopted or is_adopted) and held.entry.at_ms > overrides.last_changed_ms(
                 name
             ):
-                newer[name] = OverrideChange(is_set, held.entry.at)
+                newer[name] = OverrideChange(is_set, held.entry.at_ms)
         return newer
 
     def _arrived_late(self, held: StoredFact, now_s: float) -> bool:
         entry = held.entry
-        return entry.at <= entry.incarnation[0] and now_s < self._observed_until_s.get(entry.origin, 0.0)
+        return entry.at_ms <= entry.incarnation[0] and now_s < self._observed_until_s.get(entry.origin, 0.0)
 
     def _note_members(self, members: Members) -> None:
         """A member that is seen for the first time was not there to be queried at this gateway's start."""
--- a/switchline/fleet_runtime/recovery/spending.py
+++ b/switchline/fleet_runtime/recovery/spending.py
@@ -35,7 +35,7 @@
         self.customers = 0  # whose spending came from others
         self.can_answer = False  # not while this gateway asks itself
 
-    def known_here(self) -> list[RemainingQuota] | None:
+    def known_quotas(self) -> list[RemainingQuota] | None:
         """What is spent of quotas, for a gateway that asks; None while it is not known here."""
         if not self.can_answer:
             return None
@@ -73,9 +73,9 @@
 
     def on_exchange(self, exchange: Exchange) -> None:
         """An answer of a gateway that was asked; reports out of range are dropped by the policy."""
-        if exchange.spent is None or exchange.sender not in self.waiting_for:
+        if exchange.remaining_quotas is None or exchange.sender not in self.waiting_for:
             return
         self.waiting_for.discard(exchange.sender)
-        for one in exchange.spent:
-            self.driver.give(api.GatewayQuotaReport(one.key, one.plan, one.even, one.left))
-        self.customers += len(exchange.spent)
+        for one in exchange.remaining_quotas:
+            self.driver.give(api.GatewayQuotaReport(one.key, one.plan, one.even_share, one.remaining_units))
+        self.customers += len(exchange.remaining_quotas)
--- a/switchline/fleet_runtime/recovery/stages.py
+++ b/switchline/fleet_runtime/recovery/stages.py
@@ -51,7 +51,7 @@
 
     def __init__(self, began_s: float) -> None:
         self.stage = Stage.QUERYING
-        self.since_s = began_s  # monotonic
+        self.entered_at_s = began_s  # monotonic
         self.record: RecordVersion = record_nothing
 
     def enter(self, stage: Stage, why: str) -> None:
@@ -59,7 +59,7 @@
         if stage not in TRANSITIONS[self.stage]:
             raise StageError(f"{stage.name} can't follow {self.stage.name}")
         self.stage = stage
-        self.since_s = time.monotonic()
+        self.entered_at_s = time.monotonic()
         log.info(log_events.STAGE_ENTERED, stage.label, why)
         self.record("stage", "", stage.label, why)
 
@@ -69,4 +69,4 @@
 
     def elapsed_s(self) -> float:
         """Since the last change."""
-        return time.monotonic() - self.since_s
+        return time.monotonic() - self.entered_at_s
--- a/switchline/fleet_runtime/status.py
+++ b/switchline/fleet_runtime/status.py
@@ -20,8 +20,8 @@
         "fleet.facts": len(node.facts.table),
         "fleet.minority": int(members.minority),
         "fleet.quiet": int(members.superseded),
-        "fleet.sent": node.outbox.sent,
-        "fleet.received": node.received,
+        "fleet.sent": node.outbox.sent_datagrams,
+        "fleet.received": node.received_datagrams,
         "fleet.dropped": sum(node.refused.values()),
     }
 
@@ -37,7 +37,7 @@
         "minority": members.minority,
         "quiet": members.superseded,
         "health": members.health.score,
-        "counts": dict(members.counts),
+        "counts": dict(members.event_counts),
         "members": _describe_members(node, now_s),
         "facts": facts,
         "dropped": dict(node.refused),
@@ -54,8 +54,8 @@
             "state": member.state.name.lower(),
             "life": list(member.update.incarnation),
             "address": "{}:{}".format(*member.address),
-            "heard_s": round(now_s - member.heard, 2),
-            "since_s": round(now_s - member.since, 2),
+            "heard_s": round(now_s - member.last_heard_s, 2),
+            "since_s": round(now_s - member.state_changed_at_s, 2),
         }
     for (_, origin), stored in node.facts.of_kind(FactKind.ZONE).items():
         if origin in described and stored.entry.value is not None:
@@ -69,5 +69,5 @@
         "name": entry.name,
         "origin": entry.origin,
         "value": entry.value,
-        "age_s": round((wall_ms - entry.at) / 1000, 2),
+        "age_s": round((wall_ms - entry.at_ms) / 1000, 2),
     }
--- a/switchline/fleet_runtime/transport.py
+++ b/switchline/fleet_runtime/transport.py
@@ -158,7 +158,7 @@
         now_s = self.loop.time()
         host = str(addr[0])
         if self._invalid.is_exceeded(host, now_s):
-            self.node.refuse("flood")
+            self.node.count_refused("flood")
         elif self.node.receive_datagram(now_s, now_ms(), data):
             self._after_merge()
         else:
@@ -166,7 +166,7 @@
 
     def error_received(self, exc: Exception) -> None:
         """The system could not send a frame: as if it were lost on its way."""
-        self.node.refuse("unsent")
+        self.node.count_refused("unsent")
 
     def _after_merge(self) -> None:
         """What has been merged into the node may have to be passed on, and may move what is due."""
@@ -195,7 +195,7 @@
 
     def _set_timer(self) -> None:
         now_s = self.loop.time()
-        due_s = min(self.node.due(now_s), self._publish_at_s)
+        due_s = min(self.node.next_tick_at_s(now_s), self._publish_at_s)
         if self._timer is not None:
             if now_s < self._timer_due_s <= due_s:
                 return
--- a/switchline/fleet_runtime/version_watch.py
+++ b/switchline/fleet_runtime/version_watch.py
@@ -57,19 +57,19 @@
         trail: AuditTrail,
         overrides: OverrideSet,
         intake: ClientIntake,
-        patience_s: float,
+        quarantine_after_s: float,
     ) -> None:
         """`patience_s`: behind for so long before it asks for quarantine; 0: never."""
         self.parts = parts
         self.trail = trail
         self.overrides = overrides
         self.intake = intake
-        self.patience_s = patience_s
+        self.quarantine_after_s = quarantine_after_s
         self.quarantine: Quarantine | None = None  # from the first look on
-        self.behind_kind = ""  # which version is behind; "" for none
+        self.stale_kind = ""  # which version is behind; "" for none
 
     @property
-    def is_out(self) -> bool:
+    def is_quarantined(self) -> bool:
         """Whether this gateway is in quarantine."""
         return self.quarantine is not None and self.quarantine.out
 
@@ -77,34 +77,34 @@
         """Enter or leave quarantine, as the versions and the grants of the others are now."""
         now_s = self.parts.loop.time()
         if self.quarantine is None:
-            self.quarantine = Quarantine(self.patience_s, now_s)
+            self.quarantine = Quarantine(self.quarantine_after_s, now_s)
         quarantine = self.quarantine
         was_out = quarantine.out
         view = StalenessView(
-            list_repair.own_number(),
-            list_repair.is_behind,
+            list_repair.own_seq(),
+            list_repair.is_stale,
             self.overrides.names(OverrideKind.SPARED_GATEWAY),
             parse_floors(self.overrides.names(OverrideKind.VERSION_FLOOR)),
         )
-        is_out = quarantine.evaluate(node, now_s, now_ms(), view)
+        is_quarantined = quarantine.evaluate(node, now_s, now_ms(), view)
         self._set_behind(quarantine.kind)
-        if is_out == was_out or self.parts.clients.shutting_down:
+        if is_quarantined == was_out or self.parts.clients.shutting_down:
             return
-        event = log_events.QUARANTINE_ENTERED if is_out else log_events.QUARANTINE_LEFT
+        event = log_events.QUARANTINE_ENTERED if is_quarantined else log_events.QUARANTINE_LEFT
         log.warning(event, quarantine.why)
-        self.trail.record("shut out" if is_out else "taken back", quarantine.kind, "", quarantine.why)
-        if is_out:
+        self.trail.record("shut out" if is_quarantined else "taken back", quarantine.kind, "", quarantine.why)
+        if is_quarantined:
             self.intake.begin_quarantine()
         else:
             self.intake.end_quarantine()
 
     def _set_behind(self, kind: str) -> None:
         """While a version is behind, quotas are divided by the even share and not by leases."""
-        if kind == self.behind_kind:
+        if kind == self.stale_kind:
             return
-        if bool(kind) != bool(self.behind_kind):
+        if bool(kind) != bool(self.stale_kind):
             self.parts.driver.give(api.StalenessChanged(bool(kind)))
-        self.behind_kind = kind
+        self.stale_kind = kind
         if kind:
             self.trail.record("quota", "", "even share", f"its {kind} is behind")
         else:
--- a/switchline/operators/fleet_calls.py
+++ b/switchline/operators/fleet_calls.py
@@ -150,14 +150,14 @@
     def _follow(self, entry: Entry) -> None:
         overrides = self.overrides[entry.kind]
         active = entry.value == VALUE_ACTIVE
-        is_newer = entry.at > overrides.last_changed_ms(entry.name)
+        is_newer = entry.at_ms > overrides.last_changed_ms(entry.name)
         if is_newer and (active or entry.name in overrides.active):
             log.info("%s is %s by a call for the fleet at %s", entry.name, entry.value, entry.origin)
             try:
-                overrides.merge({entry.name: OverrideChange(active, entry.at)})
+                overrides.merge({entry.name: OverrideChange(active, entry.at_ms)})
             except OSError as error:
                 log.warning("a call for the fleet can't be stored: error=%s", error)  # it holds all the same
-        self._acknowledge(CallKey(entry.kind, entry.name), entry.at)
+        self._acknowledge(CallKey(entry.kind, entry.name), entry.at_ms)
 
     def _acknowledge(self, key: CallKey, called_at_ms: float) -> None:
         self.acknowledged.pop(key, None)
--- a/switchline/service/optional_fleet.py
+++ b/switchline/service/optional_fleet.py
@@ -57,7 +57,7 @@
 
     def knows(self, name: str) -> bool:
         """Whether a gateway of this name is, or was, a member."""
-        return self.membership is not None and self.membership.knows(name)
+        return self.membership is not None and self.membership.is_known_member(name)
 
     def gauges(self) -> dict[str, int]:
         """Metrics of the fleet; none without one."""
--- a/switchline/zones/agreement.py
+++ b/switchline/zones/agreement.py
@@ -153,7 +153,7 @@
         """Forget zones that the endpoint list names no more."""
         for zone in sorted(self.progress.keys() - evaluation.observations.keys()):
             del self.progress[zone]
-            evaluation.facts.offer(evaluation.wall_ms, FactKind.ZONE_FOLLOWED, zone, None)
+            evaluation.facts.publish_if_allowed(evaluation.wall_ms, FactKind.ZONE_FOLLOWED, zone, None)
 
     def _track(self, facts: Facts, zone: str, now_s: float) -> ZoneProgress:
         """Return what is kept of a zone, brought up to the decision that holds."""
@@ -287,7 +287,10 @@
         value = encode_decision(decision)
         if value is None:
             return
-        if evaluation.facts.decide(evaluation.wall_ms, FactKind.ZONE_DECISION, name, value) is not None:
+        if (
+            evaluation.facts.publish_decision(evaluation.wall_ms, FactKind.ZONE_DECISION, name, value)
+            is not None
+        ):
             evaluation.endpoint.gossip_now()
             self.progress[zone].write_at_s = None
 
@@ -310,7 +313,7 @@
         age_s = evaluation.now_s - progress.version_at_s
         is_followed = decision.state != ZoneState.UP or age_s < FOLLOWED_PUBLISHED_S
         followed = f"{progress.version} {decision.state}" if is_followed else None
-        facts.offer(evaluation.wall_ms, FactKind.ZONE_FOLLOWED, zone, followed)
+        facts.publish_if_allowed(evaluation.wall_ms, FactKind.ZONE_FOLLOWED, zone, followed)
         match decision.state:
             case ZoneState.UP:
                 progress.answers.steady_since_s = None
--- a/switchline/zones/decision.py
+++ b/switchline/zones/decision.py
@@ -113,7 +113,7 @@
 
 def to_row(entry: Entry) -> Row:
     """Return a decision as the value of its row."""
-    return [entry.origin, *entry.incarnation, entry.version, entry.at, entry.value]
+    return [entry.origin, *entry.incarnation, entry.version, entry.at_ms, entry.value]
 
 
 def from_row(name: str, row: Row) -> Entry | None:
--- a/switchline/zones/publisher.py
+++ b/switchline/zones/publisher.py
@@ -197,7 +197,9 @@
             due = evaluation.now_s - before.at_s >= (LOSS_PUBLISH_GAP_S if urgent else gap_s)
             if report != before.report and due:
                 self._published[zone] = Publication(evaluation.now_s, report)
-                evaluation.facts.offer(evaluation.wall_ms, FactKind.ZONE_REPORT, zone, encode_report(report))
+                evaluation.facts.publish_if_allowed(
+                    evaluation.wall_ms, FactKind.ZONE_REPORT, zone, encode_report(report)
+                )
                 first_loss |= bool(report.lost and not before.report.lost)
         return first_loss
 
@@ -205,12 +207,12 @@
         for zone in list(self._published):
             if zone not in self.questions:
                 del self._published[zone]
-                evaluation.facts.offer(evaluation.wall_ms, FactKind.ZONE_REPORT, zone, None)
+                evaluation.facts.publish_if_allowed(evaluation.wall_ms, FactKind.ZONE_REPORT, zone, None)
 
     def publish_load(self, evaluation: Evaluation, load_per_s: float) -> None:
         """Publish this gateway's load while any zone is in question, as a ramp may be reckoned from it."""
         value = encode_load(load_per_s) if self.questions else None
-        evaluation.facts.offer(evaluation.wall_ms, FactKind.LOAD, "", value)
+        evaluation.facts.publish_if_allowed(evaluation.wall_ms, FactKind.LOAD, "", value)
 
     def _refutes(
         self, evaluation: Evaluation, report: PublishedReport, reports: Iterable[ReceivedReport]
--- a/testbed/network/fleet_link.py
+++ b/testbed/network/fleet_link.py
@@ -103,7 +103,7 @@
                 node.tick(self.now, self.wall(to))
             else:
                 node.receive_datagram(self.now, self.wall(to), frame)
-            due = max(node.due(self.now), self.now + 0.005)
+            due = max(node.next_tick_at_s(self.now), self.now + 0.005)
             if frame is None or due < self.due.get(to, 0.0) - 0.001:
                 self.due[to] = due
                 self.push(due, to, None, to)
@@ -162,7 +162,7 @@
                 self.known_dead += 1
             queue_update(update)
 
-        node.members.updated = updated
+        node.members.on_update = updated
 
     def count_facts(self, kind: str) -> None:
         """Count each node that comes to know a fact of a kind."""
@@ -171,7 +171,7 @@
             self.counts["facts"] += entry.kind == kind
 
         for node in self.nodes.values():
-            node.fact_changed = count
+            node.on_fact = count
 
     def sees(self, node: ProtocolEndpoint, name: str) -> MemberState | None:
         """Return the state of a member as an endpoint knows it."""
--- a/tests/fleet/test_fleet_protocol.py
+++ b/tests/fleet/test_fleet_protocol.py
@@ -20,13 +20,13 @@
 from switchline.fleet.facts import (
     MAX_CLOCK_SKEW_MS,
     MAX_ENTRIES_OF_ORIGIN,
-    WITHDRAWN_LASTS_MS,
+    WITHDRAWAL_TTL_MS,
     FactLimitError,
     Facts,
 )
 from switchline.fleet.frames import PROTOCOL_VERSION, FrameCodec, FrameRefusedError, ReplayWindow
 from switchline.fleet.membership.members import Members
-from switchline.fleet.membership.suspicion import FORGET_S
+from switchline.fleet.membership.suspicion import DEAD_MEMBER_TTL_S
 from switchline.fleet.messages import (
     MAX_DATAGRAM_BYTES,
     Datagram,
@@ -67,13 +67,13 @@
         assert error.value.reason == reason
     body = msgspec.msgpack.encode([1, 2, "not a message"])
     with pytest.raises(FrameRefusedError) as error:
-        SEAL.decode_datagram(SEAL.prefix + SEAL.checksum(body) + body)
+        SEAL.decode_datagram(SEAL.prefix + SEAL.mac(body) + body)
     assert error.value.reason == "garbage"
 
 
 def test_a_newer_message_is_read_as_far_as_it_is_known() -> None:
     body = msgspec.msgpack.encode([*msgspec.to_builtins(ping()), "a field of later", {"more": 1}])
-    assert SEAL.decode_datagram(SEAL.prefix + SEAL.checksum(body) + body) == ping()
+    assert SEAL.decode_datagram(SEAL.prefix + SEAL.mac(body) + body) == ping()
 
 
 def test_numbers_are_accepted_once_in_any_order_and_an_older_incarnation_never() -> None:
@@ -100,7 +100,7 @@
         assert node.receive_datagram(1.0, WALL_MS, bytes(frame)) is not changed
     assert not node.receive_datagram(1.0, WALL_MS, noise)
     assert not node.receive_exchange(1.0, WALL_MS, noise, False)
-    sealed = SEAL.prefix + SEAL.checksum(noise) + noise
+    sealed = SEAL.prefix + SEAL.mac(noise) + noise
     node.receive_datagram(1.0, WALL_MS, sealed)
     node.receive_exchange(1.0, WALL_MS, sealed, True)
     assert set(node.members.others) <= {"g1", "g2"}
@@ -116,7 +116,7 @@
     origin=st.sampled_from(["g0", "g1", "g2"]),
     incarnation=st.tuples(st.integers(1, 2), st.integers(0, 1)),
     version=st.integers(1, 3),
-    at=st.sampled_from([WALL_MS, WALL_MS - 5, WALL_MS + 10 * MAX_CLOCK_SKEW_MS]),
+    at_ms=st.sampled_from([WALL_MS, WALL_MS - 5, WALL_MS + 10 * MAX_CLOCK_SKEW_MS]),
     value=st.sampled_from([None, "down", "up"]),
 )
 
@@ -143,7 +143,7 @@
 def overrides(facts: Facts) -> dict[str, tuple[str | None, float]]:
     """The overrides of backends that are known."""
     return {
-        name: (stored.entry.value, stored.entry.at)
+        name: (stored.entry.value, stored.entry.at_ms)
         for (name, _), stored in facts.of_kind(FactKind.OVERRIDE_BACKEND).items()
     }
 
@@ -155,13 +155,13 @@
     call = Entry(FactKind.OVERRIDE_BACKEND, "b1", "g1", (9, 9), 1, WALL_MS + MAX_CLOCK_SKEW_MS + 1, "up")
     assert not facts.merge(WALL_MS, call) and facts.refused["clock"] == 1
     assert overrides(facts) == {"b1": ("down", WALL_MS)}
-    assert facts.merge(WALL_MS, msgspec.structs.replace(call, at=WALL_MS + 1))
+    assert facts.merge(WALL_MS, msgspec.structs.replace(call, at_ms=WALL_MS + 1))
     assert not facts.publish(
         WALL_MS, FactKind.OVERRIDE_BACKEND, "b1", "down"
     )  # an older call than the one that holds
     assert overrides(facts) == {"b1": ("up", WALL_MS + 1)}
     assert facts.publish(WALL_MS, "ready", "", "yes") and facts.publish(WALL_MS, "ready", "", None)
-    later = WALL_MS + WITHDRAWN_LASTS_MS + 1
+    later = WALL_MS + WITHDRAWAL_TTL_MS + 1
     facts.expire(2, later, lambda name: INCARNATION)
     assert facts.value("ready", "", "g0") is None and ("ready", "", "g0") not in facts.table
     old = Entry("ready", "", "g1", INCARNATION, 1, WALL_MS, None)
@@ -183,11 +183,11 @@
     assert facts.refused["full"] == 9
     incarnations = {"g1": INCARNATION}
     facts.expire(10, WALL_MS, incarnations.get)
-    assert facts.count_of_origin["g1"] == MAX_ENTRIES_OF_ORIGIN
+    assert facts.count_by_origin["g1"] == MAX_ENTRIES_OF_ORIGIN
     incarnations["g1"] = (6, 1)  # a later one: the facts of the earlier end
     facts.expire(20, WALL_MS, incarnations.get)
     facts.expire(100, WALL_MS, incarnations.get)
-    assert "g1" not in facts.count_of_origin and facts.count_of_origin["g0"] == MAX_ENTRIES_OF_ORIGIN
+    assert "g1" not in facts.count_by_origin and facts.count_by_origin["g0"] == MAX_ENTRIES_OF_ORIGIN
 
 
 # ---- members ----
@@ -281,7 +281,7 @@
     net.carry(address_of(8), leaver)
     net.remove(8)
     assert net.run(10, lambda: net.all_see("g8", {MemberState.LEFT}))
-    net.run(FORGET_S + 30)
+    net.run(DEAD_MEMBER_TTL_S + 30)
     assert not any("g7" in node.members.others for node in net.nodes.values())
 
 
@@ -297,10 +297,10 @@
 def test_one_that_stood_still_kills_nobody_and_is_seen_again() -> None:
     net = fleet(12, 3)
     for for_s in (1.0, 5.0, 20.0):
-        died = net.nodes[address_of(4)].members.counts["died"]
+        died = net.nodes[address_of(4)].members.event_counts["died"]
         net.stop(4, for_s)
         net.run(for_s + 0.5)
-        assert net.nodes[address_of(4)].members.counts["died"] == died
+        assert net.nodes[address_of(4)].members.event_counts["died"] == died
         assert net.run(40, net.whole)
 
 
@@ -367,14 +367,14 @@
     node.wants, node.list_seq = Wanted.LIST, 41
     net.run(5.0)
     assert (
-        SEAL.decode_exchange(node.exchange_frame(False)).seq == 41 and node.prober.seq > 5
+        SEAL.decode_exchange(node.exchange_frame(False)).list_seq == 41 and node.prober.seq > 5
     )  # of pings: it never goes back
 
 
 def test_a_fact_over_the_bound_of_its_gateway_is_left_out_where_it_is_only_offered() -> None:
     facts = Facts("g0", INCARNATION)
     for number in range(MAX_ENTRIES_OF_ORIGIN + 3):
-        facts.offer(WALL_MS, "zone-met", str(number), "1")
+        facts.publish_if_allowed(WALL_MS, "zone-met", str(number), "1")
     assert len(facts.table) == MAX_ENTRIES_OF_ORIGIN and facts.refused["own"] == 3
 
 
--- a/tests/fleet/test_outage.py
+++ b/tests/fleet/test_outage.py
@@ -19,7 +19,7 @@
 from switchline.fleet.outage import OLD_DISK_S, decode_downtime, judge_outage
 from switchline.fleet.versions.staleness import binding_changes
 from switchline.fleet_runtime.recovery import spending
-from switchline.fleet_runtime.recovery.backend_list import DOUBT_S
+from switchline.fleet_runtime.recovery.backend_list import DISCOVERY_DOUBT_S
 from switchline.fleet_runtime.recovery.coordinator import FleetRecovery
 from switchline.fleet_runtime.recovery.stages import Stage
 from switchline.policy import Gateway, gateway_status
@@ -117,7 +117,7 @@
     net: Net = fleet(3, 1)
     asker, other = list(net.nodes.values())[:2]
     told: list[Exchange] = []
-    asker.answered = told.append
+    asker.on_answer = told.append
     row = ListedHost("h1", "127.0.0.1:80", "a", 0, "up", 5.0)
     other.newer_list = lambda seq: EndpointList(7, [row]) if seq < 7 else None
     other.known_quotas = lambda: [RemainingQuota("c1", "bas", 0.5, 3.0)]
@@ -132,9 +132,12 @@
     exchange(Wanted.LIST, 7)
     assert not told  # it has that one
     exchange(Wanted.LIST, 6)
-    assert told[-1].listed == EndpointList(7, [row]) and told[-1].spent is None
+    assert told[-1].endpoint_list == EndpointList(7, [row]) and told[-1].remaining_quotas is None
     exchange(Wanted.QUOTAS, 7)
-    assert told[-1].spent == [RemainingQuota("c1", "bas", 0.5, 3.0)] and told[-1].listed is None
+    assert (
+        told[-1].remaining_quotas == [RemainingQuota("c1", "bas", 0.5, 3.0)]
+        and told[-1].endpoint_list is None
+    )
     other.known_quotas = lambda: None  # it asks itself, and does not know yet
     exchange(Wanted.QUOTAS, 7)
     assert len(told) == 2
@@ -192,7 +195,7 @@
     assert (host["host"], host["health"], host["dial"]) == ("h2", "draining", "127.0.0.1:1")
     for holds in (older | {"seq": 7}, {"seq": 2, "whole": False, "hosts": []}):
         assert kept.filter_list(holds) is holds
-    one.backend_list.doubt_until_s -= DOUBT_S
+    one.backend_list.doubt_until_s -= DISCOVERY_DOUBT_S
     assert kept.filter_list(older) is older  # it says so still: then it is so
 
 
@@ -225,7 +228,7 @@
 @settings(max_examples=60, deadline=None)
 @given(
     seed=st.integers(0, 999),
-    spent=st.integers(0, 20),
+    remaining_quotas=st.integers(0, 20),
     lost=st.lists(st.booleans(), min_size=3, max_size=3),
     heard=st.lists(st.integers(0, 2), max_size=4),
 )
@@ -428,9 +431,9 @@
 def test_a_process_that_takes_over_answers_and_begins_no_recovery() -> None:
     kept: Any = RecordsPersisted("h1")
     one = FleetRecovery({}, kept, cast(Any, SimpleNamespace(gateway=module(), withheld=0)), kept, 3)
-    assert one.spending.known_here() is None and [word.value for word in one.facts()] == ["2.0"]
-    one.settle()
-    assert one.spending.known_here() == [] and [word.value for word in one.facts()] == [None]
+    assert one.spending.known_quotas() is None and [word.value for word in one.facts()] == ["2.0"]
+    one.skip()
+    assert one.spending.known_quotas() == [] and [word.value for word in one.facts()] == [None]
     assert one.backend_list.newer_than(6) == EndpointList(
         7, [ListedHost("h1", "127.0.0.1:1", "", 0, "up", 0.0)]
     ) and not one.backend_list.newer_than(7)
--- a/tests/fleet/test_quarantine.py
+++ b/tests/fleet/test_quarantine.py
@@ -174,9 +174,9 @@
 def test_a_look_does_not_count_the_members_once_for_each_member(monkeypatch: pytest.MonkeyPatch) -> None:
     """With 200 members that took most of 8 cores, in all gateways four times a second."""
     counted: list[int] = []
-    real = Members.not_left.fget
+    real = Members.size_with_dead.fget
     assert real is not None
-    monkeypatch.setattr(Members, "not_left", property(lambda self: counted.append(1) or real(self)))
+    monkeypatch.setattr(Members, "size_with_dead", property(lambda self: counted.append(1) or real(self)))
     fleet = Fleet(30)
     fleet.lists[3] = 4
     looks = int(6.0 / STEP_S) * 30
--- a/tests/fleet/test_staleness.py
+++ b/tests/fleet/test_staleness.py
@@ -112,18 +112,18 @@
 def test_a_list_is_brought_up_once_by_two_alike_and_not_by_one_however_often() -> None:
     stuck: Any = Stuck()
     one = ListRepair(stuck, stuck, stuck, cast(Any, None))
-    one.is_behind = True
+    one.is_stale = True
 
     def tell(sender: str, what: EndpointList) -> None:
-        one.on_exchange(Exchange(sender, (1, 1), 1, True, [], [], listed=what))
+        one.on_exchange(Exchange(sender, (1, 1), 1, True, [], [], endpoint_list=what))
 
     for _ in range(3):
         tell("g1", listed(7, h1="gone", h2="draining"))
-    assert not stuck.changes and one.repaired_to == -1
+    assert not stuck.changes and one.repaired_seq == -1
     tell("g2", listed(6, h1="draining"))
-    assert stuck.changes == [("draining",)] and one.repaired_to == 6
+    assert stuck.changes == [("draining",)] and one.repaired_seq == 6
     tell("g2", listed(8, h1="gone", h2="gone"))
-    assert stuck.changes[1:] == [("gone", "draining")] and one.repaired_to == 7
+    assert stuck.changes[1:] == [("gone", "draining")] and one.repaired_seq == 7
     tell("g3", listed(8, h1="gone", h2="draining"))
     assert len(stuck.changes) == 2  # nothing new
     everything = dict.fromkeys(HOSTS, "gone")
--- a/tests/linked_fleet.py
+++ b/tests/linked_fleet.py
@@ -36,8 +36,10 @@
         self.losses = [0] * gateways
         self.urgent = [False] * gateways
         self.evaluated_s = [0.0] * gateways
-        self.lone: set[int] = set()
-        self.cuts: set[tuple[str, str]] = set()  # zones of gateways, and of backends that they don't reach
+        self.not_evaluating: set[int] = set()
+        self.unreachable_zones: set[tuple[str, str]] = (
+            set()
+        )  # zones of gateways, and of backends that they don't reach
         self.loss = 0.0  # of what passes between gateways and backends, each by chance
         self.decisions: list[tuple[float, Entry]] = []  # as the first gateway hears of them
         for index in range(gateways):
@@ -48,7 +50,7 @@
             self.agreements.append(
                 ZoneAgreement(own(index), index, gateways, SlowStart(least, warm_s), chance)
             )
-            node.fact_changed = self._hears(index)
+            node.on_fact = self._hears(index)
             for kind, value in (("zone", own(index)), ("index", str(index))):
                 node.publish(self.net.wall(address_of(index)), kind, "", value)
             self._begin(index)
@@ -72,7 +74,7 @@
         return told
 
     def meet(self, index: int, request: str, number: int, backend: int, sent_at: float) -> None:
-        if (self.agreements[index].zone, self.zone_of[backend]) in self.cuts:
+        if (self.agreements[index].zone, self.zone_of[backend]) in self.unreachable_zones:
             lost = api.Outcome.TIMED_OUT
             return self.later(3000.0, lambda: self.end(index, request, number, backend, lost, sent_at))
         if self.chance.random() < self.loss:
@@ -90,7 +92,11 @@
     def _tick(self, index: int) -> None:
         self.later(URGENT_EVALUATION_S * 1000, lambda: self._tick(index))
         node = self.net.nodes.get(address_of(index))
-        if node is None or index in self.lone or self.net.stopped.get(address_of(index), 0) > self.net.now:
+        if (
+            node is None
+            or index in self.not_evaluating
+            or self.net.stopped.get(address_of(index), 0) > self.net.now
+        ):
             return
         self.net.run(max(0.0, self.seconds() - self.net.now))
         losses = self.gateways[index].zones.lost_attempts
@@ -114,7 +120,7 @@
                 if directive != before.get(zone):
                     self.give(index, to_policy(zone, directive))
 
-    def states(self, zone: str, own: str = "") -> set[str]:
+    def zone_states(self, zone: str, own: str = "") -> set[str]:
         """What the gateways' modules make of a zone; those of one zone alone, where it is given."""
         of = [
             g
--- a/tests/zones/test_zone_agreement.py
+++ b/tests/zones/test_zone_agreement.py
@@ -18,7 +18,7 @@
 from switchline import ctl
 from switchline.clock import now_ms
 from switchline.fleet.fact_kinds import FactKind
-from switchline.fleet.facts import MAX_DECISIONS, Facts, higher
+from switchline.fleet.facts import MAX_DECISIONS, Facts, overriding_entry
 from switchline.fleet.messages import Entry, MemberState
 from switchline.policy import Gateway
 from switchline.policy import interface as api
@@ -55,7 +55,7 @@
     lost_at = play.now
     play.mode["b"] = mode
     play.run(1500, gap=50)
-    assert play.states("b") == {"left"} and play.states("a") == play.states("c") == {"up"}
+    assert play.zone_states("b") == {"left"} and play.zone_states("a") == play.zone_states("c") == {"up"}
     left = [at for at, _, text in play.remarks if "zone b is left" in text]
     assert len(left) == 12 and max(left) - min(left) < 1000
     since = play.now
@@ -82,18 +82,18 @@
         used, allowed = used + play.to("b", at, at + 500), allowed + share * total / 2 * 0.5
         assert play.to("b", at, at + 500) <= share * total / 2 * 0.5 + 8
     assert 0.6 * allowed < used <= allowed
-    assert play.states("b") == {"up"} and [act.state for act in play.decisions_on("b")][-1] == "up"
+    assert play.zone_states("b") == {"up"} and [act.state for act in play.decisions_on("b")][-1] == "up"
 
 
 def test_a_cut_between_two_zones_moves_those_two_alone() -> None:
     play = fleet()
-    play.cuts = {("a", "b"), ("b", "a")}
+    play.unreachable_zones = {("a", "b"), ("b", "a")}
     play.run(4000, gap=50)
-    assert play.states("b", own="a") == play.states("a", own="b") == {"left"}
-    assert play.states("a", own="c") == play.states("b", own="c") == play.states("c") == {"up"}
-    play.cuts.clear()
+    assert play.zone_states("b", own="a") == play.zone_states("a", own="b") == {"left"}
+    assert play.zone_states("a", own="c") == play.zone_states("b", own="c") == play.zone_states("c") == {"up"}
+    play.unreachable_zones.clear()
     play.run(32_000, gap=50)
-    assert play.states("a") == play.states("b") == {"up"}
+    assert play.zone_states("a") == play.zone_states("b") == {"up"}
 
 
 def test_with_thin_traffic_all_leave_what_none_alone_could_know_to_be_lost() -> None:
@@ -102,7 +102,7 @@
     lost_at = play.now
     play.mode["b"] = "refuses"
     play.run(3000, gap=1000)
-    assert play.states("b") == {"left"}
+    assert play.zone_states("b") == {"left"}
     most = max(sum(at > lost_at and i == index for at, i, *_ in play.sent) for index in range(60))
     assert most < 15 and play.to("b", lost_at) < 60  # each met a few of its backends at most
 
@@ -155,7 +155,7 @@
     play = fleet()
     play.mode |= {"a": "refuses", "b": "silent"}
     play.run(3000, gap=50)
-    assert play.states("a") == play.states("b") == {"left"} and play.states("c") == {"up"}
+    assert play.zone_states("a") == play.zone_states("b") == {"left"} and play.zone_states("c") == {"up"}
     play.mode["c"] = "refuses"
     play.run(3000, gap=50)
     assert not [act for act in play.decisions_on("c") if act.state == "left"]
@@ -165,10 +165,10 @@
     play = fleet(regions=(("a", "north"), ("b", "north"), ("c", "south")))
     play.mode |= {"a": "refuses", "b": "refuses"}
     play.run(4000, gap=50)
-    assert play.states("a") == play.states("b") == {"left"}
+    assert play.zone_states("a") == play.zone_states("b") == {"left"}
     play.mode.clear()
     play.run(25_000, gap=50)
-    assert play.states("a") == play.states("b") == {"up"}
+    assert play.zone_states("a") == play.zone_states("b") == {"up"}
     for observers in ZONES:
         steps: dict[str, int] = {}
         for _, entry in play.decisions:
@@ -179,7 +179,7 @@
         assert len(steps) == 2
     agreement = play.agreements[2]  # the other zone's ramp stands still: no longer than a cold backend takes
     facts = Facts("g0", (1, 1))
-    facts.decide(
+    facts.publish_decision(
         0.0,
         FactKind.ZONE_DECISION,
         f"{agreement.zone}>a",
@@ -197,7 +197,9 @@
     play.run(9000, gap=50)  # until they hold each other dead
     play.mode["b"] = "refuses"
     play.run(4000, gap=50)
-    assert not play.decisions_on("b") and play.states("b") == {"left"}  # each by itself, as without a line
+    assert not play.decisions_on("b") and play.zone_states("b") == {
+        "left"
+    }  # each by itself, as without a line
 
 
 def test_who_stood_still_in_a_ramp_sends_nothing_until_it_hears_again() -> None:
@@ -206,7 +208,7 @@
     play.run(3000, gap=50)
     play.mode.clear()
     play.run(6000, gap=50)
-    assert play.states("b") == {"returning"}
+    assert play.zone_states("b") == {"returning"}
     play.net.stop(1, 3.0)
     play.mode["b"] = "refuses"
     play.run(2900, gap=50)  # without the first's look, while the others leave again
@@ -296,7 +298,7 @@
     acquaint(net)
     net.run(4.0)
     seen = {"a": LocalObservation(6), "b": LocalObservation(6, healthy={f"{b:08x}": 0.01 for b in range(6)})}
-    net.nodes[address_of(0)].facts.decide(1.0, FactKind.ZONE_DECISION, "a>b", '["left"]')
+    net.nodes[address_of(0)].facts.publish_decision(1.0, FactKind.ZONE_DECISION, "a>b", '["left"]')
     net.run(2.0)
     gone: set[int] = set()
     for step in [*steps, *["tick"] * 6]:
@@ -336,10 +338,10 @@
 def test_a_decision_is_the_same_in_any_order_and_has_a_bound() -> None:
     one, two = Facts("g0", (1, 1)), Facts("g1", (1, 1))
     entries = [
-        one.decide(1.0, FactKind.ZONE_DECISION, "a>b", '["left"]'),
-        two.decide(1.0, FactKind.ZONE_DECISION, "a>b", '["up"]'),
+        one.publish_decision(1.0, FactKind.ZONE_DECISION, "a>b", '["left"]'),
+        two.publish_decision(1.0, FactKind.ZONE_DECISION, "a>b", '["up"]'),
     ]
-    entries.append(two.decide(2.0, FactKind.ZONE_DECISION, "a>b", '["returning"]'))
+    entries.append(two.publish_decision(2.0, FactKind.ZONE_DECISION, "a>b", '["returning"]'))
     found = set()
     for order in itertools.permutations(e for e in entries if e is not None):
         table = Facts("g2", (1, 1))
@@ -348,7 +350,7 @@
         found.add((table.version(FactKind.ZONE_DECISION, "a>b"), table.value(FactKind.ZONE_DECISION, "a>b")))
     assert found == {(2, '["returning"]')}
     for number in range(MAX_DECISIONS + 3):
-        one.decide(1.0, FactKind.ZONE_DECISION, f"z>{number}", '["left"]')
+        one.publish_decision(1.0, FactKind.ZONE_DECISION, f"z>{number}", '["left"]')
     assert len(one.of_kind(FactKind.ZONE_DECISION)) == MAX_DECISIONS and one.refused["full"] == 4
 
 
@@ -373,7 +375,7 @@
     net.add(0).publish(net.wall(address_of(0)), "zone", "", "a")
     node, wall = net.nodes[address_of(0)], net.wall(address_of(0))
     agreement = ZoneAgreement("a", 0, 1, SlowStart(0.2, 16.0), random.Random(1))
-    node.facts.decide(wall, FactKind.ZONE_DECISION, "a>b", '["left"]')
+    node.facts.publish_decision(wall, FactKind.ZONE_DECISION, "a>b", '["left"]')
     answers = {
         "a": LocalObservation(4),
         "b": LocalObservation(4, healthy=dict.fromkeys(("b1", "b2", "b3"), 0.0)),
@@ -472,7 +474,9 @@
         and decode_decision(anew.value).state == "left"
         and decode_decision(anew.value).flaps == 1
     )
-    assert anew.version == 5 and higher(anew, returning) == returning  # where others go on, theirs holds
+    assert (
+        anew.version == 5 and overriding_entry(anew, returning) == returning
+    )  # where others go on, theirs holds
     row = to_row(left)
     for place, spoilt in ((1, "x"), (3, -1), (3, None), (4, "now"), (4, 1e30), (0, "g" * 999)):
         assert from_row("a>b", [*row[:place], spoilt, *row[place + 1 :]]) is None
