--- a/tests/fleet/test_outage.py
+++ b/tests/fleet/test_outage.py
@@ -228,7 +228,7 @@
 @settings(max_examples=60, deadline=None)
 @given(
     seed=st.integers(0, 999),
-    remaining_quotas=st.integers(0, 20),
+    spent=st.integers(0, 20),
     lost=st.lists(st.booleans(), min_size=3, max_size=3),
     heard=st.lists(st.integers(0, 2), max_size=4),
 )
