--- a/switchline/service/service.py
+++ b/switchline/service/service.py
@@ -114,9 +114,9 @@
         gc.collect()
         gc.freeze()  # what was loaded stays: no pause to look at it again
         log.info(log_events.SERVING, self.parts.config.name, self.parts.config.listen[0], port)
-        self.upgrade.handover.announce_serving()
+        self.upgrade.handover.notify_serving()
         if self.persistence is not None and took_over:
-            self.persistence.acquire()
+            self.persistence.acquire_folder()
         await self.upgrade.handover.listen()
         await self.fleet.join()
         return port
--- a/switchline/service/upgrade.py
+++ b/switchline/service/upgrade.py
@@ -47,10 +47,10 @@
         self.handover = UpgradeHandover(
             private_file(parts.config.name, SOCKET_FILE),
             HandoverEvents(
-                joined=partial(parts.driver.give, api.PeerProcessJoined()),
+                peer_joined=partial(parts.driver.give, api.PeerProcessJoined()),
                 record_received=parts.driver.on_peer_record,
-                serving=self._hand_over,
-                left=self._on_peer_process_gone,
+                peer_serving=self._hand_over,
+                peer_left=self._on_peer_process_gone,
                 descriptors_reported=self._set_peer_descriptors,
             ),
         )
@@ -69,7 +69,7 @@
         self.parts.descriptors.freeze()
         self.fleet.leave(announce=False)  # the new process has this name now
         if self.persistence is not None:
-            self.persistence.release()
+            self.persistence.release_folder()
         if self._emptying is None:
             self._emptying = self.parts.loop.create_task(self._empty())
 
@@ -91,7 +91,7 @@
         self.parts.descriptors.unfreeze()
         self.parts.clients.take_back()
         if self.persistence is not None:
-            self.persistence.acquire()
+            self.persistence.acquire_folder()
         self._joining = self.parts.loop.create_task(self.fleet.join())
 
     def _set_peer_descriptors(self, held: int) -> None:
--- a/switchline/state/persistence.py
+++ b/switchline/state/persistence.py
@@ -272,7 +272,7 @@
         """Save an override as it is in force, after a call that was not carried out."""
         self.save_override(kind, name, name in self.overrides[kind].active, now_ms())
 
-    def release(self) -> None:
+    def release_folder(self) -> None:
         """Release the folder: another process serves from now on, and is to have it."""
         if self._retry_timer is not None:
             self._retry_timer.cancel()
@@ -282,7 +282,7 @@
         self._retire_store()
         self.driver.give(api.PersistenceChanged(False))
 
-    def acquire(self) -> None:
+    def acquire_folder(self) -> None:
         """Take the folder: the other process releases it, or is gone."""
         if self.store is None and self._retry_timer is None and self._opening is None:
             self._begin(self._open_store(OpenOptions(lock_wait_s=LOCK_TIMEOUT_S)))
--- a/switchline/upgrade/handover.py
+++ b/switchline/upgrade/handover.py
@@ -30,17 +30,17 @@
     """What the hand-over calls for events of the peer process.
 
     Attributes:
-        joined: a new process connected: the policy is to send all its state.
+        peer_joined: a new process has connected; the policy then sends it all its state.
         record_received: a record for the policy; raises ValueError for a malformed one.
-        serving: the new process accepts clients.
-        left: the peer process is gone.
+        peer_serving: the new process accepts clients.
+        peer_left: the connection to the peer process has ended.
         descriptors_reported: how many descriptors the old process has open.
     """
 
-    joined: Callable[[], None]
+    peer_joined: Callable[[], None]
     record_received: Callable[[list[Any]], None]
-    serving: Callable[[], None]
-    left: Callable[[], None]
+    peer_serving: Callable[[], None]
+    peer_left: Callable[[], None]
     descriptors_reported: Callable[[int], None]
 
 
@@ -63,7 +63,7 @@
         """Send a record of the policy to the peer process, if there is one."""
         self._send(PolicyRecord(record))
 
-    def announce_serving(self) -> None:
+    def notify_serving(self) -> None:
         """Let the old process know that this one accepts clients."""
         self._send(Serving())
 
@@ -126,7 +126,7 @@
             return
         log.info("another process asks to take over")
         self.peer = connection
-        self.events.joined()
+        self.events.peer_joined()
         connection.send(StateSent())
 
     def _on_message(self, message: Message) -> None:
@@ -134,7 +134,7 @@
             case StateSent():
                 self.state_received.set()
             case Serving():
-                self.events.serving()
+                self.events.peer_serving()
             case DescriptorsInUse(count):
                 self.events.descriptors_reported(count)
             case PolicyRecord(fields):
@@ -143,7 +143,7 @@
     def _on_lost(self, connection: HandoverConnection) -> None:
         if connection is self.peer:
             self.peer = None
-            self.events.left()
+            self.events.peer_left()
 
     def close(self) -> None:
         """Stop listening, and close the connection to the peer process."""
--- a/tests/recordings/test_stored_data.py
+++ b/tests/recordings/test_stored_data.py
@@ -151,10 +151,10 @@
         self.calls: list[str] = []
         self.descriptors: list[int] = []
         events = HandoverEvents(
-            joined=lambda: self.calls.append("joined"),
+            peer_joined=lambda: self.calls.append("joined"),
             record_received=self.messages.append,
-            serving=lambda: self.calls.append("serving"),
-            left=lambda: self.calls.append("left"),
+            peer_serving=lambda: self.calls.append("serving"),
+            peer_left=lambda: self.calls.append("left"),
             descriptors_reported=self.descriptors.append,
         )
         self.handover = UpgradeHandover(path, events)
