--- a/measure/zones.py
+++ b/measure/zones.py
@@ -27,7 +27,7 @@
 
 from switchline.policy.backends.zones import Zones  # noqa: E402
 from switchline.zones.decision import decode_decision  # noqa: E402
-from switchline.zones.ramp import share_at  # noqa: E402
+from switchline.zones.ramp import capacity_ratio_at  # noqa: E402
 
 ZONES, GATEWAYS, GAP_MS = {"a": 8, "b": 8, "c": 8}, 24, 50.0
 
@@ -164,7 +164,7 @@
         acts = ((at, decode_decision(entry.value).state) for at, entry in fleet.decisions)
         agreed = next((at for at, state in acts if at > back and state == "returning"), begun)
     for at in range(int(begun), int(back + 0.6 * warm_ms), 500):
-        bears = share_at(0, 0.2) + 0.8 * min(1.0, (at + 500 - back) / warm_ms)
+        bears = capacity_ratio_at(0, 0.2) + 0.8 * min(1.0, (at + 500 - back) / warm_ms)
         got = [sum(at <= t < at + 500 and b == one for t, _, b, _ in fleet.sent) for one in fleet.of("b")]
         zone.append(sum(got) / (8 * each * bears / 2))
         most = max(most, max(got) / (each * bears / 2))
--- a/switchline/fleet/outage.py
+++ b/switchline/fleet/outage.py
@@ -41,18 +41,18 @@
     """What this gateway makes of the downtimes.
 
     Attributes:
-        common: Whether most of the fleet lost power.
-        old: Whether this gateway's disk holds an older state than the others'.
-        restarted: Gateways that began lately, this one too.
-        heard: All that are present.
-        down_s: The median downtime, if the outage was common; else 0.
+        is_common: Whether most of the fleet lost power.
+        has_old_disk: Whether this gateway's disk holds an older state than the others'.
+        restarted_gateways: Gateways that began lately, this one too.
+        present_gateways: All that are present.
+        median_downtime_s: The median downtime, if the outage was common; else 0.
     """
 
-    common: bool
-    old: bool
-    restarted: int
-    heard: int
-    down_s: float
+    is_common: bool
+    has_old_disk: bool
+    restarted_gateways: int
+    present_gateways: int
+    median_downtime_s: float
 
 
 def judge_outage(own: float | None, others: Iterable[float | None]) -> OutageVerdict:
--- a/switchline/fleet/versions/quarantine.py
+++ b/switchline/fleet/versions/quarantine.py
@@ -19,7 +19,7 @@
 from switchline.fleet.facts import Facts
 from switchline.fleet.membership.members import Members
 from switchline.fleet.messages import Incarnation, MemberState
-from switchline.fleet.versions.staleness import VersionFloors, VersionKind, parse_list_number, seq_or_no_list
+from switchline.fleet.versions.staleness import VersionFloors, VersionKind, parse_list_seq, seq_or_no_list
 
 MEMBERS_PER_QUARANTINED = 5  # of so many members one may be quarantined
 RECOVERY_S = 3.0  # up to date for so long before it is back; twice as long for each time
@@ -91,9 +91,9 @@
             began_s: When this process began.
         """
         self.patience_s = patience_s
-        self.out = False  # whether it is quarantined
-        self.kind = ""  # of the version that is stale; empty for none
-        self.why = ""  # of the last change
+        self.is_quarantined = False  # whether it is quarantined
+        self.stale_version = ""  # of the version that is stale; empty for none
+        self.reason = ""  # of the last change
         self._grants = QuarantineGrants(began_s)
         self._stale_since_s = math.inf
         self._current_since_s = -math.inf
@@ -107,18 +107,18 @@
         me = members.me
         stale = VersionKind.LIST if view.is_list_stale else None
         stale = stale or version_below_floor(facts, me.name, view.list_seq, view.floors)
-        self.kind = stale.value if stale is not None else ""
+        self.stale_version = stale.value if stale is not None else ""
         self._grants.update(endpoint, now_s, wall_ms, view, stale is not None)
         self._note_staleness(stale is not None, now_s)
         wants = self._wants(facts, members, now_s, view.spared)
         granted = wants and 2 * grants_for(facts, members) > members.not_left
-        if self.out and wants and not granted:
+        if self.is_quarantined and wants and not granted:
             self._end("the others don't grant it any more")
-        elif granted and not self.out:
+        elif granted and not self.is_quarantined:
             self._begin(now_s)
-        state = QuarantineState.QUARANTINED if self.out else QuarantineState.WANTED
+        state = QuarantineState.QUARANTINED if self.is_quarantined else QuarantineState.WANTED
         facts.offer(wall_ms, FactKind.QUARANTINE, "", state if wants else None)
-        return self.out
+        return self.is_quarantined
 
     def _note_staleness(self, is_stale: bool, now_s: float) -> None:
         if is_stale:
@@ -139,9 +139,9 @@
         if is_lone or name in spared or not self.patience_s:
             self._end("it is in a minority" if is_lone else "operators spare it")
             return False
-        if not self.out and facts.value(FactKind.QUARANTINE, "", name) is None:
+        if not self.is_quarantined and facts.value(FactKind.QUARANTINE, "", name) is None:
             return now_s - self._stale_since_s >= self.patience_s
-        if self.kind or now_s - self._current_since_s < self.recovery_s:
+        if self.stale_version or now_s - self._current_since_s < self.recovery_s:
             return True
         self._end("it is level again")
         return False
@@ -154,15 +154,15 @@
     def _begin(self, now_s: float) -> None:
         is_repeat = now_s - self._quarantined_at_s < REPEAT_WINDOW_S
         self._times = self._times + 1 if is_repeat else 1
-        self.out = True
+        self.is_quarantined = True
         self._quarantined_at_s = now_s
         stale_s = now_s - self._stale_since_s
-        self.why = f"its {self.kind} is behind for {stale_s:.0f} s, and most grant it"
+        self.reason = f"its {self.stale_version} is behind for {stale_s:.0f} s, and most grant it"
 
     def _end(self, why: str) -> None:
-        if self.out:
-            self.out = False
-            self.why = why
+        if self.is_quarantined:
+            self.is_quarantined = False
+            self.reason = why
 
 
 def grants_for(facts: Facts, members: Members) -> int:
@@ -221,7 +221,7 @@
     @staticmethod
     def _is_stale(facts: Facts, name: str, view: StalenessView) -> bool:
         """Return whether a gateway has an older list than this one, or a version below a floor."""
-        list_seq = seq_or_no_list(parse_list_number(facts.value(FactKind.LIST, "", name)))
+        list_seq = seq_or_no_list(parse_list_seq(facts.value(FactKind.LIST, "", name)))
         return list_seq < view.list_seq or bool(version_below_floor(facts, name, list_seq, view.floors))
 
     @staticmethod
--- a/switchline/fleet/versions/staleness.py
+++ b/switchline/fleet/versions/staleness.py
@@ -106,7 +106,7 @@
     for name in names:
         kind, _, version = name.partition(" ")
         if kind == VersionKind.LIST:
-            list_seq = max(list_seq, seq_or_no_list(parse_list_number(version)))
+            list_seq = max(list_seq, seq_or_no_list(parse_list_seq(version)))
         elif kind == VersionKind.PROGRAM:
             release = max(release, parse_release(version) or ())
         elif kind == VersionKind.CONFIG and CONFIG_DIGEST.fullmatch(version):
@@ -122,7 +122,7 @@
     """
 
     def __init__(self) -> None:
-        self.shown: dict[str, str] = {}  # by kind: what most have instead, once it has lasted
+        self.majority_versions: dict[str, str] = {}  # by kind: what most have instead, once it has lasted
         self._since_s: dict[str, float] = {}  # by kind
 
     def update(self, now_s: float, kind: str, own: str, others: Iterable[str | None]) -> bool:
@@ -130,11 +130,11 @@
         other = other_majority_version(own, others)
         if other is None:
             self._since_s.pop(kind, None)
-            return self.shown.pop(kind, None) is not None
+            return self.majority_versions.pop(kind, None) is not None
         lasts = now_s - self._since_s.setdefault(kind, now_s) >= DIVERGENT_S
-        if not lasts or self.shown.get(kind) == other:
+        if not lasts or self.majority_versions.get(kind) == other:
             return False
-        self.shown[kind] = other
+        self.majority_versions[kind] = other
         return True
 
 
@@ -148,7 +148,7 @@
     return version if version != own and 2 * count > 1 + len(known) else None
 
 
-def parse_list_number(text: str | None) -> int | None:
+def parse_list_seq(text: str | None) -> int | None:
     """Return a list's number as another gateway publishes it; None for none."""
     return int(text) if text is not None and text.isdecimal() and len(text) <= MAX_NUMBER_DIGITS else None
 
@@ -163,7 +163,7 @@
     return len([host for host in changes if host["health"] == "removed"]) == len(own)
 
 
-def binding_changes(own: Iterable[DiscoveryHost], newer: EndpointList) -> Iterator[DiscoveryHost]:
+def restrictive_changes(own: Iterable[DiscoveryHost], newer: EndpointList) -> Iterator[DiscoveryHost]:
     """Yield the hosts of the own list that a newer one drains, removes, or shows to have started again.
 
     Nothing is added, and each host keeps the address by which this gateway reaches it.
@@ -183,7 +183,7 @@
     """Return what at least two newer lists take away alike; a removal counts as a drain as well."""
     changes: dict[str, list[DiscoveryHost]] = {}
     for newer in lists:
-        for host in binding_changes(own, newer):
+        for host in restrictive_changes(own, newer):
             if host["health"] != "up":
                 changes.setdefault(str(host["host"]), []).append(host)
     agreed = []
--- a/switchline/fleet_runtime/list_repair.py
+++ b/switchline/fleet_runtime/list_repair.py
@@ -19,7 +19,7 @@
 from switchline.fleet.versions.staleness import (
     StaleListWatch,
     agreed_changes,
-    parse_list_number,
+    parse_list_seq,
     removes_all,
     seq_or_no_list,
 )
@@ -67,8 +67,7 @@
         if self.own_number() >= self.repaired_to and self._applied:
             self._applied.clear()  # the own agent is level
         numbers = {
-            name: parse_list_number(node.facts.value(FactKind.LIST, "", name))
-            for name in node.members.present
+            name: parse_list_seq(node.facts.value(FactKind.LIST, "", name)) for name in node.members.present
         }
         is_behind = self._stale.is_stale(now_s, self.own_number(), numbers.values())
         self._set_behind(is_behind and not node.members.minority, numbers, node)
--- a/switchline/fleet_runtime/membership.py
+++ b/switchline/fleet_runtime/membership.py
@@ -116,14 +116,14 @@
         if self.recovery is not None:
             self.recovery.attach(transport)
         zones = ZoneCoordinator(self.parts.driver, random.Random(f"{config.seed} zones"))
-        zones.noted = self.trail.record
+        zones.record = self.trail.record
         if self.trail.audit is not None:
             self.trail.audit.join_fleet(node.clock, incarnation)
         zones.attach(transport)
         if self.state is not None:
             if not self.took_over():  # else the older process knows better, and has told the others
-                zones.recall(self.state.zone_decisions)
-            zones.keep = self.state.save_zone_decision
+                zones.restore(self.state.zone_decisions)
+            zones.store_decision = self.state.save_zone_decision
         node.fact_changed = self._on_fact
         node.answered = self._on_exchange
         transport.on_published = self._tick
@@ -178,7 +178,7 @@
         """A fact is new here."""
         if self.member is not None:
             self.member.calls.on_fact(entry)
-            self.member.zones.heard(entry)
+            self.member.zones.on_fact(entry)
 
     def _on_exchange(self, exchange: Exchange) -> None:
         """Another gateway sent what it was asked for."""
@@ -207,5 +207,5 @@
         described = describe_fleet(transport.node, fleet, self.parts.loop.time(), now_ms())
         if self.recovery is not None:
             described["recovery"] = self.recovery.describe()
-        described["zones"] = member.zones.shown()
+        described["zones"] = member.zones.describe()
         return described
--- a/switchline/fleet_runtime/recovery/backend_list.py
+++ b/switchline/fleet_runtime/recovery/backend_list.py
@@ -15,7 +15,7 @@
 from switchline.discovery.client import Discovery
 from switchline.discovery.endpoint_list import BackendList, DiscoveryError, read_list
 from switchline.fleet.messages import MAX_LISTED_HOSTS, EndpointList, ListedHost
-from switchline.fleet.versions.staleness import binding_changes, removes_all, seq_or_no_list
+from switchline.fleet.versions.staleness import removes_all, restrictive_changes, seq_or_no_list
 from switchline.policy import interface as api
 from switchline.service.audit_trail import RecordVersion, record_nothing
 from switchline.service.driver import Driver
@@ -65,7 +65,7 @@
         number = seq_or_no_list(self.discovery.version)
         if newer is None or own is None or newer.seq <= number:
             return
-        changes = list(binding_changes(own, newer))
+        changes = list(restrictive_changes(own, newer))
         found = self._read(newer.seq, changes)
         if found is None or removes_all(own, changes):
             return
--- a/switchline/fleet_runtime/recovery/coordinator.py
+++ b/switchline/fleet_runtime/recovery/coordinator.py
@@ -138,16 +138,18 @@
     async def catch_up(self) -> None:
         """Ask for spending, where the own disk is lost or old; then go on to the stage that follows."""
         self.spending.can_answer = True
-        if self._node is not None and (math.isnan(self.down_s) or self.verdict.old):
-            why = "it is older than the others'" if self.verdict.old else "it tells of no earlier life"
+        if self._node is not None and (math.isnan(self.down_s) or self.verdict.has_old_disk):
+            why = (
+                "it is older than the others'" if self.verdict.has_old_disk else "it tells of no earlier life"
+            )
             self.stages.enter(Stage.SPENDING, f"the disk can't be relied on: {why}")
             await self.spending.request_from_nearest(self._node)
         self.spending.waiting_for.clear()
         self._set_waited()
-        if self.verdict.common:
+        if self.verdict.is_common:
             self._begin_warm_up()
         else:
-            why = "no outage of the fleet: it joins" if self.verdict.heard > 1 else "alone"
+            why = "no outage of the fleet: it joins" if self.verdict.present_gateways > 1 else "alone"
             self.stages.enter(Stage.COMPLETE, why)
 
     def _set_waited(self) -> None:
@@ -169,9 +171,9 @@
                 elapsed_s = self.stages.elapsed_s()
                 why = f"the backends have had their slow start, {elapsed_s:.1f} s after"
                 self.stages.enter(Stage.COMPLETE, why)
-        elif self.stages.stage is Stage.COMPLETE and self._started_lately() and not self.verdict.common:
+        elif self.stages.stage is Stage.COMPLETE and self._started_lately() and not self.verdict.is_common:
             verdict = self._judge()
-            if verdict.common:
+            if verdict.is_common:
                 self.verdict = verdict  # the others started later
                 self._begin_warm_up()
 
@@ -187,10 +189,15 @@
 
     def _begin_warm_up(self) -> None:
         found = self.verdict
-        who = f"{found.restarted} of {found.heard} gateways began lately, down for {found.down_s:.1f} s"
+        who = (
+            f"{found.restarted_gateways} of {found.present_gateways} gateways began lately, "
+            f"down for {found.median_downtime_s:.1f} s"
+        )
         self.stages.enter(Stage.WARMING_UP, f"the fleet lost power: {who}")
         back_ms = now_ms() - (time.monotonic() - self.began_s) * 1000
-        self.driver.give(api.FleetOutage(back_ms - (found.down_s + OUTAGE_MARGIN_S) * 1000, back_ms))
+        self.driver.give(
+            api.FleetOutage(back_ms - (found.median_downtime_s + OUTAGE_MARGIN_S) * 1000, back_ms)
+        )
 
     def gauges(self) -> dict[str, int]:
         """Metrics of the recovery."""
@@ -210,10 +217,10 @@
         return {
             "stage": self.stages.stage.label,
             "stage_s": round(self.stages.elapsed_s(), 2),
-            "common": verdict.common,
-            "old_disk": verdict.old,
-            "risen": verdict.restarted,
-            "heard": verdict.heard,
+            "common": verdict.is_common,
+            "old_disk": verdict.has_old_disk,
+            "risen": verdict.restarted_gateways,
+            "heard": verdict.present_gateways,
             "down_s": None if math.isnan(self.down_s) else round(self.down_s, 1),
             "waiting_for": sorted(self.spending.waiting_for),
             "from_disk": self.state.restored,
--- a/switchline/fleet_runtime/version_watch.py
+++ b/switchline/fleet_runtime/version_watch.py
@@ -38,14 +38,14 @@
         for kind, own in own_versions.items():
             others = [node.facts.value(kind, "", name) for name in node.members.present]
             if self.divergence.update(self.parts.loop.time(), kind, own, others):
-                theirs = self.divergence.shown.get(kind)
+                theirs = self.divergence.majority_versions.get(kind)
                 what = f"most have {theirs}" if theirs else "most have the same now"
                 log.warning(log_events.VERSION_DIFFERS, kind, own, what)
                 self.trail.record("differs" if theirs else "alike", kind, "", what)
 
     def gauges(self) -> dict[str, int]:
         """How many of the versions differ."""
-        return {"fleet.differs": len(self.divergence.shown)}
+        return {"fleet.differs": len(self.divergence.majority_versions)}
 
 
 class QuarantineControl:
@@ -71,7 +71,7 @@
     @property
     def is_out(self) -> bool:
         """Whether this gateway is in quarantine."""
-        return self.quarantine is not None and self.quarantine.out
+        return self.quarantine is not None and self.quarantine.is_quarantined
 
     def tick(self, node: ProtocolEndpoint, list_repair: ListRepair) -> None:
         """Enter or leave quarantine, as the versions and the grants of the others are now."""
@@ -79,7 +79,7 @@
         if self.quarantine is None:
             self.quarantine = Quarantine(self.patience_s, now_s)
         quarantine = self.quarantine
-        was_out = quarantine.out
+        was_out = quarantine.is_quarantined
         view = StalenessView(
             list_repair.own_number(),
             list_repair.is_behind,
@@ -87,12 +87,14 @@
             parse_floors(self.overrides.names(OverrideKind.VERSION_FLOOR)),
         )
         is_out = quarantine.evaluate(node, now_s, now_ms(), view)
-        self._set_behind(quarantine.kind)
+        self._set_behind(quarantine.stale_version)
         if is_out == was_out or self.parts.clients.shutting_down:
             return
         event = log_events.QUARANTINE_ENTERED if is_out else log_events.QUARANTINE_LEFT
-        log.warning(event, quarantine.why)
-        self.trail.record("shut out" if is_out else "taken back", quarantine.kind, "", quarantine.why)
+        log.warning(event, quarantine.reason)
+        self.trail.record(
+            "shut out" if is_out else "taken back", quarantine.stale_version, "", quarantine.reason
+        )
         if is_out:
             self.intake.begin_quarantine()
         else:
@@ -112,12 +114,12 @@
 
     def gauges(self) -> dict[str, int]:
         """Whether this gateway is in quarantine; nothing before the first look."""
-        return {"fleet.shut_out": int(self.quarantine.out)} if self.quarantine is not None else {}
+        return {"fleet.shut_out": int(self.quarantine.is_quarantined)} if self.quarantine is not None else {}
 
     def close(self) -> None:
         """The fleet is left: nobody grants a quarantine any more."""
         if self.quarantine is not None:
-            if self.quarantine.out:
+            if self.quarantine.is_quarantined:
                 self.intake.end_quarantine()
             self.quarantine = None
             self._set_behind("")
--- a/switchline/service/service.py
+++ b/switchline/service/service.py
@@ -137,7 +137,7 @@
         await self.fleet.query_before_clients(took_over)
         fleet_recovery = self.fleet.recovery
         if self.persistence is not None:
-            is_current = fleet_recovery is None or not fleet_recovery.verdict.old
+            is_current = fleet_recovery is None or not fleet_recovery.verdict.has_old_disk
             await self.persistence.restore(took_over, is_current)
         if self.parts.config.operator is not None:
             self.operators.listen_soon(self.parts.config.operator)
--- a/switchline/zones/coordination.py
+++ b/switchline/zones/coordination.py
@@ -29,8 +29,8 @@
 
 log = logging.getLogger(__name__)
 
-URGENT_EVALUATION_S = 0.05  # between two evaluations after a loss here, or an urgent fact
-EVALUATION_S = 0.25  # between two evaluations else
+URGENT_EVALUATION_INTERVAL_S = 0.05  # between two evaluations after a loss here, or an urgent fact
+EVALUATION_INTERVAL_S = 0.25  # between two evaluations else
 STATE_GAUGES = {ZoneState.UP: 0, ZoneState.RETURNING: 1, ZoneState.LEFT: 2}  # as the policy's own gauge
 
 
@@ -44,8 +44,8 @@
         self.agreement = ZoneAgreement(settings.zone, settings.index, settings.gateways, slow_start, rng)
         self.peers: GossipTransport | None = None
         self.directives: dict[str, Directive] = {}
-        self.noted: AuditCallback = lambda kind, of, version, cause: None  # of the audit
-        self.keep: Callable[[str, Row], None] | None = None  # stores a decision on disk
+        self.record: AuditCallback = lambda kind, of, version, cause: None  # of the audit
+        self.store_decision: Callable[[str, Row], None] | None = None  # stores a decision on disk
         self._timer: asyncio.TimerHandle | None = None
         self._losses = 0  # counted by the policy until the last evaluation
         self._urgent = False
@@ -59,13 +59,13 @@
         if self._timer is None:
             self._run_timer()
 
-    def heard(self, entry: Entry) -> None:
+    def on_fact(self, entry: Entry) -> None:
         """Take note of a fact that is new here."""
         self._urgent |= self.agreement.is_urgent(entry.kind)
-        if entry.kind == FactKind.ZONE_DECISION and self.keep is not None:
-            self.keep(entry.name, to_row(entry))
+        if entry.kind == FactKind.ZONE_DECISION and self.store_decision is not None:
+            self.store_decision(entry.name, to_row(entry))
 
-    def recall(self, rows: Mapping[str, Row]) -> None:
+    def restore(self, rows: Mapping[str, Row]) -> None:
         """Merge decisions from disk at a start; they override none that the others know."""
         for name, row in rows.items():
             entry = from_row(name, row)
@@ -81,10 +81,10 @@
         self._follow({})
 
     def _run_timer(self) -> None:
-        self._timer = asyncio.get_running_loop().call_later(URGENT_EVALUATION_S, self._run_timer)
+        self._timer = asyncio.get_running_loop().call_later(URGENT_EVALUATION_INTERVAL_S, self._run_timer)
         now_s = time.monotonic()
         losses = self.driver.gateway.zones.lost_attempts
-        due = now_s - self._evaluated_s >= EVALUATION_S
+        due = now_s - self._evaluated_s >= EVALUATION_INTERVAL_S
         if losses != self._losses or self._urgent or due:
             self._losses = losses
             self._urgent = False
@@ -137,19 +137,19 @@
                 decision.reason,
             )
             name = decision_name(observers, zone)
-            self.noted("zone", name, f"{version} {decision.state}{step}", decision.reason)
+            self.record("zone", name, f"{version} {decision.state}{step}", decision.reason)
 
     def gauges(self) -> dict[str, int]:
         """Return of each zone the fleet's state, version and step, and this gateway's part of a ramp."""
         found: dict[str, int] = {}
-        for zone, view in self.shown().items():
+        for zone, view in self.describe().items():
             name = f"fleet.zone.{zone_metric_name(zone)}"
             found[f"{name}.state"] = STATE_GAUGES[view["state"]]
             for key in ("version", "step", "part", "observers"):
                 found[f"{name}.{key}"] = view[key]
         return found
 
-    def shown(self) -> dict[str, dict[str, Any]]:
+    def describe(self) -> dict[str, dict[str, Any]]:
         """Return the view of `GET /ops/fleet`, by zone."""
         if self.peers is None:
             return {}
--- a/switchline/zones/ramp.py
+++ b/switchline/zones/ramp.py
@@ -52,7 +52,7 @@
     return BackendRange(sum(digits[:place]) / total, digits[place] / total if place < len(digits) else 0.0)
 
 
-def share_at(step: int, least: float) -> float:
+def capacity_ratio_at(step: int, least: float) -> float:
     """Return what each backend is asked for at a step, as a ratio of a warm one; `least` at step 0."""
     return least + (1 - least) * step / RAMP_STEPS
 
@@ -79,6 +79,6 @@
         The directive. The zone is asked for no more than its even part of all the load.
     """
     even_share = remaining / max(1, remaining + decision.backends)
-    share = min(share_at(decision.step, least), even_share)
+    share = min(capacity_ratio_at(decision.step, least), even_share)
     rate = 0.0 if stalled else share * decision.backend_rate * decision.backends * backends.width
     return Directive(ZoneState.RETURNING, rate, share, range_start=backends.start, range_width=backends.width)
--- a/tests/fleet/test_outage.py
+++ b/tests/fleet/test_outage.py
@@ -17,7 +17,7 @@
 from switchline import ctl
 from switchline.fleet.messages import EndpointList, Entry, Exchange, ListedHost, RemainingQuota, Wanted
 from switchline.fleet.outage import OLD_DISK_S, decode_downtime, judge_outage
-from switchline.fleet.versions.staleness import binding_changes
+from switchline.fleet.versions.staleness import restrictive_changes
 from switchline.fleet_runtime.recovery import spending
 from switchline.fleet_runtime.recovery.backend_list import DOUBT_S
 from switchline.fleet_runtime.recovery.coordinator import FleetRecovery
@@ -81,13 +81,16 @@
         (3_000.0, [3_000.0, 3_000.0], False),  # after so long no backend is cold from it
     ]
     for own, others, common in cases:
-        assert judge_outage(own, others).common is common, (own, others)
+        assert judge_outage(own, others).is_common is common, (own, others)
 
 
 def test_a_disk_that_was_down_far_longer_than_the_others_holds_an_old_copy() -> None:
-    assert judge_outage(2.0 + OLD_DISK_S + 1, [2.0, 2.0, math.nan]).old
-    assert not judge_outage(2.0 + OLD_DISK_S + 1, [2.0]).old  # never one peer's word
-    assert not judge_outage(2.0, [200.0, 200.0]).old and not judge_outage(math.nan, [2.0, 2.0]).old
+    assert judge_outage(2.0 + OLD_DISK_S + 1, [2.0, 2.0, math.nan]).has_old_disk
+    assert not judge_outage(2.0 + OLD_DISK_S + 1, [2.0]).has_old_disk  # never one peer's word
+    assert (
+        not judge_outage(2.0, [200.0, 200.0]).has_old_disk
+        and not judge_outage(math.nan, [2.0, 2.0]).has_old_disk
+    )
 
 
 @settings(max_examples=200, deadline=None)
@@ -97,10 +100,10 @@
 ) -> None:
     mixed = random.Random(seed).sample(others, len(others))
     assert judge_outage(own, mixed) == judge_outage(own, others)
-    if judge_outage(own, others).common:
+    if judge_outage(own, others).is_common:
         assert sum(one is not None for one in (own, *others)) * 2 > 1 + len(others)
     if own is not None and all(one is None for one in others):
-        assert not judge_outage(own, others).common and not judge_outage(own, others).old
+        assert not judge_outage(own, others).is_common and not judge_outage(own, others).has_old_disk
 
 
 @pytest.mark.parametrize("text", ["nan", "inf", "-1", "1e999", "9" * 40, "", "x", "1,0", "\u0661"])
@@ -153,7 +156,7 @@
 
     rows = [row("kept", "up", 4.0), row("drained", "draining"), row("back", "up"), row("anew", "up", 9.0)]
     found = {
-        host["host"]: host for host in binding_changes(own, EndpointList(7, [*rows, row("added", "up")]))
+        host["host"]: host for host in restrictive_changes(own, EndpointList(7, [*rows, row("added", "up")]))
     }
     assert {name: host["health"] for name, host in found.items()} == {
         "drained": "draining",
--- a/tests/fleet/test_quarantine.py
+++ b/tests/fleet/test_quarantine.py
@@ -71,7 +71,7 @@
         return most
 
     def out(self) -> list[int]:
-        return [n for n, one in enumerate(self.shuttings) if one.out and n not in self.gone]
+        return [n for n, one in enumerate(self.shuttings) if one.is_quarantined and n not in self.gone]
 
 
 @given(st.integers(1, 5_000))
--- a/tests/fleet/test_staleness.py
+++ b/tests/fleet/test_staleness.py
@@ -16,7 +16,7 @@
     VersionDivergence,
     agreed_changes,
     other_majority_version,
-    parse_list_number,
+    parse_list_seq,
 )
 from switchline.fleet_runtime import list_repair
 from switchline.fleet_runtime.list_repair import ListRepair
@@ -82,16 +82,16 @@
     newcomer: list[str | None] = ["b"] * 4
     assert not apart.update(0.0, "config", "a", newcomer)
     assert not apart.update(DIVERGENT_S - 0.1, "config", "a", newcomer)
-    assert apart.update(DIVERGENT_S, "config", "a", newcomer) and apart.shown == {"config": "b"}
+    assert apart.update(DIVERGENT_S, "config", "a", newcomer) and apart.majority_versions == {"config": "b"}
     assert not apart.update(DIVERGENT_S + 1, "config", "a", newcomer)
-    assert apart.update(DIVERGENT_S + 2, "config", "b", newcomer) and not apart.shown
+    assert apart.update(DIVERGENT_S + 2, "config", "b", newcomer) and not apart.majority_versions
     assert not apart.update(99.0, "config", "b", ["b", "b", "b", "a"])  # nobody is told of a newcomer
 
 
 @pytest.mark.parametrize("told", [None, "None", "", "-1", "1.5", "9" * 30, "x", "\u0661" * 20])
 def test_a_number_that_is_none_says_nothing(told: str | None) -> None:
-    assert parse_list_number(told) is None
-    assert parse_list_number("41") == 41
+    assert parse_list_seq(told) is None
+    assert parse_list_seq("41") == 41
 
 
 class Stuck:
--- a/tests/linked_fleet.py
+++ b/tests/linked_fleet.py
@@ -12,7 +12,12 @@
 from switchline.policy import gateway_status
 from switchline.policy import interface as api
 from switchline.zones.agreement import ZoneAgreement
-from switchline.zones.coordination import EVALUATION_S, URGENT_EVALUATION_S, observe_zones, to_policy
+from switchline.zones.coordination import (
+    EVALUATION_INTERVAL_S,
+    URGENT_EVALUATION_INTERVAL_S,
+    observe_zones,
+    to_policy,
+)
 from switchline.zones.decision import NO_DIRECTIVE, Directive, ZoneDecision, decode_decision
 from switchline.zones.returning import SlowStart
 from testbed.network.fleet_link import Net, acquaint, address_of
@@ -61,7 +66,7 @@
         self.began_ms, self.began_s = self.now, self.net.now
 
     def _begin(self, index: int) -> None:
-        self.later(self.chance.uniform(0, URGENT_EVALUATION_S * 1000), lambda: self._tick(index))
+        self.later(self.chance.uniform(0, URGENT_EVALUATION_INTERVAL_S * 1000), lambda: self._tick(index))
 
     def _hears(self, index: int) -> Callable[[Entry], None]:
         def told(entry: Entry) -> None:
@@ -88,7 +93,7 @@
         return self.began_s + (self.now - self.began_ms) / 1000
 
     def _tick(self, index: int) -> None:
-        self.later(URGENT_EVALUATION_S * 1000, lambda: self._tick(index))
+        self.later(URGENT_EVALUATION_INTERVAL_S * 1000, lambda: self._tick(index))
         node = self.net.nodes.get(address_of(index))
         if node is None or index in self.lone or self.net.stopped.get(address_of(index), 0) > self.net.now:
             return
@@ -97,7 +102,7 @@
         if (
             losses != self.losses[index]
             or self.urgent[index]
-            or self.net.now - self.evaluated_s[index] >= EVALUATION_S
+            or self.net.now - self.evaluated_s[index] >= EVALUATION_INTERVAL_S
         ):
             self.losses[index], self.urgent[index], self.evaluated_s[index] = losses, False, self.net.now
             gateway, wall = self.gateways[index], self.net.wall(address_of(index))
--- a/tests/zones/test_zone_agreement.py
+++ b/tests/zones/test_zone_agreement.py
@@ -28,7 +28,7 @@
 from switchline.zones.decision import RAMP_STEPS, ZoneDecision, decode_decision, from_row, to_row
 from switchline.zones.evidence import pool_reports
 from switchline.zones.leaving import CONFIRMATION_S, evidence_to_leave
-from switchline.zones.ramp import backend_range, parts_by_load, share_at
+from switchline.zones.ramp import backend_range, capacity_ratio_at, parts_by_load
 from switchline.zones.reports import LocalObservation, PublishedReport, ReceivedReport, decode_report
 from switchline.zones.returning import SlowStart
 from testbed.network.fleet_link import Net, acquaint, address_of
@@ -78,7 +78,7 @@
     used = allowed = 0.0
     for at in range(int(begun), int(begun + 0.7 * warm_ms), 500):
         # What the other zones' backends bear of all, on the way from cold to warm; and its share at most.
-        share = min(2 / 3, share_at(int((at + 500 - begun) / warm_ms * RAMP_STEPS) + 1, 0.2))
+        share = min(2 / 3, capacity_ratio_at(int((at + 500 - begun) / warm_ms * RAMP_STEPS) + 1, 0.2))
         used, allowed = used + play.to("b", at, at + 500), allowed + share * total / 2 * 0.5
         assert play.to("b", at, at + 500) <= share * total / 2 * 0.5 + 8
     assert 0.6 * allowed < used <= allowed
@@ -280,7 +280,7 @@
     for (first, part), (following, _) in itertools.pairwise(ends):
         assert math.isclose(first + part, following, abs_tol=1e-9)  # so that each backend is covered once
     assert ends[0][0] == 0.0 and backend_range("", 7, 5)[0] < 1.0
-    assert [share_at(step, 0.2) for step in (0, RAMP_STEPS)] == [0.2, 1.0]
+    assert [capacity_ratio_at(step, 0.2) for step in (0, RAMP_STEPS)] == [0.2, 1.0]
 
 
 @settings(max_examples=60, deadline=None)
@@ -329,7 +329,9 @@
                             )
                         )
             if rates:
-                most = max(share_at(act.step, 0.2) * act.backend_rate * act.backends for _, act in rates)
+                most = max(
+                    capacity_ratio_at(act.step, 0.2) * act.backend_rate * act.backends for _, act in rates
+                )
                 assert sum(rate for rate, _ in rates) <= most * 1.001
 
 
