--- a/switchline/fleet_runtime/list_repair.py
+++ b/switchline/fleet_runtime/list_repair.py
@@ -19,7 +19,7 @@
 from switchline.fleet.versions.staleness import (
     StaleListWatch,
     agreed_changes,
-    parse_list_number,
+    parse_list_seq,
     removes_all,
     seq_or_no_list,
 )
@@ -67,8 +67,7 @@
         if self.own_seq() >= self.repaired_seq and self._applied:
             self._applied.clear()  # the own agent is level
         numbers = {
-            name: parse_list_number(node.facts.value(FactKind.LIST, "", name))
-            for name in node.members.present
+            name: parse_list_seq(node.facts.value(FactKind.LIST, "", name)) for name in node.members.present
         }
         is_stale = self._stale.is_stale(now_s, self.own_seq(), numbers.values())
         self._set_behind(is_stale and not node.members.minority, numbers, node)
