--- a/measure/zones.py
+++ b/measure/zones.py
@@ -35,7 +35,7 @@
 class Without(Zones):
     """Sees no zones."""
 
-    def regroup(self, now: float, backends: object) -> None:
+    def update_backends(self, now: float, backends: object) -> None:
         self.is_multi_zone = False
 
 
@@ -52,7 +52,7 @@
     if name == "without":
         for gateway in fleet.gateways:
             gateway.zones.__class__ = Without
-            gateway.backends.regroup(fleet.now)
+            gateway.backends.update_subset(fleet.now)
     return fleet
 
 
--- a/switchline/fleet_runtime/recovery/coordinator.py
+++ b/switchline/fleet_runtime/recovery/coordinator.py
@@ -165,7 +165,7 @@
             self.overrides.adopt(self._node)
         self.backend_list.tick(now_s)
         if self.stages.stage is Stage.WARMING_UP:
-            if now_ms() >= self.driver.gateway.recovery_ramp.until_ms:
+            if now_ms() >= self.driver.gateway.recovery_ramp.end_ms:
                 elapsed_s = self.stages.elapsed_s()
                 why = f"the backends have had their slow start, {elapsed_s:.1f} s after"
                 self.stages.enter(Stage.COMPLETE, why)
--- a/switchline/policy/backends/backend_table.py
+++ b/switchline/policy/backends/backend_table.py
@@ -39,7 +39,7 @@
         """Give the part of the subset's capacity that it surely has, up to 1."""
         return sum(backend.warm_ratio(now) for backend in self.subset) / max(1, len(self.subset))
 
-    def on_list(self, now: float, event: api.BackendsChanged, actions: api.Actions) -> None:
+    def on_backends_changed(self, now: float, event: api.BackendsChanged, actions: api.Actions) -> None:
         """Take over the endpoint list or its changes; after a failed poll the old list stays."""
         if event.scope is api.ListScope.FAILED:
             delay_ms = self._settings.rules.drain_grace_ms
@@ -50,7 +50,7 @@
             self.by_id = {number: backend for number, backend in self.by_id.items() if number in listed}
         for entry in event.entries:
             self._update(now, entry, event.previous_valid_until_ms)
-        self.regroup(now)
+        self.update_subset(now)
 
     def on_overridden(self, now: float, event: api.BackendOverridden, _: api.Actions) -> None:
         """Operators' overrides go before the list, and last until they are taken back."""
@@ -65,7 +65,7 @@
             backend = self.by_id.get(event.backend)
             if backend:
                 backend.enable(now, event.since_ms)
-        self.regroup(now)
+        self.update_subset(now)
 
     def on_zone_overridden(self, now: float, event: api.ZoneOverridden, _: api.Actions) -> None:
         """As for one backend; all backends of a zone that is enabled again count as cold."""
@@ -74,7 +74,7 @@
             if backend.zone == event.zone and not event.disabled:
                 self._enabled_ms[backend.id] = event.since_ms
                 backend.enable(now, event.since_ms)
-        self.regroup(now)
+        self.update_subset(now)
 
     def on_outage(self, now: float, event: api.FleetOutage) -> None:
         """The whole fleet lost power: so may the backends have, whatever an old list shows of their ages."""
@@ -82,12 +82,12 @@
             if backend.started_ms < event.since_ms:
                 backend.enable(now, event.recovered_ms, is_estimated=True)
 
-    def regroup(self, now: float) -> None:
+    def update_subset(self, now: float) -> None:
         """Choose the subset anew, and let the zones know which backends there are."""
         settings = self._settings
         self.free_in_flight = FREE_IN_FLIGHT_PER_BACKEND * len(self.by_id) / max(1, settings.gateways)
         backends = list(self.by_id.values())
-        self._zones.regroup(
+        self._zones.update_backends(
             now, [(backend.id, backend.zone, self.is_usable(backend)) for backend in backends]
         )
         usable = [backend for backend in backends if self.is_usable(backend)]
--- a/switchline/policy/backends/outlier_scores.py
+++ b/switchline/policy/backends/outlier_scores.py
@@ -7,7 +7,7 @@
 from switchline.policy import interface as api
 from switchline.policy.backends.backend import Backend
 from switchline.policy.backends.backend_table import BackendTable
-from switchline.policy.backends.score_names import ALL, REFUSING, SLOW
+from switchline.policy.backends.score_names import ALL_REQUESTS_SCORE, REFUSING_SCORE, SLOWNESS_SCORE
 from switchline.policy.quota.customer import LEASE_MS
 from switchline.policy.requests.latency import LatencyEstimate
 
@@ -46,7 +46,7 @@
 
     def slowness_ms(self, now: float, backend: Backend) -> float:
         """Give how much slower a backend is than the mean."""
-        return self.score(now, backend, SLOW)
+        return self.score(now, backend, SLOWNESS_SCORE)
 
     def failure_probability(self, now: float, backend: Backend, score_names: tuple[str, str, str]) -> float:
         """Give how likely a backend fails a request: a class or plan may fare ill where others are served.
@@ -59,8 +59,8 @@
             backend: The backend.
             score_names: Those of the request: of all, of its class and of its plan.
         """
-        refusing = self.score(now, backend, REFUSING)
-        of_all = self.score(now, backend, ALL)
+        refusing = self.score(now, backend, REFUSING_SCORE)
+        of_all = self.score(now, backend, ALL_REQUESTS_SCORE)
         if of_all < NEGLIGIBLE_SCORE:
             return refusing
         of_class, of_plan = (
@@ -70,12 +70,15 @@
 
     def is_ejected(self, now: float, backend: Backend) -> bool:
         """Whether a backend is avoided for its failures; it still gets a request now and then."""
-        return max(self.score(now, backend, name) for name in (ALL, REFUSING)) >= EJECTION_SCORE
+        return (
+            max(self.score(now, backend, name) for name in (ALL_REQUESTS_SCORE, REFUSING_SCORE))
+            >= EJECTION_SCORE
+        )
 
     def observe_slowness(self, now: float, backend: Backend, before_ms: float, excess_ms: float) -> None:
         """Take into the score of slowness how much longer than the mean an answer took."""
         level = before_ms + (excess_ms - before_ms) * SLOWNESS_WEIGHT
-        backend.scores[SLOW] = api.FadingScore(level, now)
+        backend.scores[SLOWNESS_SCORE] = api.FadingScore(level, now)
 
     def observe_outcome(
         self, now: float, backend: Backend, outcome: api.Outcome, score_names: tuple[str, str, str]
@@ -83,7 +86,7 @@
         """Take an outcome into the scores of failures: one that took no work says nothing of the others."""
         is_refusing = outcome in REFUSED_BY_BACKEND
         is_failed = outcome not in (api.Outcome.OK, api.Outcome.IGNORED)
-        for name in (REFUSING,) if is_refusing else (REFUSING, *score_names):
-            target = is_refusing or (name != REFUSING and is_failed)
+        for name in (REFUSING_SCORE,) if is_refusing else (REFUSING_SCORE, *score_names):
+            target = is_refusing or (name != REFUSING_SCORE and is_failed)
             level = self.score(now, backend, name)
             backend.scores[name] = api.FadingScore(level + (target - level) * FAILURE_WEIGHT, now)
--- a/switchline/policy/backends/recovery_ramp.py
+++ b/switchline/policy/backends/recovery_ramp.py
@@ -21,25 +21,25 @@
     """Owns whether the fleet recovers, and how far slow start's share is lifted meanwhile.
 
     Attributes:
-        until_ms: The end of the recovery.
-        lift: The factor on slow start's share.
+        end_ms: Time at which the recovery ends.
+        share_multiplier: Factor by which the share of slow start is multiplied.
     """
 
     def __init__(self) -> None:
-        self.until_ms = -math.inf
-        self.lift = 1.0
+        self.end_ms = -math.inf
+        self.share_multiplier = 1.0
         self._began_ms = 0.0
         self._updated_ms = 0.0
 
     def is_active(self, now: float) -> bool:
         """Whether the fleet recovers."""
-        return now < self.until_ms
+        return now < self.end_ms
 
-    def begin(self, now: float, until_ms: float) -> None:
+    def begin(self, now: float, end_ms: float) -> None:
         """Begin a recovery."""
         self._began_ms = now
-        self.until_ms = until_ms
-        self.lift = 1.0
+        self.end_ms = end_ms
+        self.share_multiplier = 1.0
         self._updated_ms = now
 
     def shedding_threshold(
@@ -50,9 +50,9 @@
         usual_threshold: float,
         priority_deficit: float,
         warm_ratio: float,
-        answered_ms: float,
+        last_answer_ms: float,
     ) -> float:
-        """Give the load ratio from which requests are shed; evidence raises or lowers the lift.
+        """Give the load ratio from which requests are shed; evidence raises or lowers the share multiplier.
 
         Args:
             now: The time in milliseconds.
@@ -60,18 +60,18 @@
             usual_threshold: The threshold without a recovery.
             priority_deficit: How far the class is below the highest priority, up to 1.
             warm_ratio: The part of the backends' capacity that they surely have.
-            answered_ms: When the last answer came.
+            last_answer_ms: Time of the last answer.
         """
         threshold = min(
             MAX_LOAD_RATIO - RECOVERY_PRIORITY_SPAN * priority_deficit,
             usual_threshold / max(warm_ratio, 1e-3),
         )
-        direction = int(answered_ms > max(self._began_ms, now - MAX_ANSWER_AGE_MS))
+        direction = int(last_answer_ms > max(self._began_ms, now - MAX_ANSWER_AGE_MS))
         if load_ratio >= RAISING_RATIO * threshold:
             direction = -1
         step = RISE_PER_S * min(1.0, (now - self._updated_ms) / 1000) * direction
-        self.lift = min(MAX_LIFT, max(1.0, self.lift * math.exp(step)))
+        self.share_multiplier = min(MAX_LIFT, max(1.0, self.share_multiplier * math.exp(step)))
         self._updated_ms = now
         if warm_ratio >= 1:  # the last of them has had its slow start
-            self.until_ms = now
+            self.end_ms = now
         return threshold
--- a/switchline/policy/backends/score_names.py
+++ b/switchline/policy/backends/score_names.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-REFUSING = "shut"  # it takes no work: gone or full
-SLOW = "slow"  # milliseconds above the mean latency
-ALL = "all"  # it fails requests of whichever class and plan
+REFUSING_SCORE = "shut"  # it takes no work: gone or full
+SLOWNESS_SCORE = "slow"  # milliseconds above the mean latency
+ALL_REQUESTS_SCORE = "all"  # it fails requests of whichever class and plan
 
 
 def score_of_class(request_class: str) -> str:
--- a/switchline/policy/backends/selection.py
+++ b/switchline/policy/backends/selection.py
@@ -14,7 +14,8 @@
 from switchline.policy.requests.latency import LatencyEstimate
 from switchline.policy.requests.request import Request
 
-END_MARGIN_MS = 50.0  # a request is ended so long before it expires; small beside any latency objective
+# A request is ended so long before it expires; small beside any latency objective.
+EXPIRY_MARGIN_MS = 50.0
 # How far chance spreads the choice: half the cost is chosen sixteen times as often.
 CHANCE_EXPONENT = 0.25
 # Turns of any number fall evenly over a range if each goes on by its golden section.
@@ -34,7 +35,7 @@
     if not request.may_have_run or request_class.effect is api.Effect.SAFE:
         return True
     first = request.may_have_run[0]
-    is_forgotten = now - first.sent_ms >= request_class.repeat_window_ms - END_MARGIN_MS
+    is_forgotten = now - first.sent_ms >= request_class.repeat_window_ms - EXPIRY_MARGIN_MS
     if request_class.effect is api.Effect.UNSAFE or is_forgotten:
         return False
     scope = request_class.repeat_scope
@@ -118,10 +119,10 @@
         else:
             backend = self._rng.choice(candidates)
         capacity = sum(candidate.warm_ratio(now) for candidate in candidates)
-        lift = len(candidates) / max(1e-9, capacity)  # more where many are cold
-        probability = backend.warm_ratio(now) * min(lift, self._max_warming_lift)
+        share_multiplier = len(candidates) / max(1e-9, capacity)  # more where many are cold
+        probability = backend.warm_ratio(now) * min(share_multiplier, self._max_warming_lift)
         if is_recovering:
-            probability *= ramp.lift
+            probability *= ramp.share_multiplier
         if backend.warm_ratio(now) >= 1 or self._rng.random() >= probability:
             return None
         failure_probability = self.outliers.failure_probability(now, backend, request.score_names)
--- a/switchline/policy/backends/zone_routing.py
+++ b/switchline/policy/backends/zone_routing.py
@@ -64,7 +64,9 @@
         """
         zones = self._zones
         scores = {name: zone.failure_score(now, zones.memory_ms) for name, zone in zones.by_name.items()}
-        least = min((scores[name] for name, zone in zones.by_name.items() if zone.usable), default=0.0)
+        least = min(
+            (scores[name] for name, zone in zones.by_name.items() if zone.usable_backends), default=0.0
+        )
         step_cost = self._step_cost()
         return {
             name: (1 + ZONE_FAILURE_COST * max(0.0, score - least)) * (1 + step_cost * self.distance(name))
@@ -82,10 +84,12 @@
     def _is_panic(self) -> bool:
         """Whether so little remains that the gateway itself is cut off, or the fault is common."""
         zones = self._zones.by_name
-        usable = sum(zone.usable for zone in zones.values())
-        remaining = sum(zone.usable for zone in zones.values() if zone.state is not api.ZoneState.LEFT)
+        usable = sum(zone.usable_backends for zone in zones.values())
+        remaining = sum(
+            zone.usable_backends for zone in zones.values() if zone.state is not api.ZoneState.LEFT
+        )
         own = zones.get(self._own)
-        if own is not None and own.usable and own.state is not api.ZoneState.LEFT:
+        if own is not None and own.usable_backends and own.state is not api.ZoneState.LEFT:
             return False  # what works is near: use it, and reject what it can't take
         return remaining < PANIC_RATIO * usable
 
@@ -105,8 +109,8 @@
         In a zone of few backends gateways are many, and each sees little of what the others send.
         """
         zones = self._zones.by_name
-        usable = [zone.usable for zone in zones.values() if zone.usable]
-        own = zones[self._own].usable if self._own in zones else 0
+        usable = [zone.usable_backends for zone in zones.values() if zone.usable_backends]
+        own = zones[self._own].usable_backends if self._own in zones else 0
         mean = sum(usable) / max(1, len(usable))
         price_cost = MIN_DISTANCE_COST + DISTANCE_COST_PER_PRICE * self._cross_zone_price
         step_cost = min(MAX_DISTANCE_COST, price_cost)
--- a/switchline/policy/backends/zones.py
+++ b/switchline/policy/backends/zones.py
@@ -38,7 +38,7 @@
         name: Its name.
         state: Whether it gets work.
         evidence: By backend, how surely it is lost.
-        usable: How many of its backends may get work.
+        usable_backends: Number of its backends that may get work.
         listed_ms: When a list named it last.
         check_due_ms: When its next health check is due, while it is left.
         returned_ms: When its last return began.
@@ -71,14 +71,14 @@
         "recent_attempts",
         "returned_ms",
         "state",
-        "usable",
+        "usable_backends",
     )
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.state = api.ZoneState.UP
         self.evidence: dict[int, api.FadingScore] = {}
-        self.usable = 0
+        self.usable_backends = 0
         self.listed_ms = 0.0
         self.check_due_ms = 0.0
         self.returned_ms = -math.inf
@@ -151,15 +151,15 @@
         """Another table of regions is valid."""
         self.regions = dict(event.regions)
 
-    def regroup(self, now: float, backends: Iterable[tuple[int, str, bool]]) -> None:
+    def update_backends(self, now: float, backends: Iterable[tuple[int, str, bool]]) -> None:
         """Take over which backends there are: the number, the zone, and whether it may be used."""
         listed: dict[str, list[int]] = {}
         for zone in self.by_name.values():
-            zone.usable = 0
+            zone.usable_backends = 0
         for backend, name, is_usable in backends:
             if name in self.by_name or len(self.by_name) < MAX_ZONES:
                 zone = self.by_name.setdefault(name, Zone(name))
-                zone.usable += is_usable
+                zone.usable_backends += is_usable
                 zone.listed_ms = now
                 listed.setdefault(name, []).append(backend)
         for name, zone in list(self.by_name.items()):
--- a/switchline/policy/gateway.py
+++ b/switchline/policy/gateway.py
@@ -96,7 +96,7 @@
             api.RequestBodySent: self.attempts.on_body_sent,
             api.StreamedAnswerStarted: self.attempts.on_answer_streamed,
             api.RequestLapsed: self.attempts.on_lapsed,
-            api.BackendsChanged: self.backends.on_list,
+            api.BackendsChanged: self.backends.on_backends_changed,
             api.BackendOverridden: self.backends.on_overridden,
             api.ZoneOverridden: self.backends.on_zone_overridden,
             api.ZoneDirective: self.zones.on_directive,
--- a/switchline/policy/gateway_status.py
+++ b/switchline/policy/gateway_status.py
@@ -19,21 +19,21 @@
     """What this gateway has seen of one zone lately.
 
     Attributes:
-        usable: How many of its backends may get work.
-        lost_ms: Its backends that look lost, and how many ms ago that was seen.
-        well_ms: Its backends that answer, and how many ms ago one did.
-        slow: How many of those are slow.
+        usable_backends: Number of its backends that may get work.
+        lost_backend_ages_ms: Time since the last outcome of each of its backends that look lost, by backend.
+        answering_backend_ages_ms: Time since the last outcome of each of its backends that answer.
+        slow_backends: Number of the answering backends that are slow.
         warm_ratio: That of the youngest of its backends, as far as the list shows their starts.
     """
 
-    usable: int
-    lost_ms: dict[int, float] = field(default_factory=dict)
-    well_ms: dict[int, float] = field(default_factory=dict)
-    slow: int = 0
+    usable_backends: int
+    lost_backend_ages_ms: dict[int, float] = field(default_factory=dict)
+    answering_backend_ages_ms: dict[int, float] = field(default_factory=dict)
+    slow_backends: int = 0
     warm_ratio: float = 1.0
 
 
-def ejected_backends(gateway: Gateway, now: float) -> int:
+def ejected_backend_count(gateway: Gateway, now: float) -> int:
     """Count the listed backends that are avoided, by an operator's override or for their failures."""
     return sum(is_avoided(gateway, backend, now) for backend in gateway.backends.by_id.values())
 
@@ -87,7 +87,7 @@
     Of a zone that it has left it sees little more: what was lost there counts until an answer comes.
     """
     zones = gateway.zones
-    observations = {name: ZoneObservation(zone.usable) for name, zone in zones.by_name.items()}
+    observations = {name: ZoneObservation(zone.usable_backends) for name, zone in zones.by_name.items()}
     for backend in gateway.backends.by_id.values():
         if backend.zone in observations and gateway.backends.is_usable(backend):
             observation = observations[backend.zone]
@@ -104,12 +104,12 @@
     for number, (level, at) in zone.evidence.items():
         age_ms = now - at
         if level * math.exp(-age_ms / memory_ms) > LOST_SCORE or (level > LOST_SCORE and is_left):
-            observation.lost_ms[number] = age_ms
+            observation.lost_backend_ages_ms[number] = age_ms
         elif level < LOST_SCORE and age_ms < memory_ms:
-            observation.well_ms[number] = age_ms
+            observation.answering_backend_ages_ms[number] = age_ms
             backend = gateway.backends.by_id.get(number)
             if backend is not None:
-                observation.slow += is_slow(gateway, now, backend)
+                observation.slow_backends += is_slow(gateway, now, backend)
 
 
 def is_slow(gateway: Gateway, now: float, backend: Backend) -> bool:
--- a/switchline/policy/persistence/replication.py
+++ b/switchline/policy/persistence/replication.py
@@ -77,7 +77,7 @@
         if self.has_peer:
             self._replicate(customer, actions, unreported_units=unreported_units, tokens=units, units=units)
 
-    def replicate_open(self, customer: Customer, change: int, actions: api.Actions) -> None:
+    def replicate_in_flight_change(self, customer: Customer, change: int, actions: api.Actions) -> None:
         """Let the other process count an attempt that begins (1) or ends (-1) here."""
         if self.has_peer:
             self._replicate(customer, actions, open_attempts=change)
--- a/switchline/policy/quota/admission.py
+++ b/switchline/policy/quota/admission.py
@@ -170,7 +170,7 @@
                 usual_threshold=threshold,
                 priority_deficit=deficit,
                 warm_ratio=self._backends.warm_ratio(now),
-                answered_ms=self._latency.answered_at_ms,
+                last_answer_ms=self._latency.answered_at_ms,
             )
         return load.ratio > threshold + jitter or now + load.expected_ms > request.objective_ms
 
--- a/switchline/policy/requests/attempts.py
+++ b/switchline/policy/requests/attempts.py
@@ -7,7 +7,7 @@
 from switchline.policy import interface as api
 from switchline.policy.backends.backend import Backend
 from switchline.policy.backends.outlier_scores import OutlierScores
-from switchline.policy.backends.selection import END_MARGIN_MS, BackendSelection
+from switchline.policy.backends.selection import EXPIRY_MARGIN_MS, BackendSelection
 from switchline.policy.backends.zones import Zones
 from switchline.policy.persistence.replication import PeerReplication
 from switchline.policy.quota.leases import LeaseKeeper
@@ -74,13 +74,13 @@
 
     def watch(self, now: float, request: Request, check_at_ms: float, actions: api.Actions) -> None:
         """Look at a request again at a time, before it expires in any case."""
-        request.check_at_ms = min(check_at_ms, request.expires_ms - END_MARGIN_MS)
+        request.check_at_ms = min(check_at_ms, request.expires_ms - EXPIRY_MARGIN_MS)
         timer = api.Timer(api.TimerPurpose.REQUEST, request.id)
         actions.append(api.SetTimer(max(0.0, request.check_at_ms - now), timer))
 
     def is_expiring(self, now: float, request: Request) -> bool:
         """Whether a request must have its final answer now."""
-        return now >= request.expires_ms - END_MARGIN_MS - TIMER_TOLERANCE_MS
+        return now >= request.expires_ms - EXPIRY_MARGIN_MS - TIMER_TOLERANCE_MS
 
     def on_body_received(self, now: float, event: api.RequestBodyReceived, actions: api.Actions) -> None:
         """The body of a streamed request is complete: watch the request as any other."""
@@ -228,4 +228,4 @@
         customer = request.customer
         customer.in_flight += change
         if customer.plan.max_open_requests:
-            self._replication.replicate_open(customer, change, actions)
+            self._replication.replicate_in_flight_change(customer, change, actions)
--- a/switchline/policy/requests/request.py
+++ b/switchline/policy/requests/request.py
@@ -7,7 +7,7 @@
 
 from switchline.policy import interface as api
 from switchline.policy.backends.backend import Backend
-from switchline.policy.backends.score_names import ALL, score_of_class, score_of_plan
+from switchline.policy.backends.score_names import ALL_REQUESTS_SCORE, score_of_class, score_of_plan
 from switchline.policy.quota.customer import Customer
 
 # Outcomes of an attempt that surely did not run.
@@ -67,7 +67,11 @@
         self.attempts_made = 0
         self.check_at_ms = math.inf
         self.has_actual_units = False
-        self.score_names = (ALL, score_of_class(request_class.name), score_of_plan(customer.plan.name))
+        self.score_names = (
+            ALL_REQUESTS_SCORE,
+            score_of_class(request_class.name),
+            score_of_plan(customer.plan.name),
+        )
         self.is_streamed = event.streamed
         self.is_body_complete = not event.streamed
         self.live: set[int] = set()
--- a/switchline/service/driver.py
+++ b/switchline/service/driver.py
@@ -115,7 +115,7 @@
         return {
             "outstanding": len(self.requests.open),
             "discovered": len(self.gateway.backends.by_id),
-            "ejected": gateway_status.ejected_backends(self.gateway, now_ms()),
+            "ejected": gateway_status.ejected_backend_count(self.gateway, now_ms()),
         }
 
     def zones(self) -> dict[str, dict[str, int]]:
--- a/switchline/zones/coordination.py
+++ b/switchline/zones/coordination.py
@@ -177,10 +177,14 @@
     """Return what a gateway observes in each zone with usable backends; `now` in milliseconds."""
     return {
         zone: LocalObservation(
-            seen.usable, _ages_s(seen.lost_ms), _ages_s(seen.well_ms), seen.slow, seen.warm_ratio
+            seen.usable_backends,
+            _ages_s(seen.lost_backend_ages_ms),
+            _ages_s(seen.answering_backend_ages_ms),
+            seen.slow_backends,
+            seen.warm_ratio,
         )
         for zone, seen in gateway_status.zone_observations(gateway, now).items()
-        if seen.usable
+        if seen.usable_backends
     }
 
 
--- a/tests/fleet/test_outage.py
+++ b/tests/fleet/test_outage.py
@@ -301,7 +301,7 @@
     used = admitted(gateway, rate, 200.0, 6.0, now)
     asked = [0.1 / (0.2 + 0.8 * (second + 0.5) / 16) for second in range(6)]
     assert sum(used[2:5]) > 0.8 * sum(asked[2:5])  # by the lot alone it would be about a third
-    assert gateway.recovery_ramp.lift > 2
+    assert gateway.recovery_ramp.share_multiplier > 2
 
 
 def test_silence_lifts_no_lot() -> None:
@@ -310,7 +310,7 @@
     sent = 0
     for number in range(300):  # three seconds, and nobody answers
         sent += any(isinstance(a, api.Send) for a in ask(gateway, now + number * 10, number))
-    assert gateway.recovery_ramp.lift == 1.0 and sent < 0.5 * 300
+    assert gateway.recovery_ramp.share_multiplier == 1.0 and sent < 0.5 * 300
 
 
 def test_the_stage_ends_with_the_slow_start_and_on_discovery_s_word_of_a_warm_backend() -> None:
@@ -320,7 +320,7 @@
     entry = api.BackendEntry(0, "a", 0, now - 2_000, api.BackendState.READY)
     gateway.handle(now + 100, api.BackendsChanged(api.ListScope.CHANGES, (entry,)))
     assert gateway.backends.by_id[0].warm_ratio(now + 100) == pytest.approx(0.2 + 0.8 * 2_100 / 16_000)
-    assert gateway.recovery_ramp.until_ms == now + 16_000
+    assert gateway.recovery_ramp.end_ms == now + 16_000
     ask(gateway, now + 16_001, 1)
     assert gateway.backends.warm_ratio(now + 16_001) == 1.0
 
--- a/tests/neutral_form.py
+++ b/tests/neutral_form.py
@@ -370,15 +370,15 @@
 def encode_status(gateway: Gateway, now: float) -> Neutral:
     """Turn what staff and other gateways are shown of a gateway into its neutral form."""
     return {
-        "backends_avoided": gateway_status.ejected_backends(gateway, now),
+        "backends_avoided": gateway_status.ejected_backend_count(gateway, now),
         "zone_metrics": gateway_status.zone_metrics(gateway.zones, now),
         "quota_reports": [encode_event(report) for report in gateway_status.quota_reports(gateway, now, 100)],
         "zone_observations": {
             zone: {
-                "usable": seen.usable,
-                "lost_ms": [[backend, age] for backend, age in seen.lost_ms.items()],
-                "answering_ms": [[backend, age] for backend, age in seen.well_ms.items()],
-                "slow": seen.slow,
+                "usable": seen.usable_backends,
+                "lost_ms": [[backend, age] for backend, age in seen.lost_backend_ages_ms.items()],
+                "answering_ms": [[backend, age] for backend, age in seen.answering_backend_ages_ms.items()],
+                "slow": seen.slow_backends,
                 "warmth": seen.warm_ratio,
             }
             for zone, seen in gateway_status.zone_observations(gateway, now).items()
--- a/tests/policy/test_zones.py
+++ b/tests/policy/test_zones.py
@@ -212,7 +212,7 @@
 
 def test_a_zone_that_flaps_takes_longer_each_time() -> None:
     zones = Zones(settings(zone="a"), random.Random(1))
-    zones.regroup(0.0, [(z * 10 + n, "ab"[z], True) for z in (0, 1) for n in range(4)])
+    zones.update_backends(0.0, [(z * 10 + n, "ab"[z], True) for z in (0, 1) for n in range(4)])
     now, ramps = 1000.0, []
     for _ in range(5):
         for backend in range(10, 14):
@@ -274,10 +274,10 @@
 
 def test_zones_have_a_bound_and_an_end() -> None:
     zones = Zones(settings(), random.Random(1))
-    zones.regroup(0.0, [(n, f"z{n}", True) for n in range(500)])
+    zones.update_backends(0.0, [(n, f"z{n}", True) for n in range(500)])
     assert len(zones.by_name) == MAX_ZONES
     zones.on_outcome(1.0, 400, "z400", is_lost=True)  # of no zone that is kept
-    zones.regroup(ZONE_TTL_MS + 1, [(1, "z1", True)])
+    zones.update_backends(ZONE_TTL_MS + 1, [(1, "z1", True)])
     assert list(zones.by_name) == ["z1"] and not zones.is_multi_zone
 
 
@@ -539,4 +539,4 @@
     fleet.tell(fleet.of("b"), state=api.BackendState.GONE)
     since = fleet.now
     fleet.run(2000, gap=50)
-    assert not fleet.to("b", since) and all(not g.zones.by_name["b"].usable for g in fleet.gateways)
+    assert not fleet.to("b", since) and all(not g.zones.by_name["b"].usable_backends for g in fleet.gateways)
