--- a/switchline/policy/quota/admission.py
+++ b/switchline/policy/quota/admission.py
@@ -18,7 +18,7 @@
 from switchline.policy.quota.customer import Customer
 from switchline.policy.requests.latency import LatencyEstimate
 from switchline.policy.requests.load import LoadEstimate
-from switchline.policy.requests.patience import initial_patience_ms
+from switchline.policy.requests.loss_timeout import initial_patience_ms
 from switchline.policy.requests.request import Request
 from switchline.policy.requests.retry_budget import RetryBudget
 
--- a/switchline/policy/requests/attempts.py
+++ b/switchline/policy/requests/attempts.py
@@ -13,7 +13,7 @@
 from switchline.policy.quota.leases import LeaseKeeper
 from switchline.policy.requests.final_answer import final_answer
 from switchline.policy.requests.latency import LatencyEstimate
-from switchline.policy.requests.patience import patience_ms
+from switchline.policy.requests.loss_timeout import patience_ms
 from switchline.policy.requests.request import NEVER_RAN, Attempt, Request
 from switchline.policy.requests.retry_budget import RetryBudget
 
--- a/switchline/policy/requests/final_answer.py
+++ b/switchline/policy/requests/final_answer.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from switchline.policy import interface as api
-from switchline.policy.requests.patience import initial_patience_ms
+from switchline.policy.requests.loss_timeout import initial_patience_ms
 from switchline.policy.requests.request import Request
 
 
