--- a/switchline/backends/connection.py
+++ b/switchline/backends/connection.py
@@ -145,7 +145,7 @@
         self.close()
         longest_waiting = next(iter(self.endpoint.waiting), None)
         if refused and longest_waiting is not None:
-            longest_waiting.end(Outcome.CONNECT)
+            longest_waiting.end(Outcome.CONNECT_FAILED)
 
     # ---- sending ----
 
@@ -186,13 +186,13 @@
         if now >= attempt.expires_at_ms:
             return Outcome.IGNORED
         if not self.endpoint.takes_new:
-            return Outcome.CONNECT
+            return Outcome.CONNECT_FAILED
         return attempt.reason_not_to_send(now)
 
     def _on_sendable(self) -> None:
         """Go on with a request of which some has left: it has run at the earliest with its last byte."""
         if self._must_stop_sending():
-            self.end(Outcome.CONNECT)  # so that the last byte never leaves
+            self.end(Outcome.CONNECT_FAILED)  # so that the last byte never leaves
             return
         self._send()
 
@@ -215,7 +215,7 @@
         except (BlockingIOError, InterruptedError):
             pass
         except OSError:
-            self.end(Outcome.CONNECT)  # the last byte did not leave
+            self.end(Outcome.CONNECT_FAILED)  # the last byte did not leave
             return
         finally:
             self._sending = False
@@ -252,7 +252,7 @@
         try:
             self.pool.loop.add_writer(self.fd, self._on_sendable)
         except OSError:
-            self.end(Outcome.CONNECT)  # the rest could never leave
+            self.end(Outcome.CONNECT_FAILED)  # the rest could never leave
 
     # ---- receiving ----
 
@@ -365,7 +365,7 @@
         may_have_run = (
             self.state is not ConnectionState.CONNECTING and self._request_state is RequestState.SENT
         )
-        return Outcome.RESET if may_have_run else Outcome.CONNECT
+        return Outcome.RESET if may_have_run else Outcome.CONNECT_FAILED
 
     def end(self, outcome: Outcome) -> None:
         """Close, and end the attempt on it. It closes first, so that there are never two attempts at once."""
--- a/switchline/backends/pool.py
+++ b/switchline/backends/pool.py
@@ -122,7 +122,7 @@
 
     def _fail_waiting(self, endpoint: Endpoint) -> None:
         for attempt in list(endpoint.waiting):
-            attempt.end(Outcome.CONNECT)
+            attempt.end(Outcome.CONNECT_FAILED)
         self._close_unneeded_handshakes(endpoint)
 
     # ---- attempts ----
@@ -131,7 +131,7 @@
         """Send an attempt on an idle connection, or let it wait for one."""
         endpoint = self.endpoints.get(attempt.backend)
         if endpoint is None or not endpoint.takes_new:
-            attempt.end(Outcome.CONNECT)
+            attempt.end(Outcome.CONNECT_FAILED)
             return
         while endpoint.idle:
             connection = endpoint.idle.pop()
@@ -148,8 +148,8 @@
         """End an attempt that is no longer wanted, or timed out."""
         connection = attempt.connection
         if connection is not None:
-            unsent = outcome is Outcome.TIMED_OUT and connection.outcome_if_broken() is Outcome.CONNECT
-            connection.end(Outcome.CONNECT if unsent else outcome)
+            unsent = outcome is Outcome.TIMED_OUT and connection.outcome_if_broken() is Outcome.CONNECT_FAILED
+            connection.end(Outcome.CONNECT_FAILED if unsent else outcome)
             return
         endpoint = attempt.endpoint
         timed_out_waiting = endpoint is not None and outcome is Outcome.TIMED_OUT
@@ -175,7 +175,7 @@
             return Outcome.IGNORED
         endpoint = attempt.endpoint
         handshake = attempt.handshake_started or (endpoint is not None and bool(endpoint.connecting))
-        return Outcome.CONNECT if handshake else Outcome.NO_CAPACITY
+        return Outcome.CONNECT_FAILED if handshake else Outcome.NO_CONNECTION
 
     # ---- opening connections ----
 
@@ -199,7 +199,7 @@
                 self._starved[endpoint] = None
                 self.timers.at(now_ms() + LOCAL_FAILURE_PAUSE_MS, self._serve_starved)
             else:
-                attempt.end(Outcome.CONNECT)
+                attempt.end(Outcome.CONNECT_FAILED)
             return
         attempt.handshake_started = True
         self.metrics.handshakes_begun += 1
@@ -313,7 +313,7 @@
         self._starved.clear()
         for endpoint in self.endpoints.values():
             for attempt in list(endpoint.waiting):
-                attempt.end(Outcome.CONNECT)
+                attempt.end(Outcome.CONNECT_FAILED)
         for connection in list(self.connections):
             connection.end(connection.outcome_if_broken())
 
--- a/switchline/backends/reply.py
+++ b/switchline/backends/reply.py
@@ -33,7 +33,7 @@
         return Reply(Outcome.OK, value[0], decode_true_units(value))
     true_units = decode_true_units(value)
     if isinstance(value, SimpleValue) and value.kind == b"-" and value.text.split(b" ", 1)[0] == BUSY:
-        return Reply(Outcome.FULL, true_units=true_units)
+        return Reply(Outcome.QUEUE_FULL, true_units=true_units)
     return Reply(Outcome.FAILED, true_units=true_units)
 
 
--- a/switchline/counter/client.py
+++ b/switchline/counter/client.py
@@ -63,7 +63,7 @@
         if self.connection is None or self.connection.closed:
             self._connect_in_background()
         elif len(self.connection.unanswered) >= MAX_UNANSWERED:
-            self._fail_waiting(Outcome.FULL)
+            self._fail_waiting(Outcome.QUEUE_FULL)
         else:
             calls = self.waiting
             self.waiting = []
@@ -83,7 +83,7 @@
 
     def _connect_in_background(self) -> None:
         if not self.counter.budget.has_free(Part.COUNTER):
-            self._fail_waiting(Outcome.CONNECT)
+            self._fail_waiting(Outcome.CONNECT_FAILED)
         elif self.connecting is None:
             self.connecting = self.counter.loop.create_task(self._connect())
 
@@ -99,7 +99,7 @@
                 connection.drop()  # the counter moved meanwhile
         except OSError as error:  # TimeoutError is one
             self.counter.budget.relieve(error)
-            self._fail_waiting(Outcome.CONNECT)
+            self._fail_waiting(Outcome.CONNECT_FAILED)
         finally:
             self.connecting = None
         self._flush()
@@ -169,4 +169,4 @@
 
     def _expire(self, lane: Lane, call: Call) -> None:
         written = call not in lane.waiting
-        call.end(Outcome.TIMED_OUT if written else Outcome.CONNECT)
+        call.end(Outcome.TIMED_OUT if written else Outcome.CONNECT_FAILED)
--- a/switchline/counter/protocol.py
+++ b/switchline/counter/protocol.py
@@ -30,7 +30,7 @@
     total: float = 0.0
 
 
-NOT_ADDED = Answer(Outcome.FULL)
+NOT_ADDED = Answer(Outcome.QUEUE_FULL)
 UNREADABLE = Answer(Outcome.TIMED_OUT)
 
 
--- a/switchline/policy/backends/backend_table.py
+++ b/switchline/policy/backends/backend_table.py
@@ -61,10 +61,10 @@
             self._enabled_ms.pop(event.backend, None)
         else:
             self.disabled.discard(event.backend)
-            self._enabled_ms[event.backend] = event.since_ms
+            self._enabled_ms[event.backend] = event.overridden_at_ms
             backend = self.by_id.get(event.backend)
             if backend:
-                backend.enable(now, event.since_ms)
+                backend.enable(now, event.overridden_at_ms)
         self.regroup(now)
 
     def on_zone_overridden(self, now: float, event: api.ZoneOverridden, _: api.Actions) -> None:
@@ -72,15 +72,15 @@
         self._zones.override(now, event.zone, event.disabled)
         for backend in self.by_id.values():
             if backend.zone == event.zone and not event.disabled:
-                self._enabled_ms[backend.id] = event.since_ms
-                backend.enable(now, event.since_ms)
+                self._enabled_ms[backend.id] = event.overridden_at_ms
+                backend.enable(now, event.overridden_at_ms)
         self.regroup(now)
 
     def on_outage(self, now: float, event: api.FleetOutage) -> None:
         """The whole fleet lost power: so may the backends have, whatever an old list shows of their ages."""
         for backend in self.by_id.values():
-            if backend.started_ms < event.since_ms:
-                backend.enable(now, event.recovered_ms, is_estimated=True)
+            if backend.started_ms < event.earliest_power_loss_ms:
+                backend.enable(now, event.recovered_at_ms, is_estimated=True)
 
     def regroup(self, now: float) -> None:
         """Choose the subset anew, and let the zones know which backends there are."""
--- a/switchline/policy/backends/outlier_scores.py
+++ b/switchline/policy/backends/outlier_scores.py
@@ -21,9 +21,9 @@
 EJECTION_SCORE = 0.5  # from which on a backend counts as ejected: it costs five times as much
 NEGLIGIBLE_SCORE = 0.01
 REFUSED_BY_BACKEND = {
-    api.Outcome.FULL,
-    api.Outcome.CONNECT,
-    api.Outcome.NO_CAPACITY,
+    api.Outcome.QUEUE_FULL,
+    api.Outcome.CONNECT_FAILED,
+    api.Outcome.NO_CONNECTION,
 }  # the backend took no work
 
 
--- a/switchline/policy/backends/selection.py
+++ b/switchline/policy/backends/selection.py
@@ -31,17 +31,17 @@
     if backend.id in request.tried:
         return False
     request_class = request.request_class
-    if not request.may_have_run or request_class.effect is api.Effect.SAFE:
+    if not request.may_have_run or request_class.effect is api.Effect.IDEMPOTENT:
         return True
     first = request.may_have_run[0]
-    is_forgotten = now - first.sent_ms >= request_class.repeat_window_ms - END_MARGIN_MS
-    if request_class.effect is api.Effect.UNSAFE or is_forgotten:
+    is_forgotten = now - first.sent_ms >= request_class.deduplication_window_ms - END_MARGIN_MS
+    if request_class.effect is api.Effect.NOT_IDEMPOTENT or is_forgotten:
         return False
-    scope = request_class.repeat_scope
-    if scope is api.RepeatScope.ALL:
+    scope = request_class.deduplication_scope
+    if scope is api.DeduplicationScope.ALL:
         return True
     is_same_zone = first.backend.zone == backend.zone
-    return is_same_zone and (scope is not api.RepeatScope.CELL or first.backend.cell == backend.cell)
+    return is_same_zone and (scope is not api.DeduplicationScope.CELL or first.backend.cell == backend.cell)
 
 
 class BackendSelection:
@@ -202,7 +202,7 @@
         name = self.routing.zone_to_check(now)
         if name is None or request.attempts_made or request.is_streamed:
             return None
-        if request.request_class.effect is not api.Effect.SAFE:
+        if request.request_class.effect is not api.Effect.IDEMPOTENT:
             return None
         is_directed = self.zones.by_name[name].directive is not None
         candidates = [
--- a/switchline/policy/gateway.py
+++ b/switchline/policy/gateway.py
@@ -95,7 +95,7 @@
             api.RequestBodyReceived: self.attempts.on_body_received,
             api.RequestBodySent: self.attempts.on_body_sent,
             api.StreamedAnswerStarted: self.attempts.on_answer_streamed,
-            api.RequestLapsed: self.attempts.on_lapsed,
+            api.RequestAbandoned: self.attempts.on_abandoned,
             api.BackendsChanged: self.backends.on_list,
             api.BackendOverridden: self.backends.on_overridden,
             api.ZoneOverridden: self.backends.on_zone_overridden,
@@ -152,8 +152,8 @@
     def _begin(self, now: float, actions: api.Actions) -> None:
         self.customers.begin(now)
         self.latency.answered_at_ms = now
-        if self.settings.must_follow_list:
-            actions.append(api.FollowList())
+        if self.settings.must_watch_endpoint_list:
+            actions.append(api.WatchEndpointList())
 
     def _on_request(self, now: float, event: api.RequestArrived, actions: api.Actions) -> None:
         self.customers.forget_idle(now, actions)
@@ -161,7 +161,9 @@
         request_class = self.classes.get(event.request_class) or api.RequestClass(
             event.request_class, remaining_ms, remaining_ms
         )
-        customer = self.customers.get(now, event.customer, event.plan, 1 / max(1, event.spread))
+        customer = self.customers.get(
+            now, event.customer, event.plan, 1 / max(1, event.customer_gateway_count)
+        )
         self.leases.fill(now, customer)
         request = Request(event, request_class, customer, now)
         self.attempts.requests[event.request] = request
@@ -173,7 +175,7 @@
     def _on_timer(self, now: float, event: api.TimerFired, actions: api.Actions) -> None:
         purpose, request_id = event.timer
         if purpose is api.TimerPurpose.ENDPOINT_LIST:
-            actions.append(api.FollowList())
+            actions.append(api.WatchEndpointList())
         elif purpose is api.TimerPurpose.PERSISTENCE:
             if now >= self.durable_state.next_write_ms - TIMER_TOLERANCE_MS:
                 self.durable_state.write_changes(now, self.shared_state.records(), actions)
@@ -200,7 +202,7 @@
         self.leases.is_stale = event.stale
 
     def _on_outage(self, now: float, event: api.FleetOutage, _: api.Actions) -> None:
-        self.recovery_ramp.begin(now, event.recovered_ms + self.settings.rules.warm_up_ms)
+        self.recovery_ramp.begin(now, event.recovered_at_ms + self.settings.rules.warm_up_ms)
         self.backends.on_outage(now, event)
         self.durable_state.spread_refreshes(now, self.customers.by_key.values())
 
@@ -245,7 +247,7 @@
         self.durable_state.switch(now, event, self.customers.by_key, state, actions)
 
     def _on_persisted(self, now: float, event: api.RecordsPersisted, actions: api.Actions) -> None:
-        self.durable_state.on_committed(now, event.serial, actions)
+        self.durable_state.on_committed(now, event.up_to_serial, actions)
 
     def _on_restored(self, now: float, event: api.RecordRestored, _: api.Actions) -> None:
         """Take over a record of an earlier incarnation. Raises ValueError for what can't be taken over."""
--- a/switchline/policy/interface/actions.py
+++ b/switchline/policy/interface/actions.py
@@ -85,7 +85,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Count:
+class AddToCounter:
     """Add to a named number on the counter service (0 reads it); the reply carries the total."""
 
     name: str
@@ -94,7 +94,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FollowList:
+class WatchEndpointList:
     """Ask for the endpoint list and its changes."""
 
     enable: bool = True
@@ -123,6 +123,15 @@
 
 
 Action = (
-    Send | Cancel | Reject | Fail | SetTimer | Count | FollowList | Replicate | PersistRecord | LogMessage
+    Send
+    | Cancel
+    | Reject
+    | Fail
+    | SetTimer
+    | AddToCounter
+    | WatchEndpointList
+    | Replicate
+    | PersistRecord
+    | LogMessage
 )
 Actions = list[Action]
--- a/switchline/policy/interface/events.py
+++ b/switchline/policy/interface/events.py
@@ -33,7 +33,7 @@
 
     backend: int
     disabled: bool
-    since_ms: float
+    overridden_at_ms: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
 
     zone: str
     disabled: bool
-    since_ms: float
+    overridden_at_ms: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,10 +78,15 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetOutage:
-    """The whole fleet lost power, at the earliest at `since_ms`; this gateway was back at `recovered_ms`."""
+    """The whole fleet lost power.
 
-    since_ms: float
-    recovered_ms: float
+    Attributes:
+        earliest_power_loss_ms: The earliest time at which the fleet may have lost power.
+        recovered_at_ms: When this gateway was running again.
+    """
+
+    earliest_power_loss_ms: float
+    recovered_at_ms: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -119,9 +124,9 @@
         customer: Its customer's key.
         expires_ms: When its client stops waiting.
         units: Its size as guessed, in units of quota.
-        spread: Over how many gateways the front spreads this customer.
-        first: The first of those gateways.
-        repeat: Whether the client has sent it before.
+        customer_gateway_count: Over how many gateways the front spreads this customer.
+        first_gateway: The first of those gateways.
+        is_repeat: Whether the client has sent it before.
         streamed: Whether its body is still coming in; `RequestBodyReceived` follows.
     """
 
@@ -131,9 +136,9 @@
     customer: str
     expires_ms: float
     units: float
-    spread: int
-    first: int
-    repeat: bool = False
+    customer_gateway_count: int
+    first_gateway: int
+    is_repeat: bool = False
     streamed: bool = False
 
 
@@ -147,7 +152,7 @@
         backend: The backend it went to.
         outcome: How it ended.
         latency_ms: How long it took.
-        finished: Whether the request needs no further attempt.
+        request_finished: Whether the request needs no further attempt.
         actual_units: The true units, given with a request's first good answer; 0: not known.
         body_discarded: The request can't be sent again, as its body was not buffered.
     """
@@ -157,7 +162,7 @@
     backend: int
     outcome: Outcome
     latency_ms: float
-    finished: bool
+    request_finished: bool
     actual_units: float = 0.0
     body_discarded: bool = False
 
@@ -196,7 +201,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RequestLapsed:
+class RequestAbandoned:
     """A request needs no answer any more."""
 
     request: str
@@ -263,7 +268,7 @@
 class RecordsPersisted:
     """All records up to that one are committed."""
 
-    serial: int
+    up_to_serial: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -273,12 +278,12 @@
     Attributes:
         last_commit_ms: When it was last written.
         restarts_ms: The restarts since, this one too.
-        complete: False: an older copy, as the other gateways' reports show.
+        is_latest: False: an older copy, as the other gateways' reports show.
     """
 
     last_commit_ms: float
     restarts_ms: tuple[float, ...]
-    complete: bool = True
+    is_latest: bool = True
 
 
 @dataclass(frozen=True, slots=True)
@@ -314,7 +319,7 @@
     | RequestBodyReceived
     | RequestBodySent
     | StreamedAnswerStarted
-    | RequestLapsed
+    | RequestAbandoned
     | CounterReplied
     | TimerFired
     | GossipReceived
--- a/switchline/policy/interface/settings.py
+++ b/switchline/policy/interface/settings.py
@@ -9,12 +9,12 @@
 class Effect(Enum):
     """Whether requests of a class may run more than once."""
 
-    SAFE = "pure"
-    KEYED = "token"  # idempotent by an idempotency key
-    UNSAFE = "side_effect"
+    IDEMPOTENT = "pure"
+    IDEMPOTENT_WITH_KEY = "token"  # idempotent by an idempotency key
+    NOT_IDEMPOTENT = "side_effect"
 
 
-class RepeatScope(Enum):
+class DeduplicationScope(Enum):
     """The backends that recognise and drop a repeated request with the same idempotency key."""
 
     ALL = "all"
@@ -32,17 +32,17 @@
         deadline_ms: The latency after which an answer is worth nothing.
         priority_weight: What a request of the class is worth beside those of the others.
         effect: Whether its requests may run more than once.
-        repeat_scope: The backends among which a keyed request may be repeated.
-        repeat_window_ms: How long those backends remember an idempotency key.
+        deduplication_scope: The backends among which a keyed request may be repeated.
+        deduplication_window_ms: How long those backends remember an idempotency key.
     """
 
     name: str
     latency_objective_ms: float
     deadline_ms: float
     priority_weight: float = 1.0
-    effect: Effect = Effect.UNSAFE
-    repeat_scope: RepeatScope = RepeatScope.ALL
-    repeat_window_ms: float = 0.0
+    effect: Effect = Effect.NOT_IDEMPOTENT
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,7 +53,7 @@
         name: Its name in requests.
         rate_per_s: The quota's rate, in units a second over all gateways.
         burst_units: The quota's bucket, in units.
-        max_open_requests: Attempts of one customer in flight over all gateways.
+        max_in_flight: Attempts of one customer in flight over all gateways.
         overage_revenue: What a unit beyond the quota earns.
         overage_cost: What a unit beyond the quota costs.
         ceiling_rate_per_s: The rate that is never passed, in units a second.
@@ -63,7 +63,7 @@
     name: str
     rate_per_s: float = 0.0
     burst_units: float = 0.0
-    max_open_requests: int = 0
+    max_in_flight: int = 0
     overage_revenue: float = 0.0
     overage_cost: float = 0.0
     ceiling_rate_per_s: float = 0.0
@@ -103,7 +103,7 @@
         can_hedge: Whether a request may have two attempts in flight at once.
         can_cancel: Whether an attempt in flight can be cancelled.
         uses_counter: Whether there is a counter service.
-        must_follow_list: Whether the endpoint list comes only once it is asked for.
+        must_watch_endpoint_list: Whether the endpoint list comes only once it is asked for.
         max_retry_after_ms: The longest Retry-After of a rejection.
         counter_call_ms: How long a call to the counter usually takes.
         max_request_units: The units of the largest request.
@@ -121,7 +121,7 @@
     can_hedge: bool = False
     can_cancel: bool = False
     uses_counter: bool = False
-    must_follow_list: bool = False
+    must_watch_endpoint_list: bool = False
     max_retry_after_ms: float = 0.0
     counter_call_ms: float = 0.0
     max_request_units: float = 1.0
--- a/switchline/policy/interface/states.py
+++ b/switchline/policy/interface/states.py
@@ -37,13 +37,13 @@
 
     OK = "Ok"
     FAILED = "Failed"
-    FULL = "QueueFull"
+    QUEUE_FULL = "QueueFull"
     TIMED_OUT = "TimedOut"
-    CONNECT = "ConnectError"
+    CONNECT_FAILED = "ConnectError"
     RESET = "ResetByPeer"
     CANCELLED = "Canceled"
     IGNORED = "Ignored"
-    NO_CAPACITY = "no room"  # this gateway had no connection left for it; the simulator never reports it
+    NO_CONNECTION = "no room"  # this gateway had no connection left for it; the simulator never reports it
 
 
 @dataclass(frozen=True, slots=True)
--- a/switchline/policy/persistence/restore.py
+++ b/switchline/policy/persistence/restore.py
@@ -79,7 +79,7 @@
     @classmethod
     def of_file(cls, now: float, event: api.StateFileFound) -> RestartHistory:
         """Judge a state file that was found."""
-        is_believed = event.complete and 0.0 <= now - event.last_commit_ms <= MAX_DOWNTIME_MS
+        is_believed = event.is_latest and 0.0 <= now - event.last_commit_ms <= MAX_DOWNTIME_MS
         return cls(event.last_commit_ms, event.restarts_ms, is_believed)
 
     def age_customer(self, now: float, customer: Customer, written_ms: float) -> None:
--- a/switchline/policy/quota/admission.py
+++ b/switchline/policy/quota/admission.py
@@ -181,7 +181,7 @@
 
 def has_too_many_open(customer: Customer) -> bool:
     """Whether one more attempt is over a customer's share of open requests; one is always within it."""
-    limit = customer.plan.max_open_requests
+    limit = customer.plan.max_in_flight
     if not limit:
         return False
     in_flight = customer.in_flight + customer.peer_in_flight
--- a/switchline/policy/quota/counter_capacity.py
+++ b/switchline/policy/quota/counter_capacity.py
@@ -28,5 +28,5 @@
         if outcome is api.Outcome.OK:
             self.ratio = min(1.0, self.ratio + RECOVERY_STEP)
         else:
-            factor = BUSY_FACTOR if outcome is api.Outcome.FULL else FAILED_FACTOR
+            factor = BUSY_FACTOR if outcome is api.Outcome.QUEUE_FULL else FAILED_FACTOR
             self.ratio = max(MIN_RATIO, self.ratio * factor)
--- a/switchline/policy/quota/leases.py
+++ b/switchline/policy/quota/leases.py
@@ -155,7 +155,7 @@
         name = f"{period}:{digest}"
         call = PendingCall(customer.key, period, round(amount, 3), request)
         self._calls.setdefault(name, deque()).append(call)
-        actions.append(api.Count(name, call.amount, 2 * PERIOD_MS))
+        actions.append(api.AddToCounter(name, call.amount, 2 * PERIOD_MS))
 
     def renew(
         self, now: float, customer: Customer, call: PendingCall, total: float, actions: api.Actions
--- a/switchline/policy/requests/attempts.py
+++ b/switchline/policy/requests/attempts.py
@@ -106,7 +106,7 @@
             self._cancel_all(request, actions)
             request.live.add(event.attempt)
 
-    def on_lapsed(self, _: float, event: api.RequestLapsed, __: api.Actions) -> None:
+    def on_abandoned(self, _: float, event: api.RequestAbandoned, __: api.Actions) -> None:
         """A request needs no answer any more."""
         self.requests.pop(event.request, None)
 
@@ -121,7 +121,7 @@
                 )
         if len(request.live) != 1 or request.is_streamed:
             return
-        if request.request_class.effect is api.Effect.UNSAFE:
+        if request.request_class.effect is api.Effect.NOT_IDEMPOTENT:
             return
         if self._settings.can_hedge:
             self.send_another(now, request, actions, price=1.0)
@@ -138,7 +138,7 @@
         self._count_open(request, -1, actions)
         request.live.remove(event.attempt)
         # Without a connection of its own, the gateway has learnt nothing of the backend.
-        if not attempt.is_answer_streamed and event.outcome is not api.Outcome.NO_CAPACITY:
+        if not attempt.is_answer_streamed and event.outcome is not api.Outcome.NO_CONNECTION:
             self.judge(now, attempt, event.outcome)
         if event.outcome in NEVER_RAN:
             request.may_have_run.remove(attempt)
@@ -151,11 +151,11 @@
 
     def _go_on(self, now: float, request: Request, event: api.AttemptEnded, actions: api.Actions) -> None:
         """Go on with a request that is open when one of its attempts has ended."""
-        if event.finished or event.outcome is api.Outcome.OK:
+        if event.request_finished or event.outcome is api.Outcome.OK:
             del self.requests[request.id]
             self._cancel_all(request, actions)
         elif not request.live:
-            if event.outcome is api.Outcome.NO_CAPACITY:  # nor would another backend get a connection
+            if event.outcome is api.Outcome.NO_CONNECTION:  # nor would another backend get a connection
                 self.finish(request, actions, cause=api.RejectionCause.NO_CONNECTION)
                 return
             price = 0.0 if event.outcome in NEVER_RAN else 1.0
@@ -181,7 +181,7 @@
             latency.observe_answer(now, bounded_ms)
         if is_given_up and not is_overdue:
             return  # a client that left early says nothing of the backend
-        if outcome not in (api.Outcome.IGNORED, api.Outcome.FULL):  # a full one is there, and busy
+        if outcome not in (api.Outcome.IGNORED, api.Outcome.QUEUE_FULL):  # a full one is there, and busy
             self._zones.on_outcome(now, backend.id, backend.zone, is_lost=not is_ok)
         self._outliers.observe_outcome(now, backend, outcome, attempt.request.score_names)
 
@@ -227,5 +227,5 @@
     def _count_open(self, request: Request, change: int, actions: api.Actions) -> None:
         customer = request.customer
         customer.in_flight += change
-        if customer.plan.max_open_requests:
+        if customer.plan.max_in_flight:
             self._replication.replicate_open(customer, change, actions)
--- a/switchline/policy/requests/final_answer.py
+++ b/switchline/policy/requests/final_answer.py
@@ -12,9 +12,9 @@
     if not request.may_have_run:
         return True
     request_class = request.request_class
-    if request_class.effect is api.Effect.KEYED:
-        return request_class.repeat_scope is api.RepeatScope.ALL
-    return request_class.effect is api.Effect.SAFE
+    if request_class.effect is api.Effect.IDEMPOTENT_WITH_KEY:
+        return request_class.deduplication_scope is api.DeduplicationScope.ALL
+    return request_class.effect is api.Effect.IDEMPOTENT
 
 
 def final_answer(
--- a/switchline/policy/requests/request.py
+++ b/switchline/policy/requests/request.py
@@ -11,7 +11,12 @@
 from switchline.policy.quota.customer import Customer
 
 # Outcomes of an attempt that surely did not run.
-NEVER_RAN = {api.Outcome.FULL, api.Outcome.CONNECT, api.Outcome.IGNORED, api.Outcome.NO_CAPACITY}
+NEVER_RAN = {
+    api.Outcome.QUEUE_FULL,
+    api.Outcome.CONNECT_FAILED,
+    api.Outcome.IGNORED,
+    api.Outcome.NO_CONNECTION,
+}
 
 
 class Request:
--- a/switchline/requests/arrivals.py
+++ b/switchline/requests/arrivals.py
@@ -35,9 +35,9 @@
             customer=command.customer,
             expires_ms=command.received_at_ms + self._patience_ms(command),
             units=float(given.get(b"units", b"0")),
-            spread=int(given.get(b"spread", b"1")),
-            first=int(given.get(b"first", b"0")),
-            repeat=given.get(b"r") == b"1",
+            customer_gateway_count=int(given.get(b"spread", b"1")),
+            first_gateway=int(given.get(b"first", b"0")),
+            is_repeat=given.get(b"r") == b"1",
             streamed=command.stream is not None,
         )
         self._check(event, command)
@@ -50,10 +50,14 @@
         kind = self.classes.get(event.request_class)
         if kind is None or event.plan not in self._plans:
             raise MalformedCommandError("unknown class or plan")
-        if command.safe is not (kind.effect is api.Effect.SAFE):
+        if command.safe is not (kind.effect is api.Effect.IDEMPOTENT):
             raise MalformedCommandError("wrong command for the class")
-        if kind.effect is api.Effect.KEYED and not command.attributes.get(b"k"):
+        if kind.effect is api.Effect.IDEMPOTENT_WITH_KEY and not command.attributes.get(b"k"):
             raise MalformedCommandError("idempotency key missing")
         gateways = self._gateways
-        if not (event.units > 0 and 1 <= event.spread <= gateways and 0 <= event.first < gateways):
+        if not (
+            event.units > 0
+            and 1 <= event.customer_gateway_count <= gateways
+            and 0 <= event.first_gateway < gateways
+        ):
             raise MalformedCommandError("malformed units or gateways")
--- a/switchline/requests/attempts.py
+++ b/switchline/requests/attempts.py
@@ -21,7 +21,7 @@
 log = logging.getLogger(__name__)
 
 # Outcomes that the log has a line for each, within its bound on lines of a kind.
-LOGGED_OUTCOMES = {api.Outcome.RESET, api.Outcome.CONNECT, api.Outcome.TIMED_OUT, api.Outcome.IGNORED}
+LOGGED_OUTCOMES = {api.Outcome.RESET, api.Outcome.CONNECT_FAILED, api.Outcome.TIMED_OUT, api.Outcome.IGNORED}
 
 
 class AttemptSender:
@@ -88,7 +88,7 @@
         """
         if self.requests.open.get(request.id) is not request or request.streaming_attempt is not None:
             return api.Outcome.IGNORED  # it has its final answer
-        if request.kind.effect is api.Effect.UNSAFE and request.sent_at:
+        if request.kind.effect is api.Effect.NOT_IDEMPOTENT and request.sent_at:
             self.guard.violated(Invariant.NO_UNSAFE_REPEAT, f"request {request.id}")
             return api.Outcome.IGNORED
         if now >= request.retry_until:  # what has run may by then run again
--- a/switchline/requests/lifecycle.py
+++ b/switchline/requests/lifecycle.py
@@ -101,7 +101,7 @@
             # Only a fault leaves a request unanswered here; its client must not wait in vain even so.
             log.error(log_events.REQUEST_UNANSWERED, request.id)
             self.fail(request.id)
-            self.give(api.RequestLapsed(request.id))
+            self.give(api.RequestAbandoned(request.id))
 
     def on_client_gone(self, request_id: str) -> None:
         """The client has closed its connection: nobody waits for the answer."""
@@ -112,7 +112,7 @@
         if request.response is not None:
             request.response.drop()
         self.drop_body(request)
-        self.give(api.RequestLapsed(request_id))
+        self.give(api.RequestAbandoned(request_id))
         self.give_up_attempts(request, api.Outcome.CANCELLED)  # a backend may drop what it has not begun
         self.settle(request)
 
@@ -167,4 +167,4 @@
                 self.fail(request_id)
             else:  # nothing of it has left
                 self.finish(request_id, REFUSED, OutcomeKind.DECLINED)
-            self.give(api.RequestLapsed(request_id))
+            self.give(api.RequestAbandoned(request_id))
--- a/switchline/requests/request.py
+++ b/switchline/requests/request.py
@@ -49,6 +49,6 @@
     @property
     def retry_until(self) -> float:
         """When a further attempt may begin at the latest: after a key's window it would run again."""
-        if not self.sent_at or self.kind.effect is not api.Effect.KEYED:
+        if not self.sent_at or self.kind.effect is not api.Effect.IDEMPOTENT_WITH_KEY:
             return math.inf
-        return min(self.sent_at.values()) + self.kind.repeat_window_ms - REPEAT_MARGIN_MS
+        return min(self.sent_at.values()) + self.kind.deduplication_window_ms - REPEAT_MARGIN_MS
--- a/switchline/service/driver.py
+++ b/switchline/service/driver.py
@@ -165,7 +165,7 @@
                 self.requests.fail(request)
             case api.SetTimer(delay, timer):
                 self.timers.at(now_ms() + delay, partial(self.give, api.TimerFired(timer)))
-            case api.Count():
+            case api.AddToCounter():
                 self._count(action)
             case _:
                 self._publish(action)
@@ -179,7 +179,7 @@
                 self.persist(serial, encode_record(record))
             case api.LogMessage(text):
                 log.info("%s", text)
-            case api.FollowList():
+            case api.WatchEndpointList():
                 pass  # the list is always followed
 
     def _reject(self, action: api.Reject) -> None:
@@ -189,9 +189,9 @@
         reply = b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms > 0 else REFUSED
         self.requests.finish(action.request, reply, OutcomeKind.DECLINED)
 
-    def _count(self, action: api.Count) -> None:
+    def _count(self, action: api.AddToCounter) -> None:
         if self.counter is None:
-            self.give(api.CounterReplied(action.name, api.Outcome.CONNECT, 0.0))
+            self.give(api.CounterReplied(action.name, api.Outcome.CONNECT_FAILED, 0.0))
         else:
             self.counter.add(action.name, action.amount, action.expires_in_ms, self._on_counted)
 
--- a/switchline/service/parts.py
+++ b/switchline/service/parts.py
@@ -82,7 +82,9 @@
             known = read_list(config.known)
             version = known.version
             self.driver.apply_list(api.ListScope.SAVED, known.members)
-        spread_s = poll_spread_s(config.settings.gateways) if config.settings.must_follow_list else 0.0
+        spread_s = (
+            poll_spread_s(config.settings.gateways) if config.settings.must_watch_endpoint_list else 0.0
+        )
         rng = random.Random(config.seed)
         return Discovery(config.discovery, version, self._on_list, rng, self.descriptors, spread_s)
 
--- a/switchline/settings.py
+++ b/switchline/settings.py
@@ -28,7 +28,7 @@
         can_hedge=bool(capabilities.get("mayDuplicate")),
         can_cancel=bool(capabilities.get("cancelling")),
         uses_counter=bool(family.get("mayCount")),
-        must_follow_list=raw.get("discovery") == "ask",
+        must_watch_endpoint_list=raw.get("discovery") == "ask",
         max_retry_after_ms=float(capabilities.get("maxRetryAfter") or 0),
         counter_call_ms=float(family.get("countWait") or 0),
         max_request_units=float(family.get("unitsTop") or 1),
@@ -54,8 +54,8 @@
         deadline_ms=float(raw["deadline"]),
         priority_weight=float(raw.get("importance") or 0),
         effect=api.Effect(raw["effect"]),
-        repeat_scope=api.RepeatScope(raw.get("group") or "all"),
-        repeat_window_ms=float(raw.get("repeatWindow") or 0),
+        deduplication_scope=api.DeduplicationScope(raw.get("group") or "all"),
+        deduplication_window_ms=float(raw.get("repeatWindow") or 0),
     )
 
 
@@ -65,7 +65,7 @@
         name=str(raw["name"]),
         rate_per_s=float(raw.get("rate") or 0),
         burst_units=float(raw.get("mostAtOnce") or 0),
-        max_open_requests=int(raw.get("open") or 0),
+        max_in_flight=int(raw.get("open") or 0),
         overage_revenue=float(raw.get("beyondEarns") or 0),
         overage_cost=float(raw.get("overrunCost") or 0),
         ceiling_rate_per_s=float(raw.get("neverOverRate") or 0),
--- a/switchline/simulator_codec.py
+++ b/switchline/simulator_codec.py
@@ -78,9 +78,9 @@
         customer=str(customer or ""),
         expires_ms=float(expires_ms),
         units=float(units or 0),
-        spread=int(spread or 1),
-        first=int(first or 0),
-        repeat=bool(int(flags or 0) & REPEAT_BIT),
+        customer_gateway_count=int(spread or 1),
+        first_gateway=int(first or 0),
+        is_repeat=bool(int(flags or 0) & REPEAT_BIT),
     )
 
 
@@ -93,7 +93,7 @@
         backend=int(backend),
         outcome=api.Outcome(outcome),
         latency_ms=float(latency_ms or 0),
-        finished=bool(finished),
+        request_finished=bool(finished),
         actual_units=float(actual_units or 0),
     )
 
@@ -112,7 +112,7 @@
 
 def read_lapse(values: list[Any]) -> api.Event:
     """Read that a request needs no answer any more."""
-    return api.RequestLapsed(read_text(values[0]))
+    return api.RequestAbandoned(read_text(values[0]))
 
 
 def read_timer(values: list[Any]) -> api.Event:
@@ -147,7 +147,7 @@
     api.Reject: lambda action: ["bounce", action.request, action.retry_after_ms],
     api.Fail: lambda action: ["dropRequest", action.request],
     api.SetTimer: lambda action: ["sleep", action.delay_ms, encode_timer(action.timer)],
-    api.Count: lambda action: ["incr", action.name, action.expires_in_ms, action.amount],
-    api.FollowList: lambda action: ["follow", action.enable],
+    api.AddToCounter: lambda action: ["incr", action.name, action.expires_in_ms, action.amount],
+    api.WatchEndpointList: lambda action: ["follow", action.enable],
     api.LogMessage: lambda action: ["remark", action.text],
 }
--- a/testbed/launch.py
+++ b/testbed/launch.py
@@ -70,7 +70,7 @@
         before(self, now, request, backend, actions)
         known = self._selection.backends.by_id.values()
         others = [other for other in known if other is not backend and other.cell != backend.cell]
-        is_safe = request.request_class.effect is interface.Effect.SAFE
+        is_safe = request.request_class.effect is interface.Effect.IDEMPOTENT
         if request.attempts_made == 1 and not is_safe and others:
             before(self, now, request, others[0], actions)
 
--- a/tests/backends/test_backends.py
+++ b/tests/backends/test_backends.py
@@ -32,8 +32,8 @@
     ("reply", "outcome"),
     [
         (SERVED, Outcome.OK),
-        (b"-BUSY\r\n", Outcome.FULL),
-        (b"-BUSY queue\r\n", Outcome.FULL),
+        (b"-BUSY\r\n", Outcome.QUEUE_FULL),
+        (b"-BUSY queue\r\n", Outcome.QUEUE_FULL),
         (b"-ERR failed\r\n", Outcome.FAILED),
         (b"-ERR failed inflight=7\r\n", Outcome.FAILED),
         (b"*3\r\n$-1\r\n$-1\r\n$-1\r\n", Outcome.FAILED),
@@ -84,8 +84,8 @@
         server = Backend()
         async with pool(server) as made:
             server.server.close()
-            assert await Try(made).result() == (Outcome.CONNECT, b"")
-            assert await Try(made, backend=9).result() == (Outcome.CONNECT, b"")  # never listed
+            assert await Try(made).result() == (Outcome.CONNECT_FAILED, b"")
+            assert await Try(made, backend=9).result() == (Outcome.CONNECT_FAILED, b"")  # never listed
 
     in_loop(scenario)
 
@@ -109,7 +109,7 @@
             assert connection is not None
             await until(lambda: connection.writing_blocked)
             server.go_on.set()
-            assert (await tried.result())[0] is Outcome.CONNECT
+            assert (await tried.result())[0] is Outcome.CONNECT_FAILED
 
     in_loop(scenario)
 
@@ -199,8 +199,8 @@
         async with pool(server) as made:
             tried = Try(made)  # the connection is not up yet
             made.update(0, (LOCAL, server.port), BackendState.DRAINING)
-            assert (await tried.result())[0] is Outcome.CONNECT
-            assert (await Try(made).result())[0] is Outcome.CONNECT
+            assert (await tried.result())[0] is Outcome.CONNECT_FAILED
+            assert (await Try(made).result())[0] is Outcome.CONNECT_FAILED
             await until(lambda: not server.open)
             assert not server.got
 
@@ -223,7 +223,7 @@
         async with pool(server) as made:
             tried = Try(made)
             made.give_up(tried.attempt, Outcome.TIMED_OUT)
-            assert (await tried.result())[0] is Outcome.CONNECT
+            assert (await tried.result())[0] is Outcome.CONNECT_FAILED
 
     in_loop(scenario)
 
@@ -239,7 +239,7 @@
             held = [Try(made, backend=1) for _ in range(8)]
             await until(lambda: len(second.got) == 8)
             await until(lambda: first.ended)
-            assert (await Try(made).result())[0] is Outcome.NO_CAPACITY
+            assert (await Try(made).result())[0] is Outcome.NO_CONNECTION
             assert not any(t.endings for t in held) and len(made.connections) == 8
 
     in_loop(scenario)
@@ -365,7 +365,7 @@
             )
             tried.hindered = Outcome.IGNORED
             read.set()
-            assert (await tried.result())[0] is Outcome.CONNECT  # it can't have run
+            assert (await tried.result())[0] is Outcome.CONNECT_FAILED  # it can't have run
             await until(lambda: server.ended)
             assert not server.got and not tried.written
 
@@ -378,7 +378,7 @@
         async with pool(server) as made:
             tried = Try(made)
             made.update(0, (LOCAL, server.port), BackendState.DRAINING)
-            assert tried.endings == [(Outcome.CONNECT, b"")]
+            assert tried.endings == [(Outcome.CONNECT_FAILED, b"")]
             assert not made.connections  # nor does its handshake go on
 
     in_loop(scenario)
--- a/tests/clients/test_connections.py
+++ b/tests/clients/test_connections.py
@@ -694,7 +694,7 @@
         async with pool(server) as made:
             tries = [Try(made) for _ in range(8)]
             made.update(0, (LOCAL, server.port), BackendState.DRAINING)
-            assert [(await t.result())[0] for t in tries] == [Outcome.CONNECT] * 8
+            assert [(await t.result())[0] for t in tries] == [Outcome.CONNECT_FAILED] * 8
             assert not server.got and not made.endpoints[0].waiting
 
     in_loop(scenario)
--- a/tests/counter/test_counter.py
+++ b/tests/counter/test_counter.py
@@ -89,7 +89,7 @@
 
         async with calling(Service(script)) as calls:
             calls.add()
-            assert await calls.ended(1) == [("n", Outcome.FULL, 0.0)]
+            assert await calls.ended(1) == [("n", Outcome.QUEUE_FULL, 0.0)]
 
     in_loop(scenario)
 
@@ -100,7 +100,7 @@
         async with calling(service) as calls:
             service.server.close()
             calls.add()
-            assert await calls.ended(1) == [("n", Outcome.CONNECT, 0.0)]
+            assert await calls.ended(1) == [("n", Outcome.CONNECT_FAILED, 0.0)]
             await service.start()
             calls.counter.address = (LOCAL, service.port)
             calls.add()
@@ -147,8 +147,8 @@
     ("line", "ending"),
     [
         (b"ok 12.5", (Outcome.OK, 12.5)),
-        (b"busy", (Outcome.FULL, 0.0)),
-        (b"error", (Outcome.FULL, 0.0)),
+        (b"busy", (Outcome.QUEUE_FULL, 0.0)),
+        (b"error", (Outcome.QUEUE_FULL, 0.0)),
         (b"ok", (Outcome.TIMED_OUT, 0.0)),
         (b"ok x", (Outcome.TIMED_OUT, 0.0)),
         (b"ok nan", (Outcome.TIMED_OUT, 0.0)),
--- a/tests/fleet/test_outage.py
+++ b/tests/fleet/test_outage.py
@@ -27,7 +27,7 @@
 from testbed.network.fleet_link import WALL_MS, Net, fleet
 
 KINDS = (
-    api.RequestClass("kalkyl", 1_500.0, 4_000.0, 3.0, api.Effect.SAFE),
+    api.RequestClass("kalkyl", 1_500.0, 4_000.0, 3.0, api.Effect.IDEMPOTENT),
     api.RequestClass("lanelofte", 2_000.0, 4_000.0, 9.0),
 )
 PLANS = (
--- a/tests/gateway_fleet.py
+++ b/tests/gateway_fleet.py
@@ -127,7 +127,7 @@
                 self.answered.add((index, request))
                 self.ended[type(action).__name__] += 1
                 self.refused_after.append(self.now - self.came.pop((index, request)))
-            case api.Count(name, amount):
+            case api.AddToCounter(name, amount):
                 self.count(index, name, amount)
             case api.LogMessage(text):
                 self.remarks.append((self.now, index, text))
@@ -148,7 +148,7 @@
         outcome, delay = {
             "answers": (api.Outcome.OK, self.work(backend) or usual),
             "silent": (api.Outcome.TIMED_OUT, 3000.0),
-            "refuses": (api.Outcome.CONNECT, 1.0),
+            "refuses": (api.Outcome.CONNECT_FAILED, 1.0),
             "fails": (api.Outcome.FAILED, 5.0),
         }[mode]
         self.later(delay, lambda: self.end(index, request, number, backend, outcome, sent_at))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -9,26 +9,26 @@
 from switchline.policy.gateway import Gateway
 
 SAFE = api.RequestClass(
-    "view", latency_objective_ms=1000, deadline_ms=3000, priority_weight=1, effect=api.Effect.SAFE
+    "view", latency_objective_ms=1000, deadline_ms=3000, priority_weight=1, effect=api.Effect.IDEMPOTENT
 )
 KEYED = api.RequestClass(
     "order",
     latency_objective_ms=1000,
     deadline_ms=3000,
     priority_weight=4,
-    effect=api.Effect.KEYED,
-    repeat_scope=api.RepeatScope.CELL,
-    repeat_window_ms=2000,
+    effect=api.Effect.IDEMPOTENT_WITH_KEY,
+    deduplication_scope=api.DeduplicationScope.CELL,
+    deduplication_window_ms=2000,
 )
 UNSAFE = api.RequestClass(
-    "wipe", latency_objective_ms=1000, deadline_ms=3000, priority_weight=2, effect=api.Effect.UNSAFE
+    "wipe", latency_objective_ms=1000, deadline_ms=3000, priority_weight=2, effect=api.Effect.NOT_IDEMPOTENT
 )
 BASIC = api.Plan("basic", rate_per_s=2, burst_units=8, overage_cost=1)
 FIRM = api.Plan(
     "firm",
     rate_per_s=10,
     burst_units=20,
-    max_open_requests=8,
+    max_in_flight=8,
     overage_cost=1,
     ceiling_rate_per_s=20,
     ceiling_burst_units=40,
@@ -128,8 +128,8 @@
     return [a for a in actions if isinstance(a, api.Send)]
 
 
-def counts(actions: Iterable[api.Action]) -> list[api.Count]:
-    return [a for a in actions if isinstance(a, api.Count)]
+def counts(actions: Iterable[api.Action]) -> list[api.AddToCounter]:
+    return [a for a in actions if isinstance(a, api.AddToCounter)]
 
 
 def refusals(actions: Iterable[api.Action]) -> list[api.Reject]:
--- a/tests/neutral_form.py
+++ b/tests/neutral_form.py
@@ -117,13 +117,13 @@
 OUTCOMES: dict[str, Enum] = {
     "ok": api.Outcome.OK,
     "failed": api.Outcome.FAILED,
-    "queue_full": api.Outcome.FULL,
+    "queue_full": api.Outcome.QUEUE_FULL,
     "timed_out": api.Outcome.TIMED_OUT,
-    "connect_failed": api.Outcome.CONNECT,
+    "connect_failed": api.Outcome.CONNECT_FAILED,
     "reset": api.Outcome.RESET,
     "cancelled": api.Outcome.CANCELLED,
     "ignored": api.Outcome.IGNORED,
-    "no_connection_free": api.Outcome.NO_CAPACITY,
+    "no_connection_free": api.Outcome.NO_CONNECTION,
 }
 LIST_SCOPES: dict[str, Enum] = {
     "changes": api.ListScope.CHANGES,
@@ -137,14 +137,14 @@
     "gone": api.BackendState.GONE,
 }
 EFFECTS: dict[str, Enum] = {
-    "safe": api.Effect.SAFE,
-    "idempotency_key": api.Effect.KEYED,
-    "unsafe": api.Effect.UNSAFE,
+    "safe": api.Effect.IDEMPOTENT,
+    "idempotency_key": api.Effect.IDEMPOTENT_WITH_KEY,
+    "unsafe": api.Effect.NOT_IDEMPOTENT,
 }
 DEDUPLICATION_SCOPES: dict[str, Enum] = {
-    "all": api.RepeatScope.ALL,
-    "zone": api.RepeatScope.ZONE,
-    "cell": api.RepeatScope.CELL,
+    "all": api.DeduplicationScope.ALL,
+    "zone": api.DeduplicationScope.ZONE,
+    "cell": api.DeduplicationScope.CELL,
 }
 
 REQUEST_CLASS = ObjectForm(
@@ -155,8 +155,8 @@
         deadline_ms="deadline_ms",
         priority_weight="priority_weight",
         effect=enum_form("effect", EFFECTS),
-        deduplication_scope=enum_form("repeat_scope", DEDUPLICATION_SCOPES),
-        deduplication_window_ms="repeat_window_ms",
+        deduplication_scope=enum_form("deduplication_scope", DEDUPLICATION_SCOPES),
+        deduplication_window_ms="deduplication_window_ms",
     ),
 )
 PLAN = ObjectForm(
@@ -165,7 +165,7 @@
         name="name",
         rate_per_s="rate_per_s",
         burst_units="burst_units",
-        max_in_flight="max_open_requests",
+        max_in_flight="max_in_flight",
         earns_beyond_quota="overage_revenue",
         costs_beyond_quota="overage_cost",
         ceiling_rate_per_s="ceiling_rate_per_s",
@@ -194,7 +194,7 @@
         may_hedge="can_hedge",
         can_cancel="can_cancel",
         may_use_counter="uses_counter",
-        must_poll_endpoint_list="must_follow_list",
+        must_poll_endpoint_list="must_watch_endpoint_list",
         max_retry_after_ms="max_retry_after_ms",
         counter_timeout_ms="counter_call_ms",
         max_request_units="max_request_units",
@@ -223,10 +223,10 @@
         ),
     ),
     "backend_overridden": ObjectForm(
-        api.BackendOverridden, names(backend="backend", disabled="disabled", since_ms="since_ms")
+        api.BackendOverridden, names(backend="backend", disabled="disabled", since_ms="overridden_at_ms")
     ),
     "zone_overridden": ObjectForm(
-        api.ZoneOverridden, names(zone="zone", disabled="disabled", since_ms="since_ms")
+        api.ZoneOverridden, names(zone="zone", disabled="disabled", since_ms="overridden_at_ms")
     ),
     "zone_directive": ObjectForm(
         api.ZoneDirective,
@@ -241,7 +241,9 @@
         ),
     ),
     "staleness_changed": ObjectForm(api.StalenessChanged, names(stale="stale")),
-    "fleet_outage": ObjectForm(api.FleetOutage, names(since_ms="since_ms", recovered_at_ms="recovered_ms")),
+    "fleet_outage": ObjectForm(
+        api.FleetOutage, names(since_ms="earliest_power_loss_ms", recovered_at_ms="recovered_at_ms")
+    ),
     "peer_quota_report": ObjectForm(
         api.GatewayQuotaReport,
         names(customer="customer", plan="plan", even_share="even_share", units_left="remaining_units"),
@@ -256,9 +258,9 @@
             customer="customer",
             expires_ms="expires_ms",
             units="units",
-            gateways_of_customer="spread",
-            first_gateway="first",
-            is_retry="repeat",
+            gateways_of_customer="customer_gateway_count",
+            first_gateway="first_gateway",
+            is_retry="is_repeat",
             is_streamed="streamed",
         ),
     ),
@@ -270,7 +272,7 @@
             backend="backend",
             outcome=enum_form("outcome", OUTCOMES),
             latency_ms="latency_ms",
-            request_is_answered="finished",
+            request_is_answered="request_finished",
             true_units="actual_units",
             body_is_consumed="body_discarded",
         ),
@@ -285,7 +287,7 @@
     "answer_started": ObjectForm(
         api.AnswerStarted, names(request="request", attempt="attempt", backend="backend")
     ),
-    "request_lapsed": ObjectForm(api.RequestLapsed, names(request="request")),
+    "request_lapsed": ObjectForm(api.RequestAbandoned, names(request="request")),
     "counter_replied": ObjectForm(
         api.CounterReplied,
         names(name="name", outcome=enum_form("outcome", OUTCOMES), total="total"),
@@ -301,13 +303,13 @@
     "persistence_changed": ObjectForm(
         api.PersistenceChanged, names(enabled="enabled", is_last_write="final")
     ),
-    "records_persisted": ObjectForm(api.RecordsPersisted, names(up_to_serial="serial")),
+    "records_persisted": ObjectForm(api.RecordsPersisted, names(up_to_serial="up_to_serial")),
     "state_file_found": ObjectForm(
         api.StateFileFound,
         names(
             last_written_ms="last_commit_ms",
             restarts_ms=FieldForm("restarts_ms", encode=list, decode=tuple),
-            is_latest="complete",
+            is_latest="is_latest",
         ),
     ),
     "record_restored": ObjectForm(
@@ -331,9 +333,9 @@
     "fail_request": ObjectForm(api.Fail, names(request="request")),
     "set_timer": ObjectForm(api.SetTimer, names(delay_ms="delay_ms", token=timer_form("timer"))),
     "add_to_counter": ObjectForm(
-        api.Count, names(name="name", amount="amount", expire_in_ms="expires_in_ms")
+        api.AddToCounter, names(name="name", amount="amount", expire_in_ms="expires_in_ms")
     ),
-    "follow_endpoint_list": ObjectForm(api.FollowList, names(enabled="enable")),
+    "follow_endpoint_list": ObjectForm(api.WatchEndpointList, names(enabled="enable")),
     "replicate_record": ObjectForm(api.Replicate, names(record=record_form("record"))),
     "persist_record": ObjectForm(api.PersistRecord, names(serial="serial", record=record_form("record"))),
     "log_message": ObjectForm(api.LogMessage, names(text="text")),
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -62,7 +62,7 @@
 
 
 def test_a_failed_list_keeps_the_old_one_and_asks_again_later() -> None:
-    w = world(must_follow_list=True)
+    w = world(must_watch_endpoint_list=True)
     w.give(api.BackendsChanged(api.ListScope.FAILED, ()))
     assert one(w.ask())
     timers = [
@@ -72,7 +72,7 @@
     ]
     assert timers
     assert any(
-        isinstance(a, api.FollowList)
+        isinstance(a, api.WatchEndpointList)
         for a in w.give(api.TimerFired(api.Timer(api.TimerPurpose.ENDPOINT_LIST)))
     )
 
@@ -144,7 +144,7 @@
     w = world()
     for name in ("view", "order", "wipe"):
         first = one(w.ask(name))
-        again = one(w.end(first, api.Outcome.CONNECT))
+        again = one(w.end(first, api.Outcome.CONNECT_FAILED))
         assert again.backend != first.backend
 
 
@@ -165,7 +165,7 @@
     assert lone.end(first, api.Outcome.FAILED) == [api.Fail(first.request)]
     late = world(entry(1, cell=0), entry(3, cell=0))
     late.gateway.classes["order"] = api.RequestClass(
-        "order", 5000, 9000, 1, api.Effect.KEYED, api.RepeatScope.CELL, 2000
+        "order", 5000, 9000, 1, api.Effect.IDEMPOTENT_WITH_KEY, api.DeduplicationScope.CELL, 2000
     )
     first = one(late.ask("order", life=9000))
     late.now += 1990
@@ -263,7 +263,7 @@
             attempt = 0
             while send.backend < 20:
                 refused += 1
-                send, attempt = one(w.end(send, api.Outcome.CONNECT, attempt)), attempt + 1
+                send, attempt = one(w.end(send, api.Outcome.CONNECT_FAILED, attempt)), attempt + 1
             w.end(send, attempt=attempt)
             w.pass_time(20)
     assert refused <= 1.3 * 40 * 5  # a third of each slice, about once
@@ -411,13 +411,13 @@
 def test_odd_events_are_survived() -> None:
     w = world()
     w.give(api.AttemptEnded("nobody", 0, 9, api.Outcome.OK, 1, True))
-    w.give(api.RequestLapsed("nobody"))
+    w.give(api.RequestAbandoned("nobody"))
     w.give(api.TimerFired(api.Timer(api.TimerPurpose.REQUEST, "nwanted")))
     w.give(api.CounterReplied("nothing", api.Outcome.OK, 1))
     w.give(api.GossipReceived(1, b"\xff\x00"))
     w.give(api.AnswerStarted("nobody", 0, 1))
     send = one(w.ask("no such class", "no such plan"))
-    w.give(api.RequestLapsed(send.request))
+    w.give(api.RequestAbandoned(send.request))
     assert w.end(send, api.Outcome.TIMED_OUT) == []
     w.end(send, api.Outcome.TIMED_OUT)
 
--- a/tests/policy/test_durable_state.py
+++ b/tests/policy/test_durable_state.py
@@ -282,7 +282,7 @@
     for _ in range(30):
         made = sends(disk.note(disk.world.ask(plan="bonus", customer="x")))
         for send in made:
-            outcome = api.Outcome.CONNECT if send.backend == 1 else api.Outcome.OK
+            outcome = api.Outcome.CONNECT_FAILED if send.backend == 1 else api.Outcome.OK
             disk.note(disk.world.end(send, outcome, finished=True))
         disk.pass_time(100)
     disk.commit()
--- a/tests/policy/test_leases.py
+++ b/tests/policy/test_leases.py
@@ -36,7 +36,7 @@
     while todo:
         action = todo.pop(0)
         done.append(action)
-        if isinstance(action, api.Count):
+        if isinstance(action, api.AddToCounter):
             numbers[action.name] = numbers.get(action.name, 0.0) + action.amount
             todo += world.give(api.CounterReplied(action.name, api.Outcome.OK, numbers[action.name]))
     return done
@@ -61,7 +61,7 @@
 
 def test_a_refresh_adds_all_that_was_asked_refused_requests_too() -> None:
     world = World()
-    adds: list[tuple[float, api.Count]] = []
+    adds: list[tuple[float, api.AddToCounter]] = []
     for _ in range(100):
         for call in counts(world.ask()):
             answer(world, call, 100.0)
@@ -163,7 +163,7 @@
     (call,) = counts(world.ask())
     world.give(api.CounterReplied(call.name, api.Outcome.OK, call.amount))
     read = world.log[-1][1]
-    assert isinstance(read, api.Count) and read.amount == 0 and read.name != call.name
+    assert isinstance(read, api.AddToCounter) and read.amount == 0 and read.name != call.name
     world.give(api.CounterReplied(read.name, api.Outcome.OK, 33.0))  # 15 s of a quota of two, and 3
     assert world.gateway.customers.by_key["c"].fleet_units == 8 - 3
 
@@ -229,7 +229,7 @@
 
 
 def test_what_a_time_out_may_have_added_is_not_added_again_and_what_was_turned_away_is() -> None:
-    for outcome, again in ((api.Outcome.TIMED_OUT, 1.0), (api.Outcome.FULL, 2.0)):
+    for outcome, again in ((api.Outcome.TIMED_OUT, 1.0), (api.Outcome.QUEUE_FULL, 2.0)):
         world = World()
         (call,) = counts(world.ask())
         answer(world, call, 0, outcome)
@@ -274,7 +274,7 @@
             for call in counts(world.ask(customer=f"c{tick}", spread=40)):
                 made += tick >= 100
                 turned += tick >= 100 and room <= 0
-                answer(world, call, call.amount, api.Outcome.OK if room > 0 else api.Outcome.FULL)
+                answer(world, call, call.amount, api.Outcome.OK if room > 0 else api.Outcome.QUEUE_FULL)
                 room -= 1
             world.pass_time(100)
     assert turned <= 0.15 * made and made - turned >= 0.85 * 16 * 100
@@ -287,7 +287,7 @@
     while not (made := counts(world.ask(spread=40))):
         world.pass_time(300)
     assert made[0].amount == 4.0
-    answer(world, made[0], 0.0, api.Outcome.FULL)
+    answer(world, made[0], 0.0, api.Outcome.QUEUE_FULL)
     assert world.gateway.customers.by_key["c"].unreported_units == 1.0
 
 
@@ -372,7 +372,7 @@
         todo = world.ask(customer=customer, spread=120)
         while todo:
             action = todo.pop(0)
-            if isinstance(action, api.Count):
+            if isinstance(action, api.AddToCounter):
                 numbers[action.name] = numbers.get(action.name, 0.0) + action.amount
                 todo += world.give(api.CounterReplied(action.name, api.Outcome.OK, numbers[action.name]))
             elif isinstance(action, api.Send):
@@ -449,7 +449,7 @@
         return seen
 
     world = World()
-    well, crowded = calls(world, api.Outcome.OK), calls(world, api.Outcome.FULL)
+    well, crowded = calls(world, api.Outcome.OK), calls(world, api.Outcome.QUEUE_FULL)
     assert 0 < crowded < well * 0.7
     calls(world, api.Outcome.OK)
     calls(world, api.Outcome.OK)
--- a/tests/policy/test_rules_hold.py
+++ b/tests/policy/test_rules_hold.py
@@ -13,7 +13,7 @@
 
 from switchline.policy import interface as api
 
-NEVER_RAN = {api.Outcome.FULL, api.Outcome.CONNECT, api.Outcome.IGNORED}
+NEVER_RAN = {api.Outcome.QUEUE_FULL, api.Outcome.CONNECT_FAILED, api.Outcome.IGNORED}
 OUTCOMES = list(api.Outcome)
 # Of a ceiling, this gateway's part: the even one of two gateways, until a reading of the counter shows who
 # wants how much. From then on a gateway that wants nearly all of it may have the largest part that a lease
@@ -36,7 +36,7 @@
         self.asked: dict[str, tuple[str, float]] = {}
         self.final: set[str] = set()
         self.sent: dict[str, list[tuple[int, float, api.Outcome | None]]] = {}
-        self.calls: list[api.Count] = []
+        self.calls: list[api.AddToCounter] = []
         self.states = {i: api.BackendState.READY for i in range(5)}
         self.told_at = {i: -1e9 for i in range(5)}
         self.ceiling, self.ceiling_at, self.part = 0.0, self.world.now, EVEN_PART
@@ -56,7 +56,8 @@
                 assert name != "wipe" or not ran
                 if name == "order":
                     assert all(
-                        b % 2 == action.backend % 2 and now - t <= KEYED.repeat_window_ms for b, t in ran
+                        b % 2 == action.backend % 2 and now - t <= KEYED.deduplication_window_ms
+                        for b, t in ran
                     )
                 ready = self.states[action.backend] is api.BackendState.READY
                 assert ready or now - self.told_at[action.backend] <= 1000
@@ -74,7 +75,7 @@
                 self.final.add(action.request)
             elif isinstance(action, api.Cancel):
                 assert action.attempt < len(self.sent[action.request])
-            elif isinstance(action, api.Count):
+            elif isinstance(action, api.AddToCounter):
                 self.calls.append(action)
 
     def fill_ceiling(self) -> None:
@@ -122,7 +123,7 @@
             self.check(world.give(api.CounterReplied(call.name, OUTCOMES[which], amount / 10)))
         elif what == "x" and (left := [r for r in self.sent if r not in self.final]):
             self.final.add(left[amount % len(left)])
-            self.check(world.give(api.RequestLapsed(left[amount % len(left)])))
+            self.check(world.give(api.RequestAbandoned(left[amount % len(left)])))
 
     def pass_time(self, amount: float) -> None:
         for _ in range(int(amount // 50) + 1):
@@ -151,7 +152,7 @@
         for action in world.ask(("view", "order", "wipe")[i % 3], ("basic", "firm")[i % 2], f"c{i % 17}"):
             if isinstance(action, api.Send) and i % 5:
                 world.end(action, OUTCOMES[i % 4])
-            elif isinstance(action, api.Count):
+            elif isinstance(action, api.AddToCounter):
                 world.give(api.CounterReplied(action.name, OUTCOMES[i % 2 * 3], i / 100))
         world.pass_time(60)
     return world.log
--- a/tests/policy/test_zones.py
+++ b/tests/policy/test_zones.py
@@ -374,7 +374,7 @@
         if index == 0:
             out.setdefault(request, []).append((len(out.get(request, ())), backend))
     for request, tries in out.items():
-        never = {api.Outcome.CONNECT, api.Outcome.FULL, api.Outcome.IGNORED}
+        never = {api.Outcome.CONNECT_FAILED, api.Outcome.QUEUE_FULL, api.Outcome.IGNORED}
         ran = [b for number, b in tries if outcomes.get((request, number)) not in never]
         if kinds[request] == "wipe":
             assert len(ran) <= 1  # it never runs twice
--- a/tests/service/test_driver.py
+++ b/tests/service/test_driver.py
@@ -39,7 +39,7 @@
         assert slot.reply is None
         await until(lambda: slot.answered)
         assert slot.reply == FAILED and not scene.driver.requests.open
-        assert scene.module.of(api.RequestLapsed) == [api.RequestLapsed("r1")]
+        assert scene.module.of(api.RequestAbandoned) == [api.RequestAbandoned("r1")]
 
     in_loop(scenario)
 
@@ -51,10 +51,12 @@
         scene.module.answers[api.RequestArrived] = [send, send, send, api.Reject("r1"), send]
         scene.ask()
         ended = scene.module.of(api.AttemptEnded)
-        outcomes = [(e.attempt, e.outcome, e.finished) for e in ended if isinstance(e, api.AttemptEnded)]
+        outcomes = [
+            (e.attempt, e.outcome, e.request_finished) for e in ended if isinstance(e, api.AttemptEnded)
+        ]
         assert outcomes == [
-            (0, api.Outcome.CONNECT, False),  # a backend that was never listed
-            (1, api.Outcome.CONNECT, False),
+            (0, api.Outcome.CONNECT_FAILED, False),  # a backend that was never listed
+            (1, api.Outcome.CONNECT_FAILED, False),
             (2, api.Outcome.IGNORED, False),
             (0, api.Outcome.IGNORED, True),
         ]
@@ -74,7 +76,10 @@
         await until(lambda: slot.answered)
         (ended,) = scene.module.of(api.AttemptEnded)
         assert isinstance(ended, api.AttemptEnded)
-        assert (ended.outcome, ended.finished) == (api.Outcome.TIMED_OUT, False) and ended.latency_ms >= 20
+        assert (ended.outcome, ended.request_finished) == (
+            api.Outcome.TIMED_OUT,
+            False,
+        ) and ended.latency_ms >= 20
         assert slot.reply == b"-BUSY\r\n"
         server.close()
 
@@ -94,9 +99,11 @@
 def test_without_a_counter_calls_end_as_never_made() -> None:
     async def scenario() -> None:
         scene = Scene()
-        scene.module.answers[api.RequestArrived] = [api.Count("n", 1.0, 100.0)]
+        scene.module.answers[api.RequestArrived] = [api.AddToCounter("n", 1.0, 100.0)]
         scene.ask()
-        assert scene.module.of(api.CounterReplied) == [api.CounterReplied("n", api.Outcome.CONNECT, 0.0)]
+        assert scene.module.of(api.CounterReplied) == [
+            api.CounterReplied("n", api.Outcome.CONNECT_FAILED, 0.0)
+        ]
 
     in_loop(scenario)
 
@@ -161,7 +168,7 @@
         scene.driver.attempts.on_written(owner, 1, attempt)
         full: Any = SimpleNamespace(backend=7, true_units=0.0)
         scene.driver.attempts.in_flight["r1", 1] = owner.in_flight[1] = full
-        scene.driver.attempts.on_ended(owner, 1, now[0], full, api.Outcome.FULL, b"")
+        scene.driver.attempts.on_ended(owner, 1, now[0], full, api.Outcome.QUEUE_FULL, b"")
         assert scene.driver.attempts.reason_not_to_send(owner, now[0] + 10 * KEYED_WINDOW_MS) is None
         scene.driver.requests.end_all()
 
--- a/tests/service/test_fleet_budgets.py
+++ b/tests/service/test_fleet_budgets.py
@@ -21,7 +21,7 @@
     "capped", rate_per_s=8, burst_units=15, overage_revenue=0.1, ceiling_rate_per_s=17, ceiling_burst_units=27
 )
 OPEN = api.Plan("open")
-CALC = api.RequestClass("calc", latency_objective_ms=4_000, deadline_ms=8_000, effect=api.Effect.SAFE)
+CALC = api.RequestClass("calc", latency_objective_ms=4_000, deadline_ms=8_000, effect=api.Effect.IDEMPOTENT)
 
 
 @dataclass
@@ -92,7 +92,7 @@
         if isinstance(action, api.SetTimer):
             event = api.TimerFired(action.timer)
             self.later(action.delay_ms, lambda: self.give_living(index, gateway, event))
-        elif isinstance(action, api.Count):
+        elif isinstance(action, api.AddToCounter):
             total = self.totals[action.name] = self.totals.get(action.name, 0.0) + action.amount
             replied = api.CounterReplied(action.name, api.Outcome.OK, total)
             self.later(COUNTER_MS, lambda: self.give_living(index, gateway, replied))
--- a/tests/support/lease_answers.py
+++ b/tests/support/lease_answers.py
@@ -7,5 +7,7 @@
 from switchline.policy import interface as api
 
 
-def answer(world: World, call: api.Count, reading: float, outcome: api.Outcome = api.Outcome.OK) -> None:
+def answer(
+    world: World, call: api.AddToCounter, reading: float, outcome: api.Outcome = api.Outcome.OK
+) -> None:
     world.give(api.CounterReplied(call.name, outcome, reading))
