--- a/switchline/clients/places.py
+++ b/switchline/clients/places.py
@@ -54,12 +54,12 @@
     @property
     def live(self) -> int:
         """Connections that are not about to be closed here."""
-        return len(self.young) + self.shares.total
+        return len(self.young) + self.shares.slots_in_use
 
     def _follow_budget(self) -> None:
         """Let proven connections have all places but the young ones' before they are shared out."""
         self.shares.limit = self.limit
-        self.shares.pressure_from = self.limit - self.young_limit
+        self.shares.pressure_threshold = self.limit - self.young_limit
 
     def opened(self, connection: ClientConnection) -> None:
         """Give a newcomer a place, or mark it as surplus. Once places are few, young ones have a bound."""
@@ -69,14 +69,14 @@
         crowded_by_young = self.live > limit - young_limit and len(self.young) > young_limit
         if self.live > limit or crowded_by_young:
             # Proven ones give way only for what they hold of the young ones' places.
-            may_evict_idle = self.shares.total > limit - young_limit
+            may_evict_idle = self.shares.slots_in_use > limit - young_limit
             evicted = self.evict_young(connection) or (may_evict_idle and self.evict_idle())
             connection.surplus = not evicted
 
     def prove(self, connection: ClientConnection) -> bool:
         """Give a connection that has sent a proper request a lasting place; return whether it got one."""
         self._follow_budget()
-        held = self.shares.held.get(connection.peer, 0)
+        held = self.shares.slots_by_holder.get(connection.peer, 0)
         if not self.shares.admits(connection.peer) and not self.evict_idle(min_held=held):
             return False
         del self.young[connection]
@@ -158,5 +158,5 @@
         return {
             "clients.young": len(self.young),
             "clients.in_use": in_use,
-            "clients.idle": self.shares.total - in_use,
+            "clients.idle": self.shares.slots_in_use - in_use,
         }
--- a/switchline/policy/backends/selection.py
+++ b/switchline/policy/backends/selection.py
@@ -28,13 +28,13 @@
     No effect may happen twice. Unsafe work is never sent again once it may have run; keyed work only inside
     the group that recognises the repeat, and a little before that group forgets.
     """
-    if backend.id in request.tried:
+    if backend.id in request.tried_backends:
         return False
     request_class = request.request_class
     if not request.may_have_run or request_class.effect is api.Effect.IDEMPOTENT:
         return True
     first = request.may_have_run[0]
-    is_forgotten = now - first.sent_ms >= request_class.deduplication_window_ms - END_MARGIN_MS
+    is_forgotten = now - first.sent_at_ms >= request_class.deduplication_window_ms - END_MARGIN_MS
     if request_class.effect is api.Effect.NOT_IDEMPOTENT or is_forgotten:
         return False
     scope = request_class.deduplication_scope
--- a/switchline/policy/gateway.py
+++ b/switchline/policy/gateway.py
@@ -75,7 +75,7 @@
         self.attempts = AttemptTracker(settings, self.selection, self.latency, self.leases, self.replication)
         self.load = LoadEstimate(self.attempts.in_flight, self.latency, self.backends)
         self.admission = Admission(
-            QuotaCheck(rng, self.leases.counter),
+            QuotaCheck(rng, self.leases.counter_capacity),
             LoadShedding(settings, rng, self.load, self.recovery_ramp, self.backends, self.latency),
             self.recovery_ramp,
             self.durable_state,
@@ -156,19 +156,19 @@
             actions.append(api.WatchEndpointList())
 
     def _on_request(self, now: float, event: api.RequestArrived, actions: api.Actions) -> None:
-        self.customers.forget_idle(now, actions)
+        self.customers.remove_idle(now, actions)
         remaining_ms = event.expires_ms - now
         request_class = self.classes.get(event.request_class) or api.RequestClass(
             event.request_class, remaining_ms, remaining_ms
         )
-        customer = self.customers.get(
+        customer = self.customers.get_or_create(
             now, event.customer, event.plan, 1 / max(1, event.customer_gateway_count)
         )
         self.leases.fill(now, customer)
         request = Request(event, request_class, customer, now)
         self.attempts.requests[event.request] = request
         if self.leases.refresh(now, request, actions):
-            self.attempts.watch(now, request, now + self.leases.silence_ms(), actions)
+            self.attempts.schedule_check(now, request, now + self.leases.max_reply_wait_ms(), actions)
         else:
             self.admit(now, request, actions)
 
@@ -191,7 +191,7 @@
         elif not request.attempts_made:
             self.admit(now, request, actions)
         else:
-            self.attempts.on_silence(now, request, actions)
+            self.attempts.on_overdue(now, request, actions)
 
     def _on_counter_reply(self, now: float, event: api.CounterReplied, actions: api.Actions) -> None:
         request = self.attempts.requests.get(self.leases.on_reply(now, event, actions))
@@ -210,10 +210,10 @@
         """A peer reports what all have left of a quota: a disk that is lost or old forgets what it spent."""
         plan = self.customers.plans.get(event.plan)
         if plan and 0 <= event.remaining_units <= plan.burst_units and 0 < event.even_share <= 1:
-            customer = self.customers.get(now, event.customer, event.plan, event.even_share)
+            customer = self.customers.get_or_create(now, event.customer, event.plan, event.even_share)
             self.leases.fill(now, customer)
             customer.tokens = min(customer.tokens, event.remaining_units * customer.even_share)
-            customer.fleet_units = min(customer.fleet_units, event.remaining_units)
+            customer.fleet_remaining_units = min(customer.fleet_remaining_units, event.remaining_units)
 
     def _on_peer_joined(self, _: float, __: api.PeerProcessJoined, actions: api.Actions) -> None:
         records = self.shared_state.records().values()
@@ -232,12 +232,12 @@
     def _on_peer_spending(self, now: float, record: api.SpendingRecord, actions: api.Actions) -> None:
         """Take what the other process took from the same customer's buckets."""
         even_share = max(MIN_EVEN_SHARE, record.even_share)
-        customer = self.customers.get(now, record.customer, record.plan, even_share)
+        customer = self.customers.get_or_create(now, record.customer, record.plan, even_share)
         self.leases.fill(now, customer)
         customer.spend(record.tokens, record.units, record.ceiling_tokens)
         self.durable_state.spend(now, customer, record.units, actions)
         customer.unreported_units += record.unreported_units
-        customer.peer_in_flight = max(0, customer.peer_in_flight + int(record.open_attempts))
+        customer.peer_in_flight = max(0, customer.peer_in_flight + int(record.in_flight_change))
 
     def _on_peer_left(self, _: float, __: api.PeerProcessLeft, ___: api.Actions) -> None:
         self.replication.on_left(self.customers.by_key.values())
--- a/switchline/policy/gateway_status.py
+++ b/switchline/policy/gateway_status.py
@@ -73,7 +73,9 @@
         plan = customer.plan
         if plan.rate_per_s:
             passed_s = max(0.0, now - customer.filled_at_ms) / 1000
-            left = min(plan.burst_units, max(0.0, customer.fleet_units + passed_s * plan.rate_per_s))
+            left = min(
+                plan.burst_units, max(0.0, customer.fleet_remaining_units + passed_s * plan.rate_per_s)
+            )
             if left < plan.burst_units:
                 reports.append(api.GatewayQuotaReport(customer.key, plan.name, customer.even_share, left))
     plans = gateway.customers.plans
--- a/switchline/policy/interface/records.py
+++ b/switchline/policy/interface/records.py
@@ -32,7 +32,7 @@
     mean_ms: float
     recent_ms: float
     recent_at_ms: float
-    answers: float
+    sample_count: float
     rate_per_s: float
     answered_at_ms: float
 
@@ -52,7 +52,7 @@
 
     customer: str
     plan: str
-    open_attempts: int
+    in_flight: int
     even_share: float
     ceiling_share: float
     tokens: float
@@ -60,14 +60,14 @@
     ceiling_tokens: float
     quota_share: float
     admit_probability: float
-    fleet_units: float
+    fleet_remaining_units: float
     spent_units: float
     lease_expires_ms: float
     next_refresh_ms: float
-    is_counted: bool
+    has_valid_reading: bool
     unreported_units: float
-    own_demand: float
-    fleet_demand: float
+    own_demand_units: float
+    fleet_demand_units: float
     period: int
     period_total: float
     read_at_ms: float
@@ -85,7 +85,7 @@
         tokens: Units taken from the lease's own bucket.
         units: Units taken from what all gateways have left.
         ceiling_tokens: Units taken from the ceiling's bucket.
-        open_attempts: The change of its attempts in flight.
+        in_flight_change: The change of its attempts in flight.
     """
 
     customer: str
@@ -95,7 +95,7 @@
     tokens: float
     units: float
     ceiling_tokens: float
-    open_attempts: float
+    in_flight_change: float
 
 
 @dataclass(frozen=True, slots=True)
--- a/switchline/policy/persistence/codec.py
+++ b/switchline/policy/persistence/codec.py
@@ -37,9 +37,9 @@
             return ["gateway", *(getattr(record, name) for name in GATEWAY_FIELDS)]
         case BackendRecord(backend, scores, started_ms):
             return ["backend", backend, scores, started_ms]
-        case CustomerRecord(customer, plan, open_attempts):
+        case CustomerRecord(customer, plan, in_flight):
             numbers = [getattr(record, name) + 0 for name in CUSTOMER_FIELDS]  # true is written as 1
-            return ["customer", customer, plan, open_attempts, numbers]
+            return ["customer", customer, plan, in_flight, numbers]
         case SpendingRecord():
             return ["spent", *(getattr(record, name) for name in SPENDING_FIELDS)]
         case DeleteRecord(kind, name):
@@ -67,8 +67,8 @@
             return BackendRecord(backend, read_scores(scores), None)
         case ["backend", int(backend), dict(scores), started_ms]:
             return BackendRecord(backend, read_scores(scores), float(started_ms))
-        case ["customer", str(customer), str(plan), int(open_attempts), list(numbers)]:
-            return read_customer(customer, plan, open_attempts, numbers)
+        case ["customer", str(customer), str(plan), int(in_flight), list(numbers)]:
+            return read_customer(customer, plan, in_flight, numbers)
         case ["spent", str(customer), str(plan), *numbers] if len(numbers) == 6:
             return SpendingRecord(customer, plan, *read_numbers(numbers))
         case ["forget", ("customer" | "backend") as kind, str(name)]:
@@ -76,12 +76,12 @@
     raise RecordError(f"no state of this program: {values[:1]}")
 
 
-def read_customer(customer: str, plan: str, open_attempts: int, values: list[Any]) -> CustomerRecord:
+def read_customer(customer: str, plan: str, in_flight: int, values: list[Any]) -> CustomerRecord:
     """Read a customer's record; its numbers are all floats but for the period and the flag."""
     numbers: dict[str, Any] = dict(zip(CUSTOMER_FIELDS, read_numbers(values), strict=True))
-    numbers["is_counted"] = bool(numbers["is_counted"])
+    numbers["has_valid_reading"] = bool(numbers["has_valid_reading"])
     numbers["period"] = int(numbers["period"])
-    return CustomerRecord(customer, plan, open_attempts, **numbers)
+    return CustomerRecord(customer, plan, in_flight, **numbers)
 
 
 def read_scores(scores: dict[Any, Any]) -> dict[str, FadingScore]:
--- a/switchline/policy/persistence/replication.py
+++ b/switchline/policy/persistence/replication.py
@@ -14,7 +14,7 @@
     "tokens": 0.0,
     "units": 0.0,
     "ceiling_tokens": 0.0,
-    "open_attempts": 0,
+    "in_flight_change": 0,
 }
 
 
@@ -80,7 +80,7 @@
     def replicate_open(self, customer: Customer, change: int, actions: api.Actions) -> None:
         """Let the other process count an attempt that begins (1) or ends (-1) here."""
         if self.has_peer:
-            self._replicate(customer, actions, open_attempts=change)
+            self._replicate(customer, actions, in_flight_change=change)
 
     def _replicate(self, customer: Customer, actions: api.Actions, **spending: float) -> None:
         """Replicate what was spent: fields of `SpendingRecord`, those left out being 0."""
--- a/switchline/policy/persistence/restore.py
+++ b/switchline/policy/persistence/restore.py
@@ -34,11 +34,11 @@
     units = (
         customer.tokens,
         customer.ceiling_tokens,
-        customer.fleet_units,
+        customer.fleet_remaining_units,
         customer.spent_units,
         customer.unreported_units,
-        customer.own_demand,
-        customer.fleet_demand,
+        customer.own_demand_units,
+        customer.fleet_demand_units,
     )
     if any(abs(number) > MAX_RECORD_NUMBER for number in units):
         raise ValueError("out of range")
@@ -52,7 +52,7 @@
     """
     match record:
         case api.GatewayRecord():
-            numbers = (record.mean_ms, record.recent_ms, record.answers, record.rate_per_s)
+            numbers = (record.mean_ms, record.recent_ms, record.sample_count, record.rate_per_s)
             is_valid = all(0 <= number <= MAX_RECORD_NUMBER for number in numbers)
         case api.BackendRecord(started_ms=float()):
             is_valid = all(abs(score.level) <= MAX_RECORD_NUMBER for score in record.scores.values())
@@ -87,7 +87,7 @@
         down_ms = now - self.last_commit_ms if self.is_believed else 0.0
         filled_ms = min(customer.filled_at_ms, written_ms)
         customer.filled_at_ms = now - max(0.0, self.last_commit_ms - filled_ms + down_ms - MAX_COMMIT_LAG_MS)
-        customer.is_counted = False
+        customer.has_valid_reading = False
         if self.is_believed:
             customer.lease_expires_ms = min(customer.lease_expires_ms, now + customer.idle_ttl_ms)
             customer.read_at_ms = min(customer.read_at_ms, now)
--- a/switchline/policy/persistence/shared_state.py
+++ b/switchline/policy/persistence/shared_state.py
@@ -28,7 +28,7 @@
                 latency.mean_ms,
                 latency.recent_ms,
                 latency.recent_at_ms,
-                latency.answers,
+                latency.sample_count,
                 latency.rate_per_s,
                 latency.answered_at_ms,
             )
@@ -59,8 +59,8 @@
                     }
             case api.CustomerRecord(key, plan) if plan in self._customers.plans:
                 even_share = max(MIN_EVEN_SHARE, record.even_share)
-                customer = self._customers.get(now, key, plan, even_share)
-                customer.load(record)
+                customer = self._customers.get_or_create(now, key, plan, even_share)
+                customer.restore(record)
                 return customer
             case _:
                 raise ValueError(f"no state of this program: {type(record).__name__}")
@@ -79,6 +79,6 @@
         latency.mean_ms = record.mean_ms
         latency.recent_ms = record.recent_ms
         latency.recent_at_ms = record.recent_at_ms
-        latency.answers = record.answers
+        latency.sample_count = record.sample_count
         latency.rate_per_s = record.rate_per_s
         latency.answered_at_ms = record.answered_at_ms
--- a/switchline/policy/quota/admission.py
+++ b/switchline/policy/quota/admission.py
@@ -18,7 +18,7 @@
 from switchline.policy.quota.customer import Customer
 from switchline.policy.requests.latency import LatencyEstimate
 from switchline.policy.requests.load import LoadEstimate
-from switchline.policy.requests.loss_timeout import initial_patience_ms
+from switchline.policy.requests.loss_timeout import initial_loss_timeout_ms
 from switchline.policy.requests.request import Request
 from switchline.policy.requests.retry_budget import RetryBudget
 
@@ -104,13 +104,13 @@
             missing = self._missing_by_reading(customer, units)
             self.admitted_ratio += ((missing <= 0) - self.admitted_ratio) * READING_WEIGHT
             return missing
-        if customer.is_scattered and self._rng.random() >= self.admitted_ratio**2:
+        if customer.is_very_sparse and self._rng.random() >= self.admitted_ratio**2:
             return units  # admitted without a reading by each of many gateways, it would be served many times
         return units - customer.tokens if customer.plan.rate_per_s else 0.0
 
     def is_read(self, customer: Customer) -> bool:
         """Whether a sparse quota goes by the last reading of what all gateways have left."""
-        return customer.is_sparse and customer.is_counted and customer.plan.rate_per_s > 0
+        return customer.is_sparse and customer.has_valid_reading and customer.plan.rate_per_s > 0
 
     def rate_per_s(self, customer: Customer) -> float:
         """Give the rate at which the quota of a customer refills: by a reading, that of all gateways."""
@@ -119,9 +119,9 @@
     def _missing_by_reading(self, customer: Customer, units: float) -> float:
         """Past the quota, a fraction of all demand is admitted, by chance."""
         if customer.admit_probability >= 1:
-            return units - customer.fleet_units if customer.admit_probability == 1 else units
+            return units - customer.fleet_remaining_units if customer.admit_probability == 1 else units
         probability = customer.admit_probability
-        if customer.is_scattered:
+        if customer.is_very_sparse:
             unread_ratio = (1 - self._counter.ratio) * self.admitted_ratio  # admitted beside those read
             probability = (SCATTERED_RATIO * probability - unread_ratio) / self._counter.ratio
         return 0.0 if self._rng.random() < probability else units
@@ -161,7 +161,7 @@
             is_recovering: Whether the whole fleet recovers from a power loss.
         """
         deficit = self._priority_deficit(request.request_class)
-        jitter = SHEDDING_JITTER * self._rng.random() if self._load.is_thin() else 0.0
+        jitter = SHEDDING_JITTER * self._rng.random() if self._load.has_few_in_flight() else 0.0
         threshold = SHEDDING_RATIO * (1 - SHEDDING_PRIORITY_SPAN * deficit)
         if is_recovering:
             threshold = self._recovery_ramp.shedding_threshold(
@@ -172,7 +172,7 @@
                 warm_ratio=self._backends.warm_ratio(now),
                 answered_ms=self._latency.answered_at_ms,
             )
-        return load.ratio > threshold + jitter or now + load.expected_ms > request.objective_ms
+        return load.ratio > threshold + jitter or now + load.expected_ms > request.answer_due_ms
 
     def _priority_deficit(self, request_class: api.RequestClass) -> float:
         """Give how far a class is below the highest priority, up to 1."""
@@ -265,7 +265,7 @@
         While the whole fleet recovers, the waits are spread, so that those rejected don't all come back at
         once.
         """
-        wait_ms = initial_patience_ms(request.request_class.latency_objective_ms)
+        wait_ms = initial_loss_timeout_ms(request.request_class.latency_objective_ms)
         if verdict.missing_units > 0:
             wait_ms = verdict.missing_units * 1000 / max(verdict.quota_rate_per_s, 1e-9)
         if verdict.cause is api.RejectionCause.RECOVERY:
--- a/switchline/policy/quota/customer.py
+++ b/switchline/policy/quota/customer.py
@@ -44,23 +44,23 @@
         ceiling_share: This gateway's part of the ceiling's.
         tokens: Units in the bucket of the lease.
         ceiling_tokens: Units in the bucket of the ceiling.
-        fleet_units: What all gateways have left, by the last reading and what was sent here since.
+        fleet_remaining_units: What all gateways have left, by the last reading and what was sent here since.
         filled_at_ms: Up to when time has filled the buckets.
         admit_probability: The part of its requests that the quota has capacity for; matters if it is sparse.
         spent_units: What was sent here since the last reading.
         lease_expires_ms: When the lease ends unless a call to the counter renews it.
         next_refresh_ms: When the counter may be called again.
-        is_counted: Whether the last call to the counter succeeded.
+        has_valid_reading: Whether the last call to the counter succeeded.
         unreported_units: Units asked here that the counter has not been given.
-        own_demand: Units asked here lately, fading.
-        fleet_demand: Units asked at all gateways lately, fading.
+        own_demand_units: Units asked here lately, fading.
+        fleet_demand_units: Units asked at all gateways lately, fading.
         period: The counter's period of the last reading.
         period_total: The counter's number at the last reading.
         read_at_ms: When that was.
         pending_period: A period that this gateway begins to read.
         idle_ttl_ms: How long it is remembered while it asks for nothing.
         is_sparse: Its even share of a burst is too small to be spent locally: each request asks the counter.
-        is_scattered: It is spread over so many gateways that its even share is next to nothing.
+        is_very_sparse: It is spread over so many gateways that its even share is next to nothing.
     """
 
     __slots__ = (
@@ -69,17 +69,17 @@
         "ceiling_tokens",
         "even_share",
         "filled_at_ms",
-        "fleet_demand",
-        "fleet_units",
+        "fleet_demand_units",
+        "fleet_remaining_units",
         "idle_ttl_ms",
         "in_flight",
-        "is_counted",
-        "is_scattered",
+        "has_valid_reading",
+        "is_very_sparse",
         "is_sparse",
         "key",
         "lease_expires_ms",
         "next_refresh_ms",
-        "own_demand",
+        "own_demand_units",
         "peer_in_flight",
         "pending_period",
         "period",
@@ -112,16 +112,16 @@
         self.tokens = max(max_request_units, even_burst)
         # A restarted gateway does not know what it sent: from empty, its part is never spent twice.
         self.ceiling_tokens = (now - gateway_created_ms) / 1000 * plan.ceiling_rate_per_s * even_share
-        self.fleet_units = plan.burst_units
+        self.fleet_remaining_units = plan.burst_units
         self.filled_at_ms = now
         self.admit_probability = 1.0
         self.spent_units = 0.0
         self.lease_expires_ms = now + LEASE_MS
         self.next_refresh_ms = now
-        self.is_counted = False
+        self.has_valid_reading = False
         self.unreported_units = 0.0
-        self.own_demand = 0.0
-        self.fleet_demand = 0.0
+        self.own_demand_units = 0.0
+        self.fleet_demand_units = 0.0
         self.period = NO_PERIOD
         self.period_total = 0.0
         self.read_at_ms = now
@@ -129,13 +129,13 @@
         ceiling_fill_ms = plan.ceiling_burst_units / max(plan.ceiling_rate_per_s, 1e-9) * 1000
         self.idle_ttl_ms = max(LEASE_MS, ceiling_fill_ms)
         self.is_sparse = even_burst < SPARSE_REQUESTS * max_request_units
-        self.is_scattered = 0 < even_burst < SCATTERED_REQUESTS * max_request_units
+        self.is_very_sparse = 0 < even_burst < SCATTERED_REQUESTS * max_request_units
 
     def spend(self, tokens: float, units: float, ceiling_tokens: float) -> None:
         """Take what a request uses from the lease's bucket, from all gateways' and from the ceiling's."""
         self.tokens -= tokens
         self.ceiling_tokens -= ceiling_tokens
-        self.fleet_units -= units
+        self.fleet_remaining_units -= units
         self.spent_units += units
 
     def is_idle(self, now: float) -> bool:
@@ -146,14 +146,14 @@
         """Fall back to the safe share of a gateway that knows nothing of the others."""
         self.quota_share = self.even_share
         self.ceiling_share = self.even_share
-        self.is_counted = False
+        self.has_valid_reading = False
 
     def record(self, reserved_units: float = 0.0) -> api.CustomerRecord:
         """Give its state record, in which the reserved units count as spent."""
         return api.CustomerRecord(
             customer=self.key,
             plan=self.plan.name,
-            open_attempts=self.in_flight,
+            in_flight=self.in_flight,
             even_share=self.even_share,
             ceiling_share=self.ceiling_share,
             tokens=self.tokens - reserved_units,
@@ -161,20 +161,20 @@
             ceiling_tokens=self.ceiling_tokens - reserved_units,
             quota_share=self.quota_share,
             admit_probability=self.admit_probability,
-            fleet_units=self.fleet_units - reserved_units,
+            fleet_remaining_units=self.fleet_remaining_units - reserved_units,
             spent_units=self.spent_units + reserved_units,
             lease_expires_ms=self.lease_expires_ms,
             next_refresh_ms=self.next_refresh_ms,
-            is_counted=self.is_counted,
+            has_valid_reading=self.has_valid_reading,
             unreported_units=self.unreported_units,
-            own_demand=self.own_demand,
-            fleet_demand=self.fleet_demand,
+            own_demand_units=self.own_demand_units,
+            fleet_demand_units=self.fleet_demand_units,
             period=self.period,
             period_total=self.period_total,
             read_at_ms=self.read_at_ms,
         )
 
-    def load(self, record: api.CustomerRecord) -> None:
+    def restore(self, record: api.CustomerRecord) -> None:
         """Take over a state record; the attempts in flight are those of the other process."""
         self.even_share = record.even_share
         self.ceiling_share = record.ceiling_share
@@ -184,18 +184,18 @@
         self.quota_share = record.quota_share
         self.admit_probability = record.admit_probability
         # An int stays an int, so that the record reads as before: a plan's burst may be a whole number.
-        self.fleet_units = type(self.fleet_units)(record.fleet_units)
+        self.fleet_remaining_units = type(self.fleet_remaining_units)(record.fleet_remaining_units)
         self.spent_units = record.spent_units
         self.lease_expires_ms = record.lease_expires_ms
         self.next_refresh_ms = record.next_refresh_ms
-        self.is_counted = record.is_counted
+        self.has_valid_reading = record.has_valid_reading
         self.unreported_units = record.unreported_units
-        self.own_demand = record.own_demand
-        self.fleet_demand = record.fleet_demand
+        self.own_demand_units = record.own_demand_units
+        self.fleet_demand_units = record.fleet_demand_units
         self.period = record.period
         self.period_total = record.period_total
         self.read_at_ms = record.read_at_ms
-        self.peer_in_flight = record.open_attempts
+        self.peer_in_flight = record.in_flight
 
     def limit_times(self, now: float) -> None:
         """Bound times that came from another process, whose clock may be ahead: none lies in the future."""
--- a/switchline/policy/quota/customers.py
+++ b/switchline/policy/quota/customers.py
@@ -30,7 +30,7 @@
         self.gateway_created_ms = now
         self._idle_checked_ms = now
 
-    def get(self, now: float, key: str, plan: str, even_share: float) -> Customer:
+    def get_or_create(self, now: float, key: str, plan: str, even_share: float) -> Customer:
         """Give a customer; a new one starts with what its gateways' even shares hold."""
         customer = self.by_key.get(key)
         if customer is None:
@@ -42,7 +42,7 @@
             self._durable_state.on_new_customer(now, customer)
         return customer
 
-    def forget_idle(self, now: float, actions: api.Actions) -> None:
+    def remove_idle(self, now: float, actions: api.Actions) -> None:
         """Forget idle customers and delete their records, once a lease's time."""
         if now - self._idle_checked_ms <= LEASE_MS:
             return
--- a/switchline/policy/quota/fair_shares.py
+++ b/switchline/policy/quota/fair_shares.py
@@ -14,34 +14,36 @@
     """Counts the slots that each holder has; a holder is forgotten with the last slot that it releases.
 
     Attributes:
-        limit: How many slots there are. It and `pressure_from` may change at any time; slots that are taken
-            beyond a lower limit are not called back.
-        pressure_from: How many taken slots are pressure.
-        held: Slots by holder.
-        total: Slots taken.
+        limit: How many slots there are. It and `pressure_threshold` may change at any time; slots in use
+            above a lowered limit are not taken back from their holders.
+        pressure_threshold: The number of slots in use from which the rest is shared out.
+        slots_by_holder: The number of slots that each holder uses.
+        slots_in_use: The number of slots in use, over all holders.
     """
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
-        self.pressure_from = int(limit * PRESSURE_RATIO)
-        self.held: dict[str, int] = {}
-        self.total = 0
+        self.pressure_threshold = int(limit * PRESSURE_RATIO)
+        self.slots_by_holder: dict[str, int] = {}
+        self.slots_in_use = 0
 
     def admits(self, holder: str) -> bool:
         """Whether a holder may take a further slot."""
-        free = self.limit - self.total
-        return free > 0 and (self.total < self.pressure_from or self.held.get(holder, 0) < free)
+        free = self.limit - self.slots_in_use
+        return free > 0 and (
+            self.slots_in_use < self.pressure_threshold or self.slots_by_holder.get(holder, 0) < free
+        )
 
     def take(self, holder: str) -> None:
         """Give a holder a further slot."""
-        self.held[holder] = self.held.get(holder, 0) + 1
-        self.total += 1
+        self.slots_by_holder[holder] = self.slots_by_holder.get(holder, 0) + 1
+        self.slots_in_use += 1
 
     def release(self, holder: str) -> None:
         """Take a slot back from a holder that has one."""
-        left = self.held[holder] - 1
-        self.total -= 1
+        left = self.slots_by_holder[holder] - 1
+        self.slots_in_use -= 1
         if left:
-            self.held[holder] = left
+            self.slots_by_holder[holder] = left
         else:
-            del self.held[holder]
+            del self.slots_by_holder[holder]
--- a/switchline/policy/quota/lease_sizing.py
+++ b/switchline/policy/quota/lease_sizing.py
@@ -38,12 +38,14 @@
     passed_s = max(0.0, now - customer.filled_at_ms) / 1000
     customer.filled_at_ms = now
     # The part of a ceiling by demand of long ago is spent by others meanwhile: it fades as demand does.
-    least_share = customer.even_share * (EVEN_CEILING_RATIO if customer.is_counted else 1.0)
+    least_share = customer.even_share * (EVEN_CEILING_RATIO if customer.has_valid_reading else 1.0)
     fading = math.exp(-passed_s * 1000 / DEMAND_MEMORY_MS)
     customer.ceiling_share = least_share + (customer.ceiling_share - least_share) * fading
     bucket = max(max_request_units, plan.burst_units * customer.quota_share)
     customer.tokens = min(bucket, customer.tokens + passed_s * plan.rate_per_s * customer.quota_share)
-    customer.fleet_units = min(plan.burst_units, customer.fleet_units + passed_s * plan.rate_per_s)
+    customer.fleet_remaining_units = min(
+        plan.burst_units, customer.fleet_remaining_units + passed_s * plan.rate_per_s
+    )
     ceiling_gain = passed_s * plan.ceiling_rate_per_s * customer.ceiling_share
     ceiling_bucket = plan.ceiling_burst_units * customer.ceiling_share
     customer.ceiling_tokens = min(ceiling_bucket, customer.ceiling_tokens + ceiling_gain)
@@ -108,15 +110,15 @@
     """
     own, others = reading.own_units, reading.other_units
     if reading.is_same_period:
-        customer.own_demand = customer.own_demand * reading.fading + own
-        customer.fleet_demand = customer.fleet_demand * reading.fading + own + others
-        demand_share = customer.own_demand / customer.fleet_demand
+        customer.own_demand_units = customer.own_demand_units * reading.fading + own
+        customer.fleet_demand_units = customer.fleet_demand_units * reading.fading + own + others
+        demand_share = customer.own_demand_units / customer.fleet_demand_units
     else:
         demand_share = own / (own + others)
     customer.ceiling_share = EVEN_CEILING_RATIO * customer.even_share + DEMAND_CEILING_RATIO * demand_share
-    load = min(1.0, customer.fleet_demand * 1000 / DEMAND_MEMORY_MS / customer.plan.rate_per_s)
-    if customer.fleet_demand:
-        own_ratio = min(1.0, customer.own_demand / customer.fleet_demand)
+    load = min(1.0, customer.fleet_demand_units * 1000 / DEMAND_MEMORY_MS / customer.plan.rate_per_s)
+    if customer.fleet_demand_units:
+        own_ratio = min(1.0, customer.own_demand_units / customer.fleet_demand_units)
         customer.quota_share = 1 - (1 - own_ratio) * load
     else:
         customer.quota_share = customer.even_share
@@ -136,17 +138,22 @@
     window_units = rate * reading.window_s - spent
     if reading.is_same_period:
         share_remaining(
-            now, customer, others, own, QuotaGain(max(customer.fleet_units, window_units)), max_request_units
+            now,
+            customer,
+            others,
+            own,
+            QuotaGain(max(customer.fleet_remaining_units, window_units)),
+            max_request_units,
         )
         return True
     period_s = max(0.0, now - reading.period * PERIOD_MS) / 1000
     period_units = rate * period_s
     if customer.is_sparse and others + own + spent <= period_units:
         # All demand of this period fits into what its time brought, however the last one ended.
-        gained = max(period_units - spent, customer.fleet_units if reading.is_next_period else 0.0)
+        gained = max(period_units - spent, customer.fleet_remaining_units if reading.is_next_period else 0.0)
         share_remaining(now, customer, others, own, QuotaGain(gained), max_request_units)
         return True
-    gained = max(customer.fleet_units, window_units) if reading.is_next_period else period_units
+    gained = max(customer.fleet_remaining_units, window_units) if reading.is_next_period else period_units
     if not reading.is_next_period and others > max(gained + plan.burst_units, max_request_units):
         # Others asked for more than a whole burst could pay as well: the share is the same however the
         # period before ended.
@@ -193,16 +200,18 @@
         max_request_units: The largest request.
     """
     customer.admit_probability = 1.0
-    customer.is_counted = True
+    customer.has_valid_reading = True
     if other_units <= gain.units:
-        customer.fleet_units = min(customer.plan.burst_units, gain.units - other_units)
+        customer.fleet_remaining_units = min(customer.plan.burst_units, gain.units - other_units)
     elif other_units <= max_request_units:
-        customer.fleet_units -= other_units if other_units <= customer.fleet_units else 0.0
+        customer.fleet_remaining_units -= (
+            other_units if other_units <= customer.fleet_remaining_units else 0.0
+        )
     else:
         customer.admit_probability = (gain.units - gain.burst_units) / (other_units + own_units)
-        customer.fleet_units = 0.0
-    customer.tokens = max(customer.tokens, customer.fleet_units * customer.quota_share)
+        customer.fleet_remaining_units = 0.0
+    customer.tokens = max(customer.tokens, customer.fleet_remaining_units * customer.quota_share)
     if customer.admit_probability == 1.0:
-        customer.tokens = min(customer.tokens, customer.fleet_units)
-    surge_ms = customer.fleet_units / (SURGE_MULTIPLE * customer.plan.rate_per_s) * 1000
+        customer.tokens = min(customer.tokens, customer.fleet_remaining_units)
+    surge_ms = customer.fleet_remaining_units / (SURGE_MULTIPLE * customer.plan.rate_per_s) * 1000
     customer.next_refresh_ms = max(customer.next_refresh_ms, now + surge_ms)
--- a/switchline/policy/quota/leases.py
+++ b/switchline/policy/quota/leases.py
@@ -67,7 +67,7 @@
         replication: PeerReplication,
     ) -> None:
         self.is_stale = False
-        self.counter = CounterCapacity()
+        self.counter_capacity = CounterCapacity()
         self._settings = settings
         self._rng = rng
         self._customers = customers
@@ -99,19 +99,19 @@
             return False
         if not self._settings.uses_counter or not customer.plan.rate_per_s:
             return False
-        if self._rng.random() > self.counter.ratio:
+        if self._rng.random() > self.counter_capacity.ratio:
             # Of a sparse lease, the requests that are counted stand for those that are not.
             customer.unreported_units -= request.units if customer.is_sparse else 0.0
             return False
         amount = max(MIN_REPORT_UNITS, customer.unreported_units)  # corrections may outweigh what was asked
         customer.unreported_units -= amount
-        amount /= self.counter.ratio if customer.is_sparse else 1.0
+        amount /= self.counter_capacity.ratio if customer.is_sparse else 1.0
         customer.next_refresh_ms = now + refresh_interval_ms(customer)
         waiting = request.id if customer.is_sparse else ""
         self._call(customer, int(now // PERIOD_MS), amount, waiting, actions)
         return customer.is_sparse
 
-    def silence_ms(self) -> float:
+    def max_reply_wait_ms(self) -> float:
         """Give how long a request waits for the counter at most."""
         return SILENCE_MULTIPLE * self._settings.counter_call_ms
 
@@ -122,7 +122,7 @@
         self._replication.replicate_correction(customer, units, unreported_units, actions)
         customer.unreported_units += units if calls_counter else 0.0
         customer.spent_units += units
-        customer.fleet_units -= units
+        customer.fleet_remaining_units -= units
         customer.tokens -= units
         self._durable_state.correct(customer, units)
 
@@ -135,15 +135,15 @@
         if not calls:
             del self._calls[event.name]
         is_ok = event.outcome is api.Outcome.OK
-        ratio = self.counter.ratio  # before this reply
-        self.counter.on_reply(event.outcome)
+        ratio = self.counter_capacity.ratio  # before this reply
+        self.counter_capacity.on_reply(event.outcome)
         customer = self._customers.by_key.get(call.customer)
         if customer is None:
             return call.request
         if is_ok:
             waits = self.renew(now, customer, call, event.total, actions)
             return "" if waits else call.request
-        customer.is_counted = False  # what others took is not known: the lease's own bucket pays
+        customer.has_valid_reading = False  # what others took is not known: the lease's own bucket pays
         if event.outcome in NEVER_RAN:
             customer.unreported_units += call.amount * (ratio if customer.is_sparse else 1.0)
         return call.request
--- a/switchline/policy/requests/attempts.py
+++ b/switchline/policy/requests/attempts.py
@@ -13,7 +13,7 @@
 from switchline.policy.quota.leases import LeaseKeeper
 from switchline.policy.requests.final_answer import final_answer
 from switchline.policy.requests.latency import LatencyEstimate
-from switchline.policy.requests.loss_timeout import patience_ms
+from switchline.policy.requests.loss_timeout import loss_timeout_ms
 from switchline.policy.requests.request import NEVER_RAN, Attempt, Request
 from switchline.policy.requests.retry_budget import RetryBudget
 
@@ -57,22 +57,22 @@
         number = request.attempts_made
         attempt = Attempt(request, backend, math.inf if request.is_streamed else now)
         self.in_flight[request.id, number] = attempt
-        request.live.add(number)
+        request.in_flight_attempts.add(number)
         request.may_have_run.append(attempt)
-        request.tried.add(backend.id)
+        request.tried_backends.add(backend.id)
         request.attempts_made += 1
         actions.append(api.Send(request.id, backend.id))
-        check_at_ms = now + self.patience_ms(now, attempt) if request.is_body_complete else math.inf
-        self.watch(now, request, check_at_ms, actions)
+        check_at_ms = now + self.loss_timeout_ms(now, attempt) if request.is_body_complete else math.inf
+        self.schedule_check(now, request, check_at_ms, actions)
 
-    def patience_ms(self, now: float, attempt: Attempt) -> float:
+    def loss_timeout_ms(self, now: float, attempt: Attempt) -> float:
         """Give how long an attempt may take before it counts as lost."""
         request = attempt.request
         failure_probability = self._outliers.failure_probability(now, attempt.backend, request.score_names)
         objective_ms = request.request_class.latency_objective_ms
-        return patience_ms(self._latency.mean_ms, failure_probability, objective_ms)
+        return loss_timeout_ms(self._latency.mean_ms, failure_probability, objective_ms)
 
-    def watch(self, now: float, request: Request, check_at_ms: float, actions: api.Actions) -> None:
+    def schedule_check(self, now: float, request: Request, check_at_ms: float, actions: api.Actions) -> None:
         """Look at a request again at a time, before it expires in any case."""
         request.check_at_ms = min(check_at_ms, request.expires_ms - END_MARGIN_MS)
         timer = api.Timer(api.TimerPurpose.REQUEST, request.id)
@@ -87,45 +87,45 @@
         request = self.requests.get(event.request)
         if request:
             request.on_body_received(now, event.expires_ms)
-            self.watch(now, request, request.check_at_ms, actions)
+            self.schedule_check(now, request, request.check_at_ms, actions)
 
     def on_body_sent(self, now: float, event: api.RequestBodySent, _: api.Actions) -> None:
         """The body of a streamed request has left: the time of its backend is counted from here."""
         attempt = self.in_flight.get((event.request, event.attempt))
         if attempt:
-            attempt.sent_ms = now
+            attempt.sent_at_ms = now
 
     def on_answer_streamed(self, now: float, event: api.StreamedAnswerStarted, actions: api.Actions) -> None:
         """A streamed answer is the final one: nothing may cut it off, and other attempts are not needed."""
         attempt = self.in_flight.get((event.request, event.attempt))
         request = self.requests.pop(event.request, None)
         if attempt and request:
-            self.judge(now, attempt, api.Outcome.OK)
+            self.record_outcome(now, attempt, api.Outcome.OK)
             attempt.is_answer_streamed = True
-            request.live.discard(event.attempt)
+            request.in_flight_attempts.discard(event.attempt)
             self._cancel_all(request, actions)
-            request.live.add(event.attempt)
+            request.in_flight_attempts.add(event.attempt)
 
     def on_abandoned(self, _: float, event: api.RequestAbandoned, __: api.Actions) -> None:
         """A request needs no answer any more."""
         self.requests.pop(event.request, None)
 
-    def on_silence(self, now: float, request: Request, actions: api.Actions) -> None:
+    def on_overdue(self, now: float, request: Request, actions: api.Actions) -> None:
         """A request's attempt is in flight far longer than usual: hedge it, or cancel it and retry after."""
-        self.watch(now, request, math.inf, actions)
-        for number in request.live:  # silence tells of a zone before the attempt has ended
+        self.schedule_check(now, request, math.inf, actions)
+        for number in request.in_flight_attempts:  # silence tells of a zone before the attempt has ended
             silent = self.in_flight[request.id, number]
-            if now - silent.sent_ms >= self.patience_ms(now, silent) - TIMER_TOLERANCE_MS:
+            if now - silent.sent_at_ms >= self.loss_timeout_ms(now, silent) - TIMER_TOLERANCE_MS:
                 self._zones.on_outcome(
                     now, silent.backend.id, silent.backend.zone, is_lost=True, has_ended=False
                 )
-        if len(request.live) != 1 or request.is_streamed:
+        if len(request.in_flight_attempts) != 1 or request.is_streamed:
             return
         if request.request_class.effect is api.Effect.NOT_IDEMPOTENT:
             return
         if self._settings.can_hedge:
-            self.send_another(now, request, actions, price=1.0)
-        elif self.retry_budget.allows(1.0) and now + self._latency.mean_ms < request.objective_ms:
+            self.send_further_attempt(now, request, actions, price=1.0)
+        elif self.retry_budget.allows(1.0) and now + self._latency.mean_ms < request.answer_due_ms:
             self._cancel_all(request, actions)
 
     def on_ended(self, now: float, event: api.AttemptEnded, actions: api.Actions) -> None:
@@ -136,10 +136,10 @@
         request = attempt.request
         attempt.backend.in_flight -= 1
         self._count_open(request, -1, actions)
-        request.live.remove(event.attempt)
+        request.in_flight_attempts.remove(event.attempt)
         # Without a connection of its own, the gateway has learnt nothing of the backend.
         if not attempt.is_answer_streamed and event.outcome is not api.Outcome.NO_CONNECTION:
-            self.judge(now, attempt, event.outcome)
+            self.record_outcome(now, attempt, event.outcome)
         if event.outcome in NEVER_RAN:
             request.may_have_run.remove(attempt)
             attempt.backend.on_never_ran(now)
@@ -154,22 +154,22 @@
         if event.request_finished or event.outcome is api.Outcome.OK:
             del self.requests[request.id]
             self._cancel_all(request, actions)
-        elif not request.live:
+        elif not request.in_flight_attempts:
             if event.outcome is api.Outcome.NO_CONNECTION:  # nor would another backend get a connection
                 self.finish(request, actions, cause=api.RejectionCause.NO_CONNECTION)
                 return
             price = 0.0 if event.outcome in NEVER_RAN else 1.0
-            if event.body_discarded or not self.send_another(now, request, actions, price):
+            if event.body_discarded or not self.send_further_attempt(now, request, actions, price):
                 self.finish(request, actions)
 
-    def judge(self, now: float, attempt: Attempt, outcome: api.Outcome) -> None:
+    def record_outcome(self, now: float, attempt: Attempt, outcome: api.Outcome) -> None:
         """Take what an attempt shows into the latency estimate, the outlier scores and the zones."""
         backend, latency = attempt.backend, self._latency
-        elapsed_ms = max(1.0, now - attempt.sent_ms)
+        elapsed_ms = max(1.0, now - attempt.sent_at_ms)
         is_ok = outcome is api.Outcome.OK
         is_given_up = outcome in GIVEN_UP
         slowness_ms = self._outliers.slowness_ms(now, backend)
-        is_overdue = elapsed_ms >= self.patience_ms(now, attempt)
+        is_overdue = elapsed_ms >= self.loss_timeout_ms(now, attempt)
         bounded_ms = latency.bounded(elapsed_ms)
         # One that was given up would have taken longer yet.
         if is_ok or (is_given_up and bounded_ms > latency.mean_ms + slowness_ms):
@@ -185,7 +185,7 @@
             self._zones.on_outcome(now, backend.id, backend.zone, is_lost=not is_ok)
         self._outliers.observe_outcome(now, backend, outcome, attempt.request.score_names)
 
-    def send_another(self, now: float, request: Request, actions: api.Actions, price: float) -> bool:
+    def send_further_attempt(self, now: float, request: Request, actions: api.Actions, price: float) -> bool:
         """Send a further attempt if one can be in time and in the budget; what never ran is not charged.
 
         Args:
@@ -197,7 +197,7 @@
         Returns:
             Whether one was sent.
         """
-        if now + self._latency.mean_ms >= request.objective_ms:
+        if now + self._latency.mean_ms >= request.answer_due_ms:
             return False
         if request.attempts_made >= self._settings.max_attempts or not self.retry_budget.allows(price):
             return False
@@ -222,7 +222,7 @@
 
     def _cancel_all(self, request: Request, actions: api.Actions) -> None:
         if self._settings.can_cancel:
-            actions.extend(api.Cancel(request.id, number) for number in request.live)
+            actions.extend(api.Cancel(request.id, number) for number in request.in_flight_attempts)
 
     def _count_open(self, request: Request, change: int, actions: api.Actions) -> None:
         customer = request.customer
--- a/switchline/policy/requests/final_answer.py
+++ b/switchline/policy/requests/final_answer.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from switchline.policy import interface as api
-from switchline.policy.requests.loss_timeout import initial_patience_ms
+from switchline.policy.requests.loss_timeout import initial_loss_timeout_ms
 from switchline.policy.requests.request import Request
 
 
@@ -30,5 +30,5 @@
     """
     if not is_safe_to_repeat(request):
         return api.Fail(request.id)
-    wait_ms = retry_after_ms or initial_patience_ms(request.request_class.latency_objective_ms)
+    wait_ms = retry_after_ms or initial_loss_timeout_ms(request.request_class.latency_objective_ms)
     return api.Reject(request.id, min(wait_ms, max_retry_after_ms), cause)
--- a/switchline/policy/requests/latency.py
+++ b/switchline/policy/requests/latency.py
@@ -29,7 +29,7 @@
         self.mean_ms = 0.0
         self.recent_ms = 0.0
         self.recent_at_ms = 0.0
-        self.answers = 0.0
+        self.sample_count = 0.0
         self.rate_per_s = 0.0
         self.answered_at_ms = 0.0
 
@@ -49,8 +49,8 @@
 
     def observe_answer(self, now: float, bounded_ms: float) -> None:
         """Take an answer into the mean and the rate."""
-        self.answers = min(MAX_MEAN_ANSWERS, self.answers + 1)
-        self.mean_ms += (bounded_ms - self.mean_ms) / self.answers
+        self.sample_count = min(MAX_MEAN_ANSWERS, self.sample_count + 1)
+        self.mean_ms += (bounded_ms - self.mean_ms) / self.sample_count
         self.rate_per_s = self.faded_rate_per_s(now) + 1000 / RATE_MEMORY_MS
         self.answered_at_ms = now
 
--- a/switchline/policy/requests/load.py
+++ b/switchline/policy/requests/load.py
@@ -23,7 +23,7 @@
         self._latency = latency
         self._backends = backends
 
-    def is_thin(self) -> bool:
+    def has_few_in_flight(self) -> bool:
         """Whether this gateway sends too little for its own queue to show the load."""
         return self._backends.free_in_flight < MIN_TELLING_IN_FLIGHT
 
@@ -39,12 +39,12 @@
         waiting = 1
         queue_limit_ms = max(MAX_SAMPLE_MULTIPLE * max(latency.mean_ms, latency.recent_ms), 1.0)
         for attempt in self._in_flight.values():
-            age_ms = now - attempt.sent_ms
+            age_ms = now - attempt.sent_at_ms
             # Lost ones don't wait in any queue, and streamed bodies not yet.
             if 0 <= age_ms < queue_limit_ms:
                 answer_ms *= max(1.0, age_ms / answer_ms) ** RECENT_WEIGHT
                 waiting += 1
-        if self.is_thin():
+        if self.has_few_in_flight():
             return answer_ms * max(1.0, waiting / MIN_TELLING_IN_FLIGHT) ** 2
         if waiting <= self._backends.free_in_flight:
             return 0.0
--- a/switchline/policy/requests/loss_timeout.py
+++ b/switchline/policy/requests/loss_timeout.py
@@ -9,12 +9,12 @@
 MIN_MEAN_MULTIPLE = 2.0  # the patience with a bad backend, in mean latencies
 
 
-def initial_patience_ms(latency_objective_ms: float) -> float:
+def initial_loss_timeout_ms(latency_objective_ms: float) -> float:
     """Give how long to wait where nothing is known of the latency."""
     return latency_objective_ms * UNKNOWN_RATIO
 
 
-def patience_ms(mean_ms: float, failure_probability: float, latency_objective_ms: float) -> float:
+def loss_timeout_ms(mean_ms: float, failure_probability: float, latency_objective_ms: float) -> float:
     """Give how long an answer may take: five mean latencies, down to two at a backend that fails.
 
     Args:
@@ -23,4 +23,4 @@
         latency_objective_ms: That of the request's class.
     """
     multiple = max(MIN_MEAN_MULTIPLE, MAX_SAMPLE_MULTIPLE / (1 + BACKEND_FAILURE_COST * failure_probability))
-    return multiple * mean_ms if mean_ms else initial_patience_ms(latency_objective_ms)
+    return multiple * mean_ms if mean_ms else initial_loss_timeout_ms(latency_objective_ms)
--- a/switchline/policy/requests/request.py
+++ b/switchline/policy/requests/request.py
@@ -28,7 +28,7 @@
         customer: Its customer.
         units: Its size as guessed, in units of quota.
         expires_ms: When its client stops waiting.
-        objective_ms: When its answer is due by the latency objective of its class.
+        answer_due_ms: When its answer is due by the latency objective of its class.
         attempts_made: How many attempts it has had.
         check_at_ms: When it is looked at again.
         has_actual_units: Whether its true size is known.
@@ -49,12 +49,12 @@
         "id",
         "is_body_complete",
         "is_streamed",
-        "live",
+        "in_flight_attempts",
         "may_have_run",
-        "objective_ms",
+        "answer_due_ms",
         "request_class",
         "score_names",
-        "tried",
+        "tried_backends",
         "units",
     )
 
@@ -66,24 +66,24 @@
         self.customer = customer
         self.units = event.units
         self.expires_ms = event.expires_ms
-        self.objective_ms = event.expires_ms
+        self.answer_due_ms = event.expires_ms
         if not event.streamed:
-            self.objective_ms = min(event.expires_ms, now + request_class.latency_objective_ms)
+            self.answer_due_ms = min(event.expires_ms, now + request_class.latency_objective_ms)
         self.attempts_made = 0
         self.check_at_ms = math.inf
         self.has_actual_units = False
         self.score_names = (ALL, score_of_class(request_class.name), score_of_plan(customer.plan.name))
         self.is_streamed = event.streamed
         self.is_body_complete = not event.streamed
-        self.live: set[int] = set()
-        self.tried: set[int] = set()
+        self.in_flight_attempts: set[int] = set()
+        self.tried_backends: set[int] = set()
         self.may_have_run: list[Attempt] = []
 
     def on_body_received(self, now: float, expires_ms: float) -> None:
         """Begin to count the time of a streamed request, now that its body is complete."""
         self.is_body_complete = True
         self.expires_ms = expires_ms
-        self.objective_ms = min(expires_ms, now + self.request_class.latency_objective_ms)
+        self.answer_due_ms = min(expires_ms, now + self.request_class.latency_objective_ms)
 
 
 @dataclass(slots=True, eq=False)
@@ -93,11 +93,11 @@
     Attributes:
         request: The request.
         backend: The backend that it was sent to.
-        sent_ms: When all of it was sent; infinite until then.
+        sent_at_ms: When all of it was sent; infinite until then.
         is_answer_streamed: Whether its answer is being passed on already.
     """
 
     request: Request
     backend: Backend
-    sent_ms: float
+    sent_at_ms: float
     is_answer_streamed: bool = False
--- a/switchline/requests/lifecycle.py
+++ b/switchline/requests/lifecycle.py
@@ -48,7 +48,7 @@
         self.shares.limit = min(
             self.max_open, OPEN_PER_CONNECTION * self.backends.budget.limit_of(Part.BACKENDS)
         )
-        self.shares.pressure_from = int(self.shares.limit * PRESSURE_RATIO)
+        self.shares.pressure_threshold = int(self.shares.limit * PRESSURE_RATIO)
         if self.is_ending or not self.shares.admits(event.customer):
             self._reject_for_capacity(event.request_class, slot)
             return
--- a/testbed/launch.py
+++ b/testbed/launch.py
@@ -112,7 +112,7 @@
 
     def admit(self: Any, now: float, request: Any, actions: Any) -> None:
         customer = request.customer
-        customer.tokens = customer.ceiling_tokens = customer.fleet_units = 1e9
+        customer.tokens = customer.ceiling_tokens = customer.fleet_remaining_units = 1e9
         before(self, now, request, actions)
 
     replace(LoadEstimate, "expected_answer_ms", lambda self, now: 0.0)
--- a/tests/clients/test_connections.py
+++ b/tests/clients/test_connections.py
@@ -160,7 +160,7 @@
         elif held[who]:
             shares.release(who)
             held[who] -= 1
-        assert shares.total == held.total() <= most and shares.held == +held
+        assert shares.slots_in_use == held.total() <= most and shares.slots_by_holder == +held
 
 
 def test_one_with_a_thousand_leaves_room_for_a_thousand_with_one_each() -> None:
@@ -168,7 +168,7 @@
     for _ in range(1000):
         if shares.admits("greedy"):
             shares.take("greedy")
-    assert shares.held["greedy"] == 75
+    assert shares.slots_by_holder["greedy"] == 75
     small = [f"small{number}" for number in range(1000)]
     for number, who in enumerate(small):  # each holds its place while ten more come
         assert shares.admits(who)
@@ -177,7 +177,7 @@
             shares.release(small[number - 10])
         if shares.admits("greedy"):
             shares.take("greedy")
-    assert 75 <= shares.held["greedy"] <= 100 - 11
+    assert 75 <= shares.slots_by_holder["greedy"] <= 100 - 11
 
 
 def test_all_that_want_what_they_can_get_end_up_with_as_many() -> None:
@@ -186,9 +186,9 @@
         for who in "abcd":
             if shares.admits(who):
                 shares.take(who)
-        holders = sorted(shares.held)
+        holders = sorted(shares.slots_by_holder)
         shares.release(holders[turn % len(holders)])
-    assert max(shares.held.values()) - min(shares.held.values()) <= 2
+    assert max(shares.slots_by_holder.values()) - min(shares.slots_by_holder.values()) <= 2
 
 
 # ---- states of clients' connections, and who gives way ----
@@ -303,7 +303,7 @@
     place = Place(1024)
     for _ in range(500):
         place.ask(place.connect("127.0.0.9"))
-    assert place.server.places.shares.held["127.0.0.9"] == 384 and place.handler.crowded == 116
+    assert place.server.places.shares.slots_by_holder["127.0.0.9"] == 384 and place.handler.crowded == 116
     for number in range(20):
         place.ask(place.connect(f"127.0.1.{number}"))
     assert place.handler.crowded == 116
@@ -380,7 +380,9 @@
         assert place.server.places.live == len(place.server.connections) <= place.server.places.limit + 1
         assert len(place.server.places.young) <= 2 or place.server.places.live <= 7
         assert place.budget.in_use[Part.CLIENTS] == len(place.server.connections)
-        assert place.server.places.shares.held == {p: len(h) for p, h in place.server.places.proven.items()}
+        assert place.server.places.shares.slots_by_holder == {
+            p: len(h) for p, h in place.server.places.proven.items()
+        }
 
 
 def test_a_budget_that_shrinks_takes_back_what_is_idle_and_nothing_else() -> None:
@@ -449,7 +451,7 @@
     place.settle()
     assert (
         place.budget.in_use[Part.CLIENTS] == 0
-        and not place.server.places.shares.held
+        and not place.server.places.shares.slots_by_holder
         and not place.server.places.proven
     )
 
@@ -743,9 +745,9 @@
         scene.driver.requests.on_command(parse_command(words), small)
         assert small.reply is None and len(scene.driver.requests.open) == 13
         scene.driver.requests.on_client_gone("r0")
-        assert scene.driver.requests.shares.held == {"00000000b4d65521": 11, "00000000b4d65522": 1}
+        assert scene.driver.requests.shares.slots_by_holder == {"00000000b4d65521": 11, "00000000b4d65522": 1}
         scene.driver.requests.end_all()
-        assert not scene.driver.requests.shares.held and scene.figures.rejected_for_capacity == 8
+        assert not scene.driver.requests.shares.slots_by_holder and scene.figures.rejected_for_capacity == 8
 
     in_loop(scenario)
 
--- a/tests/fleet/test_outage.py
+++ b/tests/fleet/test_outage.py
@@ -210,7 +210,7 @@
     ):  # a liar's, or an older one's
         lost.handle(1e6 + 20, word)
     assert lost.customers.by_key["cbas"].tokens == pytest.approx(told.remaining_units / 3, abs=0.1)
-    before = module().customers.get(1e6, "cbas", "bas", 1 / 3).tokens
+    before = module().customers.get_or_create(1e6, "cbas", "bas", 1 / 3).tokens
     assert before == pytest.approx(20 / 3)  # without an answer: the even share
 
 
@@ -236,14 +236,14 @@
     now, set_of = 1e6, [module(seed=seed + number) for number in range(3)]
     left = 20.0 - spent
     for gateway in set_of:  # each knows by the counter what all have left
-        customer = gateway.customers.get(now, "cbas", "bas", 1 / 3)
-        customer.fleet_units, customer.tokens = left, left / 3
+        customer = gateway.customers.get_or_create(now, "cbas", "bas", 1 / 3)
+        customer.fleet_remaining_units, customer.tokens = left, left / 3
     after = [module(seed=seed) if gone else old for gone, old in zip(lost, set_of, strict=True)]
     for teller, (number, gateway) in itertools.product(heard, enumerate(after)):
         if teller != number:
             for told in gateway_status.quota_reports(after[teller], now, 10):
                 gateway.handle(now, told)
-    given_out = sum(gateway.customers.get(now, "cbas", "bas", 1 / 3).tokens for gateway in after)
+    given_out = sum(gateway.customers.get_or_create(now, "cbas", "bas", 1 / 3).tokens for gateway in after)
     whole = [number for number, gone in enumerate(lost) if not gone]
     if any(number in heard for number in whole) and all(
         not gone or any(teller != number and teller in whole for teller in heard)
@@ -355,7 +355,7 @@
 def test_who_has_most_to_spend_unheard_asks_the_counter_first() -> None:
     gateway, now = module(), 1e6
     for number in range(40):
-        customer = gateway.customers.get(now, f"c{number}", "bas", 1 / 3)
+        customer = gateway.customers.get_or_create(now, f"c{number}", "bas", 1 / 3)
         customer.tokens = number / 10
     gateway.handle(now, api.FleetOutage(now - 3_000, now))
     turns = sorted(gateway.customers.by_key.values(), key=lambda c: c.next_refresh_ms)
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -359,7 +359,7 @@
         g = w.gateway
         g.latency.rate_per_s, g.latency.answered_at_ms, g.latency.mean_ms = 50.0, w.now, 100.0
         request = api.RequestArrived("r", "view", "basic", "c", w.now + 3_000, 1.0, 1, 0)
-        kind, c = g.classes["view"], g.customers.get(w.now, "c", "basic", 1.0)
+        kind, c = g.classes["view"], g.customers.get_or_create(w.now, "c", "basic", 1.0)
         for number in range(out - 1):  # the one that asks counts too
             g.attempts.in_flight["r", number] = Attempt(
                 Request(request, kind, c, w.now), g.backends.by_id[1], w.now
--- a/tests/policy/test_leases.py
+++ b/tests/policy/test_leases.py
@@ -165,7 +165,7 @@
     read = world.log[-1][1]
     assert isinstance(read, api.AddToCounter) and read.amount == 0 and read.name != call.name
     world.give(api.CounterReplied(read.name, api.Outcome.OK, 33.0))  # 15 s of a quota of two, and 3
-    assert world.gateway.customers.by_key["c"].fleet_units == 8 - 3
+    assert world.gateway.customers.by_key["c"].fleet_remaining_units == 8 - 3
 
 
 def test_a_sparse_customer_is_served_what_the_store_holds_and_refused_what_it_does_not() -> None:
@@ -188,11 +188,11 @@
     world = World()
     (send,) = sends(world.ask())
     customer = world.gateway.customers.by_key["c"]
-    store, tokens, unsaid = customer.fleet_units, customer.tokens, customer.unreported_units
+    store, tokens, unsaid = customer.fleet_remaining_units, customer.tokens, customer.unreported_units
     done = api.AttemptEnded(send.request, 0, send.backend, api.Outcome.OK, 1.0, True, actual_units=3.0)
     world.give(done)
     world.give(done)  # a repeat of the answer settles nothing twice
-    assert (customer.fleet_units, customer.tokens, customer.unreported_units) == (
+    assert (customer.fleet_remaining_units, customer.tokens, customer.unreported_units) == (
         store - 2,
         tokens - 2,
         unsaid + 2,
@@ -214,7 +214,7 @@
     while not (refused := refusals(actions := play(world, numbers))):
         for send in sends(actions):
             world.end(send)
-    (missing,) = (1 - c.fleet_units for c in world.gateway.customers.by_key.values())
+    (missing,) = (1 - c.fleet_remaining_units for c in world.gateway.customers.by_key.values())
     assert abs(refused[0].retry_after_ms - missing / 2 * 1000) < 1  # at the whole rate of two a second
 
 
@@ -225,7 +225,7 @@
         for _ in range(tries):
             world.pass_time(gap)
             actions = play(world, numbers)
-    assert len(sends(actions)) == 1 and world.gateway.customers.by_key["c"].fleet_units > 6
+    assert len(sends(actions)) == 1 and world.gateway.customers.by_key["c"].fleet_remaining_units > 6
 
 
 def test_what_a_time_out_may_have_added_is_not_added_again_and_what_was_turned_away_is() -> None:
@@ -233,7 +233,7 @@
         world = World()
         (call,) = counts(world.ask())
         answer(world, call, 0, outcome)
-        world.gateway.leases.counter.ratio = 1.0
+        world.gateway.leases.counter_capacity.ratio = 1.0
         world.pass_time(600)
         (call,) = counts(world.ask())
         assert call.amount == again
@@ -244,7 +244,7 @@
     world = World()
     added, asked = 0.0, 4000
     for _ in range(asked):
-        world.gateway.leases.counter.ratio = 0.4
+        world.gateway.leases.counter_capacity.ratio = 0.4
         for call in counts(world.ask(spread=50)):
             added += call.amount
             answer(world, call, 500.0)
@@ -257,7 +257,7 @@
     asked = added = 0.0
     for index in range(40):
         world = World(gateways=40, index=index, seed=index)
-        world.gateway.leases.counter.ratio = 0.3
+        world.gateway.leases.counter_capacity.ratio = 0.3
         for number in range(50):
             asked += 1
             added += sum(call.amount for call in counts(world.ask(customer=f"c{number}", spread=40)))
@@ -283,7 +283,7 @@
 def test_what_is_turned_away_takes_back_its_own_units_alone() -> None:
     """Danger: what stood for others is said again, and stands for others once more."""
     world = World(gateways=40)
-    world.gateway.leases.counter.ratio = 0.25
+    world.gateway.leases.counter_capacity.ratio = 0.25
     while not (made := counts(world.ask(spread=40))):
         world.pass_time(300)
     assert made[0].amount == 4.0
@@ -321,24 +321,24 @@
         customer = read.gateway.customers.by_key["c"]
         brought, burst = 20.0, BASIC.burst_units - min(BASIC.burst_units, max(0.0, ended - 30.0))
         share_remaining(read.now, customer, others, call.amount, QuotaGain(brought + burst, burst), 1.0)
-        assert (told.admit_probability, told.fleet_units) == (
+        assert (told.admit_probability, told.fleet_remaining_units) == (
             customer.admit_probability,
-            customer.fleet_units,
+            customer.fleet_remaining_units,
         )
 
 
 def test_a_first_reading_takes_off_what_was_sent_on_without_one() -> None:
     world = World(gateways=40)
-    world.gateway.leases.counter.ratio = 0.0
+    world.gateway.leases.counter_capacity.ratio = 0.0
     for _ in range(2):
         world.ask(spread=40)
     customer = world.gateway.customers.by_key["c"]
     spent = customer.spent_units
-    world.gateway.leases.counter.ratio = 1.0
+    world.gateway.leases.counter_capacity.ratio = 1.0
     (call,) = counts(world.ask(spread=40))
     answer(world, call, 18.0)  # in 10 s of two a second
     assert (
-        spent == 1 and customer.fleet_units == 20 - 1 - 17 - 1
+        spent == 1 and customer.fleet_remaining_units == 20 - 1 - 17 - 1
     )  # less the one before, the others' and its own
 
 
@@ -467,14 +467,14 @@
 
     for number in range(400):  # one in ten lost
         reply(api.Outcome.TIMED_OUT if number % 10 == 9 else api.Outcome.OK)
-    assert world.gateway.leases.counter.ratio > 0.85
+    assert world.gateway.leases.counter_capacity.ratio > 0.85
     for _ in range(200):
         reply(api.Outcome.TIMED_OUT)
-    assert world.gateway.leases.counter.ratio < 0.2
-    before = world.gateway.leases.counter.ratio
+    assert world.gateway.leases.counter_capacity.ratio < 0.2
+    before = world.gateway.leases.counter_capacity.ratio
     for _ in range(300):  # one in ten of them makes a call at first
         reply(api.Outcome.OK)
-    assert before < 0.2 and world.gateway.leases.counter.ratio == 1
+    assert before < 0.2 and world.gateway.leases.counter_capacity.ratio == 1
 
 
 def test_the_parts_of_a_ceiling_follow_the_wants_and_stay_under_one() -> None:
@@ -514,7 +514,7 @@
         for _ in range(40):
             read_of(world, 1.0 if fits else 1e9)
             world.pass_time(10)
-        world.gateway.leases.counter.ratio = 0.0
+        world.gateway.leases.counter_capacity.ratio = 0.0
         sent = 0
         for number in range(100):
             (send, *_) = [*sends(world.ask(customer=f"u{number}", spread=40)), None]
@@ -533,9 +533,12 @@
         sent = 0
         for seed in range(300):
             world = World(gateways=40, seed=seed)
-            world.gateway.leases.counter.ratio, world.gateway.admission.quota.admitted_ratio = 1.0, 0.5
+            world.gateway.leases.counter_capacity.ratio, world.gateway.admission.quota.admitted_ratio = (
+                1.0,
+                0.5,
+            )
             (call,) = counts(world.ask(spread=40))
-            world.gateway.leases.counter.ratio = room
+            world.gateway.leases.counter_capacity.ratio = room
             answer(world, call, 41.0)  # 40 others, for 20 that the time brought: about half
             sent += len(sends(action for _, action in world.log))
         let_in[room] = sent / 300
--- a/tests/service/test_wall_clock.py
+++ b/tests/service/test_wall_clock.py
@@ -70,14 +70,14 @@
         for call in counts(world.ask(customer=f"c{number}")):
             answer(world, call, call.amount)
     last = world.gateway.customers.by_key["c8"]
-    assert (last.quota_share, last.ceiling_share, last.is_counted) == (0.5, 0.5, False)
+    assert (last.quota_share, last.ceiling_share, last.has_valid_reading) == (0.5, 0.5, False)
     for call in counts(world.ask(customer="c9")):
         answer(world, call, call.amount + 1.0)  # somebody else counts in the same period
     waiting = counts(world.ask(customer="c10"))
     while waiting:  # of this period, and of how the last one ended
         call = waiting[0]
         waiting = counts(world.give(api.CounterReplied(call.name, api.Outcome.OK, call.amount)))
-    assert world.gateway.customers.by_key["c10"].is_counted
+    assert world.gateway.customers.by_key["c10"].has_valid_reading
 
 
 def test_a_clock_set_back_keeps_no_line_of_the_log_back(monkeypatch: pytest.MonkeyPatch) -> None:
