--- a/switchline/policy/gateway.py
+++ b/switchline/policy/gateway.py
@@ -75,7 +75,7 @@
         self.attempts = AttemptTracker(settings, self.selection, self.latency, self.leases, self.replication)
         self.load = LoadEstimate(self.attempts.in_flight, self.latency, self.backends)
         self.admission = Admission(
-            QuotaCheck(rng, self.leases.counter),
+            QuotaCheck(rng, self.leases.counter_capacity),
             LoadShedding(settings, rng, self.load, self.recovery_ramp, self.backends, self.latency),
             self.recovery_ramp,
             self.durable_state,
@@ -95,7 +95,7 @@
             api.RequestBodyReceived: self.attempts.on_body_received,
             api.RequestBodySent: self.attempts.on_body_sent,
             api.StreamedAnswerStarted: self.attempts.on_answer_streamed,
-            api.RequestLapsed: self.attempts.on_lapsed,
+            api.RequestAbandoned: self.attempts.on_abandoned,
             api.BackendsChanged: self.backends.on_backends_changed,
             api.BackendOverridden: self.backends.on_overridden,
             api.ZoneOverridden: self.backends.on_zone_overridden,
@@ -152,28 +152,30 @@
     def _begin(self, now: float, actions: api.Actions) -> None:
         self.customers.begin(now)
         self.latency.answered_at_ms = now
-        if self.settings.must_follow_list:
-            actions.append(api.FollowList())
+        if self.settings.must_watch_endpoint_list:
+            actions.append(api.WatchEndpointList())
 
     def _on_request(self, now: float, event: api.RequestArrived, actions: api.Actions) -> None:
-        self.customers.forget_idle(now, actions)
+        self.customers.remove_idle(now, actions)
         remaining_ms = event.expires_ms - now
         request_class = self.classes.get(event.request_class) or api.RequestClass(
             event.request_class, remaining_ms, remaining_ms
         )
-        customer = self.customers.get(now, event.customer, event.plan, 1 / max(1, event.spread))
+        customer = self.customers.get_or_create(
+            now, event.customer, event.plan, 1 / max(1, event.customer_gateway_count)
+        )
         self.leases.fill(now, customer)
         request = Request(event, request_class, customer, now)
         self.attempts.requests[event.request] = request
         if self.leases.refresh(now, request, actions):
-            self.attempts.watch(now, request, now + self.leases.silence_ms(), actions)
+            self.attempts.schedule_check(now, request, now + self.leases.max_reply_wait_ms(), actions)
         else:
             self.admit(now, request, actions)
 
     def _on_timer(self, now: float, event: api.TimerFired, actions: api.Actions) -> None:
         purpose, request_id = event.timer
         if purpose is api.TimerPurpose.ENDPOINT_LIST:
-            actions.append(api.FollowList())
+            actions.append(api.WatchEndpointList())
         elif purpose is api.TimerPurpose.PERSISTENCE:
             if now >= self.durable_state.next_write_ms - TIMER_TOLERANCE_MS:
                 self.durable_state.write_changes(now, self.shared_state.records(), actions)
@@ -189,7 +191,7 @@
         elif not request.attempts_made:
             self.admit(now, request, actions)
         else:
-            self.attempts.on_silence(now, request, actions)
+            self.attempts.on_overdue(now, request, actions)
 
     def _on_counter_reply(self, now: float, event: api.CounterReplied, actions: api.Actions) -> None:
         request = self.attempts.requests.get(self.leases.on_reply(now, event, actions))
@@ -200,7 +202,7 @@
         self.leases.is_stale = event.stale
 
     def _on_outage(self, now: float, event: api.FleetOutage, _: api.Actions) -> None:
-        self.recovery_ramp.begin(now, event.recovered_ms + self.settings.rules.warm_up_ms)
+        self.recovery_ramp.begin(now, event.recovered_at_ms + self.settings.rules.warm_up_ms)
         self.backends.on_outage(now, event)
         self.durable_state.spread_refreshes(now, self.customers.by_key.values())
 
@@ -208,10 +210,10 @@
         """A peer reports what all have left of a quota: a disk that is lost or old forgets what it spent."""
         plan = self.customers.plans.get(event.plan)
         if plan and 0 <= event.remaining_units <= plan.burst_units and 0 < event.even_share <= 1:
-            customer = self.customers.get(now, event.customer, event.plan, event.even_share)
+            customer = self.customers.get_or_create(now, event.customer, event.plan, event.even_share)
             self.leases.fill(now, customer)
             customer.tokens = min(customer.tokens, event.remaining_units * customer.even_share)
-            customer.fleet_units = min(customer.fleet_units, event.remaining_units)
+            customer.fleet_remaining_units = min(customer.fleet_remaining_units, event.remaining_units)
 
     def _on_peer_joined(self, _: float, __: api.PeerProcessJoined, actions: api.Actions) -> None:
         records = self.shared_state.records().values()
@@ -230,12 +232,12 @@
     def _on_peer_spending(self, now: float, record: api.SpendingRecord, actions: api.Actions) -> None:
         """Take what the other process took from the same customer's buckets."""
         even_share = max(MIN_EVEN_SHARE, record.even_share)
-        customer = self.customers.get(now, record.customer, record.plan, even_share)
+        customer = self.customers.get_or_create(now, record.customer, record.plan, even_share)
         self.leases.fill(now, customer)
         customer.spend(record.tokens, record.units, record.ceiling_tokens)
         self.durable_state.spend(now, customer, record.units, actions)
         customer.unreported_units += record.unreported_units
-        customer.peer_in_flight = max(0, customer.peer_in_flight + int(record.open_attempts))
+        customer.peer_in_flight = max(0, customer.peer_in_flight + int(record.in_flight_change))
 
     def _on_peer_left(self, _: float, __: api.PeerProcessLeft, ___: api.Actions) -> None:
         self.replication.on_left(self.customers.by_key.values())
@@ -245,7 +247,7 @@
         self.durable_state.switch(now, event, self.customers.by_key, state, actions)
 
     def _on_persisted(self, now: float, event: api.RecordsPersisted, actions: api.Actions) -> None:
-        self.durable_state.on_committed(now, event.serial, actions)
+        self.durable_state.on_committed(now, event.up_to_serial, actions)
 
     def _on_restored(self, now: float, event: api.RecordRestored, _: api.Actions) -> None:
         """Take over a record of an earlier incarnation. Raises ValueError for what can't be taken over."""
--- a/switchline/policy/requests/final_answer.py
+++ b/switchline/policy/requests/final_answer.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from switchline.policy import interface as api
-from switchline.policy.requests.patience import initial_patience_ms
+from switchline.policy.requests.loss_timeout import initial_loss_timeout_ms
 from switchline.policy.requests.request import Request
 
 
@@ -12,9 +12,9 @@
     if not request.may_have_run:
         return True
     request_class = request.request_class
-    if request_class.effect is api.Effect.KEYED:
-        return request_class.repeat_scope is api.RepeatScope.ALL
-    return request_class.effect is api.Effect.SAFE
+    if request_class.effect is api.Effect.IDEMPOTENT_WITH_KEY:
+        return request_class.deduplication_scope is api.DeduplicationScope.ALL
+    return request_class.effect is api.Effect.IDEMPOTENT
 
 
 def final_answer(
@@ -30,5 +30,5 @@
     """
     if not is_safe_to_repeat(request):
         return api.Fail(request.id)
-    wait_ms = retry_after_ms or initial_patience_ms(request.request_class.latency_objective_ms)
+    wait_ms = retry_after_ms or initial_loss_timeout_ms(request.request_class.latency_objective_ms)
     return api.Reject(request.id, min(wait_ms, max_retry_after_ms), cause)
--- a/testbed/launch.py
+++ b/testbed/launch.py
@@ -70,7 +70,7 @@
         before(self, now, request, backend, actions)
         known = self._selection.backends.by_id.values()
         others = [other for other in known if other is not backend and other.cell != backend.cell]
-        is_safe = request.request_class.effect is interface.Effect.SAFE
+        is_safe = request.request_class.effect is interface.Effect.IDEMPOTENT
         if request.attempts_made == 1 and not is_safe and others:
             before(self, now, request, others[0], actions)
 
@@ -112,7 +112,7 @@
 
     def admit(self: Any, now: float, request: Any, actions: Any) -> None:
         customer = request.customer
-        customer.tokens = customer.ceiling_tokens = customer.fleet_units = 1e9
+        customer.tokens = customer.ceiling_tokens = customer.fleet_remaining_units = 1e9
         before(self, now, request, actions)
 
     replace(LoadEstimate, "expected_answer_ms", lambda self, now: 0.0)
