--- a/switchline/policy/interface/__init__.py
+++ b/switchline/policy/interface/__init__.py
@@ -1,7 +1,7 @@
-"""The interface of the decisions: settings, events that go in, actions that come out, state records.
+"""The interface of the policy: settings, events (its input), actions (its output) and state records.
 
-All times are Unix milliseconds on the caller's clock, which never steps (`switchline.clock`). Nothing here
-decides anything.
+All times are Unix milliseconds on the caller's clock, which never steps (`switchline.clock`). This package
+holds data types only; it makes no decisions.
 """
 
 from switchline.policy.interface.actions import (
--- a/switchline/policy/interface/actions.py
+++ b/switchline/policy/interface/actions.py
@@ -1,4 +1,4 @@
-"""Actions that a gateway's decisions give. Delays and times are milliseconds."""
+"""Actions that the policy of a gateway returns. Delays and times are in milliseconds."""
 
 from __future__ import annotations
 
@@ -13,38 +13,38 @@
     """What a timer is for."""
 
     ENDPOINT_LIST = "follow"  # poll the endpoint list again
-    PERSISTENCE = "keep"  # write what has changed of the state
-    REQUEST = "r"  # look at a request again
+    PERSISTENCE = "keep"  # write the changed state records
+    REQUEST = "r"  # check a request: it may have expired, or an attempt or a counter call may be overdue
 
 
 class Timer(NamedTuple):
-    """What a timer is for; `request` is the request's identifier, where it is for one."""
+    """The purpose of a timer; `request` is the identifier of the request to check, "" for the others."""
 
     purpose: TimerPurpose
     request: str = ""
 
 
 class RejectionCause(Enum):
-    """Why a request was rejected; the values are those of the periodic log line.
+    """Why a request was rejected; the values are written to the periodic log line.
 
-    Metrics count rejected requests by class alone. A request that is rejected before it reaches the decisions
+    Metrics count rejected requests by class only. A request that is rejected before it reaches the policy
     (`switchline.requests.lifecycle`: no slot for it, no place for its connection) is logged as "room" too.
     """
 
-    QUOTA = "quota"  # the quota, the open requests, or what the disk has reserved of the quota
+    QUOTA = "quota"  # over the quota, the limit of requests in flight, or the stored reservation
     CEILING = "ceiling"
-    OVERLOAD = "time"  # its answer would come too late
-    RECOVERY = "return"  # the whole fleet recovers from a power loss
+    OVERLOAD = "time"  # the answer would come too late
+    RECOVERY = "return"  # the whole fleet is recovering from a power loss
     NO_BACKEND = "backends"
-    ATTEMPTS = "attempts"  # its attempts failed and no other may be made, or it expired before the first
-    NO_CONNECTION = "room"  # this gateway has no connection left for it
+    ATTEMPTS = "attempts"  # all attempts failed and no further one is allowed, or it expired before the first
+    NO_CONNECTION = "room"  # this gateway has no free backend connection for it
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
     """Start an attempt; the attempts of a request are numbered 0, 1, 2, ... in the order of their sends.
 
-    `timeout_ms`: when the attempt is to be given up; 0: when the request expires.
+    `timeout_ms`: the time after which the caller ends the attempt as timed out; 0: when the request expires.
     """
 
     request: str
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """A final answer that says when to try again: a new attempt by the client does no harm."""
+    """A final answer that says when to retry; a retry by the client does no harm."""
 
     request: str
     retry_after_ms: float = 0.0
@@ -71,14 +71,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """A final answer that promises nothing: the request may have run."""
+    """A final answer that does not say whether the request has run; a retry by the client may not be safe."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Give `TimerFired` with this timer after a delay."""
+    """Ask for the event `TimerFired` with this timer after a delay."""
 
     delay_ms: float
     timer: Timer
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AddToCounter:
-    """Add to a named number on the counter service (0 reads it); the reply carries the total."""
+    """Add an amount to a named number on the counter service (0 reads it); the reply has the new total."""
 
     name: str
     amount: float
@@ -95,21 +95,21 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpointList:
-    """Ask for the endpoint list and its changes."""
+    """Ask discovery for the endpoint list and its changes."""
 
     enable: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class Replicate:
-    """A record for the other process of this gateway."""
+    """Send a state record to the peer process of an upgrade."""
 
     record: Record
 
 
 @dataclass(frozen=True, slots=True)
 class PersistRecord:
-    """A record for the state file; `RecordsPersisted` with its serial number answers it."""
+    """Write a state record to the state file; `RecordsPersisted` with its serial number confirms it."""
 
     serial: int
     record: Record
@@ -117,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogMessage:
-    """A line for the log."""
+    """Write a line to the log."""
 
     text: str
 
--- a/switchline/policy/interface/events.py
+++ b/switchline/policy/interface/events.py
@@ -1,4 +1,4 @@
-"""Events that a gateway's decisions take. Times are Unix milliseconds on the caller's clock."""
+"""Events that the policy of a gateway takes. Times are Unix milliseconds on the caller's clock."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendsChanged:
-    """The endpoint list, or what has changed of it.
+    """The endpoint list, or changes to it.
 
     Attributes:
-        scope: What the entries are.
+        scope: Whether the entries are changes, the full list, a stored list or nothing.
         entries: The backends.
-        previous_valid_until_ms: Until when the list before this one was known to be valid. It is of this
-            gateway's monotonic clock, as `now` is; the starts of backends come from other machines' wall
-            clocks.
+        previous_valid_until_ms: The last time at which the previous list was known to be valid. It is on this
+            gateway's monotonic clock, as `now` is; the start times of backends come from the wall clocks of
+            other machines.
     """
 
     scope: ListScope
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendOverridden:
-    """An operator disabled a backend (nothing more may go there), or enabled it again."""
+    """An operator disabled a backend (no request may be sent to it) or enabled it again."""
 
     backend: int
     disabled: bool
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneOverridden:
-    """An operator disabled a zone, or enabled it again."""
+    """An operator disabled a zone or enabled it again."""
 
     zone: str
     disabled: bool
@@ -47,17 +47,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneDirective:
-    """What the gateways decided together on a zone.
+    """The decision that the gateways have made together for a zone.
 
     Attributes:
-        zone: Its name.
-        state: Up, left, returning, or None: the fleet has decided nothing.
-        rate_per_s: While it returns, the requests a second that this gateway may send there.
-        capacity_ratio: While it returns, the load asked of each backend, of what a warm one bears.
+        zone: The name of the zone.
+        state: The state of the zone (up, left or returning); None: the fleet has made no decision.
+        rate_per_s: The requests per second that this gateway may send to a returning zone.
+        capacity_ratio: The load on each backend of a returning zone, as a ratio of what a warm backend
+            can serve.
         probe_interval_ms: The mean time between two health checks of the zone by this gateway.
-        range_start: Where this gateway's own range of the zone's backends begins, in the order of their
-            numbers, as a part of all. The ranges of all gateways cover each backend alike.
-        range_width: How wide that range is, as a part of all.
+        range_start: The start of this gateway's range of the zone's backends, as a ratio of their number, in
+            the order of their identifiers. The ranges of all gateways cover each backend equally.
+        range_width: The width of that range, as a ratio of the number of backends.
     """
 
     zone: str
@@ -71,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StalenessChanged:
-    """Whether this gateway acts on older data than the fleet: while it does, quotas go by the even share."""
+    """Whether this gateway's data are older than the fleet's; while so, it uses even shares of quotas."""
 
     stale: bool
 
@@ -91,13 +92,13 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayQuotaReport:
-    """What another gateway knows all gateways together to have left of a customer's quota.
+    """The units of a customer's quota that all gateways together have left, as another gateway reports it.
 
     Attributes:
         customer: The customer's key.
         plan: The name of its plan.
         even_share: One gateway's even share of the quota, up to 1.
-        remaining_units: What is left over all gateways.
+        remaining_units: The units that all gateways together have left.
     """
 
     customer: str
@@ -108,26 +109,26 @@
 
 @dataclass(frozen=True, slots=True)
 class RegionsChanged:
-    """Another table of zones and their regions is valid from now on."""
+    """The table of zones and their regions has been replaced by this one."""
 
     regions: tuple[tuple[str, str], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A client's request, or the beginning of one.
+    """A request of a client has arrived, or the beginning of a streamed one.
 
     Attributes:
-        request: Its identifier.
+        request: The identifier of the request.
         request_class: The name of its class.
         plan: The name of its customer's plan.
-        customer: Its customer's key.
+        customer: The key of its customer.
         expires_ms: When its client stops waiting.
-        units: Its size as guessed, in units of quota.
-        customer_gateway_count: Over how many gateways the front spreads this customer.
-        first_gateway: The first of those gateways.
+        units: The estimated size of the request, in units of quota.
+        customer_gateway_count: The number of gateways over which the front distributes this customer.
+        first_gateway: The index of the first of those gateways.
         is_repeat: Whether the client has sent it before.
-        streamed: Whether its body is still coming in; `RequestBodyReceived` follows.
+        streamed: Whether its body is still being received; `RequestBodyReceived` follows.
     """
 
     request: str
@@ -149,12 +150,12 @@
     Attributes:
         request: The request's identifier.
         attempt: The attempt's number.
-        backend: The backend it went to.
+        backend: The backend to which it was sent.
         outcome: How it ended.
-        latency_ms: How long it took.
+        latency_ms: The duration of the attempt.
         request_finished: Whether the request needs no further attempt.
-        actual_units: The true units, given with a request's first good answer; 0: not known.
-        body_discarded: The request can't be sent again, as its body was not buffered.
+        actual_units: The actual size of the request, given with its first successful answer; 0: not known.
+        body_discarded: Whether the request can't be sent again, because its body was not buffered.
     """
 
     request: str
@@ -169,7 +170,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestBodyReceived:
-    """The body of a streamed request is complete; only now its client begins to wait for the answer."""
+    """The body of a streamed request is complete; from now on its client waits for the answer."""
 
     request: str
     expires_ms: float
@@ -177,7 +178,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestBodySent:
-    """The last byte of a streamed request has left; only now its backend can begin."""
+    """The last byte of a streamed request was sent; only now can its backend begin to work on it."""
 
     request: str
     attempt: int
@@ -185,7 +186,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamedAnswerStarted:
-    """A streamed answer has begun: the request has its final answer, and its attempt goes on."""
+    """A streamed answer has begun: the request has its final answer, and its attempt stays in flight."""
 
     request: str
     attempt: int
@@ -202,14 +203,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestAbandoned:
-    """A request needs no answer any more."""
+    """A request needs no answer any more: its client has gone, or the caller has answered it."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class CounterReplied:
-    """A call to the counter has ended; `total` is the number after it, if the outcome is OK."""
+    """A call to the counter has ended; `total` is the number after the call if the outcome is OK."""
 
     name: str
     outcome: Outcome
@@ -218,7 +219,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that `SetTimer` asked for is due."""
+    """A timer that was set by `SetTimer` has fired."""
 
     timer: Timer
 
@@ -233,14 +234,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerProcessJoined:
-    """A new process of this gateway starts beside this one, and asks for the state that both share."""
+    """A new process of this gateway has started for an upgrade and asks for the state that both share."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerProcessMessage:
-    """A record that the other process of this gateway replicated (`Replicate`).
+    """A record that the peer process of this gateway has replicated (`Replicate`).
 
-    None: one that can't be read, which the gateway refuses with a ValueError.
+    `record` is None for one that can't be read, which the gateway rejects with a ValueError.
     """
 
     record: Record | None
@@ -248,16 +249,16 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerProcessLeft:
-    """The other process of this gateway has ended."""
+    """The peer process of this gateway has ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class PersistenceChanged:
-    """State is persisted from now on, to an empty file; or no more.
+    """Storing state on disk was enabled, with an empty file, or disabled.
 
     Attributes:
-        enabled: Whether state is persisted.
-        final: Nothing more will be spent: the records may show all that is left.
+        enabled: Whether state is persisted from now on.
+        final: Whether this gateway will spend no more units, so that the records may show all that is left.
     """
 
     enabled: bool
@@ -266,19 +267,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordsPersisted:
-    """All records up to that one are committed."""
+    """All records up to this serial number are committed to disk."""
 
     up_to_serial: int
 
 
 @dataclass(frozen=True, slots=True)
 class StateFileFound:
-    """A state file of this gateway was found.
+    """A state file of this gateway was found at the start.
 
     Attributes:
         last_commit_ms: When it was last written.
-        restarts_ms: The restarts since, this one too.
-        is_latest: False: an older copy, as the other gateways' reports show.
+        restarts_ms: The times of the restarts since then, including this one.
+        is_latest: Whether it is the latest copy; False: other gateways' reports show that it is an older one.
     """
 
     last_commit_ms: float
@@ -288,9 +289,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordRestored:
-    """A record of that file, and when it was written.
+    """A record of the state file that was found, and the time at which it was written.
 
-    None: one that can't be read, which the gateway refuses with a ValueError.
+    `record` is None for one that can't be read, which the gateway rejects with a ValueError.
     """
 
     record: Record | None
--- a/switchline/policy/interface/records.py
+++ b/switchline/policy/interface/records.py
@@ -1,6 +1,6 @@
-"""State records: what is stored on disk and replicated between two processes of one gateway.
+"""State records, which are stored on disk and replicated between two processes of one gateway.
 
-`persistence/codec.py` turns them into the lists that are stored and sent. Times are milliseconds.
+`persistence/codec.py` encodes them as the lists that are stored and sent. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 
 
 class FadingScore(NamedTuple):
-    """A score that fades exponentially from the time at which it was set."""
+    """A score that decays exponentially from the time at which it was set."""
 
     level: float
     set_at_ms: float
 
 
 class RecordKind(Enum):
-    """The kinds of records of which one can be deleted."""
+    """The kinds of records that can be deleted one by one."""
 
     CUSTOMER = "customer"
     BACKEND = "backend"
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayRecord:
-    """The gateway's age and its estimate of latency (see `LatencyEstimate`)."""
+    """The time at which the gateway began, and its latency estimate (see `LatencyEstimate`)."""
 
     created_ms: float
     mean_ms: float
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendRecord:
-    """The outlier scores of a backend's process, by name; `started_ms` None: of whichever process it has."""
+    """The outlier scores of a backend's process by name; `started_ms` None: valid for any process."""
 
     backend: int
     scores: dict[str, FadingScore]
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CustomerRecord:
-    """A customer's lease and buckets; the fields are those of `Customer`."""
+    """The lease and the buckets of a customer; the fields mean the same as those of `Customer`."""
 
     customer: str
     plan: str
@@ -75,17 +75,17 @@
 
 @dataclass(frozen=True, slots=True)
 class SpendingRecord:
-    """What one process took from a customer's buckets, for the other to take as well.
+    """The units that one process spent from a customer's buckets; the peer process takes them off as well.
 
     Attributes:
         customer: The customer's key.
         plan: The name of its plan.
         even_share: One gateway's even share of its quota.
-        unreported_units: Units asked that the counter has not been given.
-        tokens: Units taken from the lease's own bucket.
-        units: Units taken from what all gateways have left.
-        ceiling_tokens: Units taken from the ceiling's bucket.
-        in_flight_change: The change of its attempts in flight.
+        unreported_units: Requested units that have not been added to the counter.
+        tokens: Units taken from the bucket of the lease.
+        units: Units taken from those that all gateways have left.
+        ceiling_tokens: Units taken from the bucket of the ceiling.
+        in_flight_change: The change of the number of its attempts in flight.
     """
 
     customer: str
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeleteRecord:
-    """The stored record of that kind and name is to be deleted."""
+    """Deletes the stored record of this kind and name."""
 
     kind: RecordKind
     name: str
--- a/switchline/policy/interface/settings.py
+++ b/switchline/policy/interface/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a gateway's decisions: request classes, plans, safety rules, what the fleet looks like."""
+"""Settings of the policy: request classes, plans, safety rules for backends and the size of the fleet."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
     """Whether requests of a class may run more than once."""
 
     IDEMPOTENT = "pure"
-    IDEMPOTENT_WITH_KEY = "token"  # idempotent by an idempotency key
+    IDEMPOTENT_WITH_KEY = "token"  # safe to repeat with the same idempotency key
     NOT_IDEMPOTENT = "side_effect"
 
 
@@ -30,9 +30,9 @@
         name: Its name in requests.
         latency_objective_ms: The latency within which its requests should be answered.
         deadline_ms: The latency after which an answer is worth nothing.
-        priority_weight: What a request of the class is worth beside those of the others.
+        priority_weight: The value of a request of the class, relative to those of the other classes.
         effect: Whether its requests may run more than once.
-        deduplication_scope: The backends among which a keyed request may be repeated.
+        deduplication_scope: The backends among which a request with an idempotency key may be repeated.
         deduplication_window_ms: How long those backends remember an idempotency key.
     """
 
@@ -47,17 +47,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What the customers of a plan may use; 0 means no limit.
+    """The limits of each customer of a plan; 0 means no limit.
 
     Attributes:
         name: Its name in requests.
-        rate_per_s: The quota's rate, in units a second over all gateways.
-        burst_units: The quota's bucket, in units.
-        max_in_flight: Attempts of one customer in flight over all gateways.
-        overage_revenue: What a unit beyond the quota earns.
-        overage_cost: What a unit beyond the quota costs.
-        ceiling_rate_per_s: The rate that is never passed, in units a second.
-        ceiling_burst_units: The ceiling's bucket, in units.
+        rate_per_s: The rate of the quota over all gateways, in units per second.
+        burst_units: The size of the quota's bucket, in units.
+        max_in_flight: The limit of one customer's attempts in flight over all gateways.
+        overage_revenue: The revenue of a unit beyond the quota.
+        overage_cost: The cost of a unit beyond the quota.
+        ceiling_rate_per_s: The hard rate limit, in units per second.
+        ceiling_burst_units: The size of the ceiling's bucket, in units.
     """
 
     name: str
@@ -72,14 +72,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SafetyRules:
-    """What backends need.
+    """Limits that protect backends from overload and from a loss of work.
 
     Attributes:
-        drain_grace_ms: How long a draining backend still ends its work; also the pause between polls of the
+        drain_grace_ms: How long a draining backend continues its work; also the delay between polls of the
             endpoint list.
-        start_capacity: The part of its capacity that a backend has when it starts.
-        warm_up_ms: How long a backend takes to reach its full capacity.
-        overload_multiple: The load, in multiples of its capacity, under which a backend fails.
+        start_capacity: The capacity of a backend that has just started, as a ratio of its full capacity.
+        warm_up_ms: The time that a backend takes to reach its full capacity.
+        overload_multiple: The load at which a backend fails, as a multiple of its capacity.
     """
 
     drain_grace_ms: float
@@ -90,25 +90,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a gateway's decisions know from the start.
+    """All settings that the policy of a gateway is given at its start.
 
     Attributes:
-        index: This gateway's number among all, from 0.
-        gateways: How many gateways the fleet has.
-        zone: The zone that this gateway is in.
+        index: The index of this gateway among all, from 0.
+        gateways: The number of gateways in the fleet.
+        zone: The zone in which this gateway runs.
         classes: The classes of requests.
         plans: The customers' plans.
-        rules: What backends need.
-        max_attempts: Attempts of one request.
+        rules: The limits that protect backends.
+        max_attempts: The largest number of attempts of one request.
         can_hedge: Whether a request may have two attempts in flight at once.
         can_cancel: Whether an attempt in flight can be cancelled.
         uses_counter: Whether there is a counter service.
-        must_watch_endpoint_list: Whether the endpoint list comes only once it is asked for.
+        must_watch_endpoint_list: Whether the endpoint list is sent only after a `WatchEndpointList`.
         max_retry_after_ms: The longest Retry-After of a rejection.
-        counter_call_ms: How long a call to the counter usually takes.
+        counter_call_ms: The usual duration of a call to the counter.
         max_request_units: The units of the largest request.
-        cross_zone_price: The price of attempts that cross zones.
-        regions: Each zone and its region; none: all zones are of one region.
+        cross_zone_price: The price of an attempt at a backend in another zone.
+        regions: Each zone and its region; empty: all zones are in one region.
     """
 
     index: int
--- a/switchline/policy/interface/states.py
+++ b/switchline/policy/interface/states.py
@@ -1,4 +1,4 @@
-"""States of backends, lists, zones and attempts, as events name them."""
+"""States of backends, endpoint lists and zones, and outcomes of attempts, as events give them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class BackendState(Enum):
-    """Whether the endpoint list lets a backend have new work."""
+    """The state of a backend in the endpoint list; only a ready one is given new requests."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -15,7 +15,7 @@
 
 
 class ListScope(Enum):
-    """What an endpoint list holds: changes, everything, everything as stored, or nothing (a failed poll)."""
+    """What an endpoint list holds: changes, all backends, all backends as stored, or none (a failed poll)."""
 
     CHANGES = "INCREMENTAL"
     FULL = "FULL"
@@ -24,12 +24,12 @@
 
 
 class ZoneState(Enum):
-    """Whether a zone gets work."""
+    """Whether requests are sent to a zone."""
 
     UP = "up"
-    RETURNING = "returning"  # its share of the work grows
-    LEFT = "left"  # it gets health checks alone
-    DISABLED = "out by hand"  # by an operator
+    RETURNING = "returning"  # its share of the requests grows step by step
+    LEFT = "left"  # it is sent health checks only
+    DISABLED = "out by hand"  # disabled by an operator
 
 
 class Outcome(Enum):
@@ -43,12 +43,12 @@
     RESET = "ResetByPeer"
     CANCELLED = "Canceled"
     IGNORED = "Ignored"
-    NO_CONNECTION = "no room"  # this gateway had no connection left for it; the simulator never reports it
+    NO_CONNECTION = "no room"  # no free connection at this gateway; the simulator never reports it
 
 
 @dataclass(frozen=True, slots=True)
 class BackendEntry:
-    """One backend of the endpoint list; `started_ms` is when its process began, 0 if not known."""
+    """One backend of the endpoint list; `started_ms` is when its process started, 0 if not known."""
 
     backend: int
     zone: str
--- a/switchline/policy/quota/__init__.py
+++ b/switchline/policy/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Quotas: customers and their leases, admission, and fair shares of places."""
+"""Quotas: customers and their leases, admission of requests, and fair shares of slots."""
--- a/switchline/policy/quota/admission.py
+++ b/switchline/policy/quota/admission.py
@@ -1,7 +1,7 @@
-"""Admission: whether a request is within its customer's limits, and can be answered in time.
+"""Admission: whether a request is within its customer's limits and can be answered in time.
 
-The checks come in a fixed order, as some draw random numbers: quota, open requests, load, durable state,
-ceiling, load shedding.
+The checks run in a fixed order, because some of them draw random numbers: quota, attempts in flight, load,
+durable state, ceiling, load shedding.
 """
 
 from __future__ import annotations
@@ -22,23 +22,26 @@
 from switchline.policy.requests.request import Request
 from switchline.policy.requests.retry_budget import RetryBudget
 
-READING_WEIGHT = 0.1  # of one reading in the admitted ratio
-# Of what a quota that is passed leaves: chance finds the bucket of a scattered customer empty at times.
-SCATTERED_RATIO = 0.8
-# The load ratio from which requests are shed, by how much chance varies it, and by which part it is lower for
-# a class of no priority.
+# The weight of one reading in `QuotaCheck.admitted_ratio`, an exponential moving average.
+READING_WEIGHT = 0.1
+# The part of the admissible units that a very sparse customer uses once its demand is over its quota, because
+# its bucket is empty at times by chance.
+VERY_SPARSE_RATIO = 0.8
+# The load ratio above which requests of the highest priority are shed; the largest random increase of that
+# ratio; and the part by which it is lower for a class of priority 0.
 SHEDDING_RATIO = 0.55
 SHEDDING_JITTER = 0.5
 SHEDDING_PRIORITY_SPAN = 0.45
-LOW_LOAD_RATIO = 0.1  # under which capacity counts as clearly spare
+# Below this load ratio there is spare capacity.
+LOW_LOAD_RATIO = 0.1
 
 
 class Load(NamedTuple):
-    """The load that a request meets.
+    """The load at the arrival of a request.
 
     Attributes:
-        expected_ms: The latency that its answer should have.
-        ratio: The same, in latency objectives of its class.
+        expected_ms: The expected latency of its answer.
+        ratio: The expected latency as a multiple of the latency objective of its class.
     """
 
     expected_ms: float
@@ -46,21 +49,22 @@
 
     @property
     def is_low(self) -> bool:
-        """Whether capacity is clearly spare."""
+        """Whether there is clearly spare capacity."""
         return self.ratio < LOW_LOAD_RATIO
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionVerdict:
-    """What the checks of one request found.
+    """The result of the checks of one request.
 
     Attributes:
-        missing_units: Units that the quota is short of; 0 or less: none.
-        quota_rate_per_s: At which the quota regains them.
-        is_over_limit: It is over its quota, open requests or ceiling, and may not use spare capacity.
-        is_too_late: Its answer would come too late.
-        is_recovering: The whole fleet recovers from a power loss.
-        limit: The limit that it is over, or `OVERLOAD`.
+        missing_units: The units that the quota lacks for the request; 0 or less: none.
+        quota_rate_per_s: The rate at which the quota refills, in units per second.
+        is_over_limit: Whether it exceeds its quota, its limit of attempts in flight or its ceiling, and may
+            not use spare capacity.
+        is_too_late: Whether its answer would come too late.
+        is_recovering: Whether the whole fleet is recovering from a power loss.
+        limit: The limit that it exceeds, or `OVERLOAD`.
     """
 
     missing_units: float
@@ -77,9 +81,10 @@
 
     @property
     def cause(self) -> api.RejectionCause:
-        """Why the request is rejected, if it is: by the checks, or for want of a backend.
+        """The cause for which the request is rejected, if it is: a failed check or the lack of a backend.
 
-        While the fleet recovers, all that is not over a limit counts as RECOVERY, a lack of backends too.
+        While the fleet is recovering, the cause of all requests that are not over a limit is RECOVERY, even
+        if there is no backend.
         """
         if self.is_recovering and not self.is_over_limit:
             return api.RejectionCause.RECOVERY
@@ -90,45 +95,47 @@
     """Compares a request with its customer's lease.
 
     Attributes:
-        admitted_ratio: Of the requests whose quota was read lately, the part that it had capacity for.
+        admitted_ratio: The part of the requests with a recent reading for which the quota had enough units.
     """
 
-    def __init__(self, rng: random.Random, counter: CounterCapacity) -> None:
+    def __init__(self, rng: random.Random, counter_capacity: CounterCapacity) -> None:
         self.admitted_ratio = 1.0
         self._rng = rng
-        self._counter = counter
+        self._counter_capacity = counter_capacity
 
     def missing_units(self, customer: Customer, units: float) -> float:
-        """Give the units that a customer's quota is short of for a request; 0 or less: none."""
-        if self.is_read(customer):
-            missing = self._missing_by_reading(customer, units)
+        """Return the units that a customer's quota lacks for a request; 0 or less: none."""
+        if self.uses_reading(customer):
+            missing = self._missing_units_by_reading(customer, units)
             self.admitted_ratio += ((missing <= 0) - self.admitted_ratio) * READING_WEIGHT
             return missing
         if customer.is_very_sparse and self._rng.random() >= self.admitted_ratio**2:
-            return units  # admitted without a reading by each of many gateways, it would be served many times
+            # If each of many gateways admitted it without a reading, the quota would be spent many times.
+            return units
         return units - customer.tokens if customer.plan.rate_per_s else 0.0
 
-    def is_read(self, customer: Customer) -> bool:
-        """Whether a sparse quota goes by the last reading of what all gateways have left."""
+    def uses_reading(self, customer: Customer) -> bool:
+        """Whether a sparse quota is checked by the last reading of what all gateways have left."""
         return customer.is_sparse and customer.has_valid_reading and customer.plan.rate_per_s > 0
 
     def rate_per_s(self, customer: Customer) -> float:
-        """Give the rate at which the quota of a customer refills: by a reading, that of all gateways."""
-        return customer.plan.rate_per_s * (1.0 if self.is_read(customer) else customer.quota_share)
+        """Return a quota's refill rate in units per second; if checked by a reading, that of all gateways."""
+        return customer.plan.rate_per_s * (1.0 if self.uses_reading(customer) else customer.quota_share)
 
-    def _missing_by_reading(self, customer: Customer, units: float) -> float:
-        """Past the quota, a fraction of all demand is admitted, by chance."""
+    def _missing_units_by_reading(self, customer: Customer, units: float) -> float:
+        """Return the missing units by the last reading; over the quota, admit a random part of requests."""
         if customer.admit_probability >= 1:
             return units - customer.fleet_remaining_units if customer.admit_probability == 1 else units
         probability = customer.admit_probability
         if customer.is_very_sparse:
-            unread_ratio = (1 - self._counter.ratio) * self.admitted_ratio  # admitted beside those read
-            probability = (SCATTERED_RATIO * probability - unread_ratio) / self._counter.ratio
+            # The part of the requests that is admitted without a reading.
+            unread_ratio = (1 - self._counter_capacity.ratio) * self.admitted_ratio
+            probability = (VERY_SPARSE_RATIO * probability - unread_ratio) / self._counter_capacity.ratio
         return 0.0 if self._rng.random() < probability else units
 
 
 class LoadShedding:
-    """Decides which requests would be answered too late; a class of higher priority holds out longer."""
+    """Decides which requests would be answered too late; higher priorities are shed at a higher load."""
 
     def __init__(
         self,
@@ -144,21 +151,23 @@
         self._recovery_ramp = recovery_ramp
         self._backends = backends
         self._latency = latency
-        self._max_weight = max((one.priority_weight for one in settings.classes), default=1.0)
+        self._max_weight = max(
+            (request_class.priority_weight for request_class in settings.classes), default=1.0
+        )
 
     def load_of(self, now: float, request: Request) -> Load:
-        """Give the load that a request meets."""
+        """Return the load at the arrival of a request."""
         expected_ms = self._load.expected_answer_ms(now)
         return Load(expected_ms, expected_ms / max(request.request_class.latency_objective_ms, 1.0))
 
     def is_too_late(self, now: float, request: Request, load: Load, is_recovering: bool) -> bool:
-        """Whether a request should be rejected early, as its answer would come too late.
+        """Return whether a request should be rejected early because its answer would come too late.
 
         Args:
             now: The time in milliseconds.
             request: The request.
-            load: What it meets.
-            is_recovering: Whether the whole fleet recovers from a power loss.
+            load: The load at its arrival.
+            is_recovering: Whether the whole fleet is recovering from a power loss.
         """
         deficit = self._priority_deficit(request.request_class)
         jitter = SHEDDING_JITTER * self._rng.random() if self._load.has_few_in_flight() else 0.0
@@ -175,12 +184,12 @@
         return load.ratio > threshold + jitter or now + load.expected_ms > request.answer_due_ms
 
     def _priority_deficit(self, request_class: api.RequestClass) -> float:
-        """Give how far a class is below the highest priority, up to 1."""
+        """Return how far a class is below the highest priority, from 0 to 1."""
         return 1 - request_class.priority_weight / self._max_weight if self._max_weight else 0.0
 
 
-def has_too_many_open(customer: Customer) -> bool:
-    """Whether one more attempt is over a customer's share of open requests; one is always within it."""
+def has_too_many_in_flight(customer: Customer) -> bool:
+    """Whether one more attempt exceeds a customer's share of its limit in flight; one is always allowed."""
     limit = customer.plan.max_in_flight
     if not limit:
         return False
@@ -189,20 +198,20 @@
 
 
 def is_over_ceiling(customer: Customer, units: float) -> bool:
-    """Whether a request is over its customer's ceiling, which is never passed."""
+    """Whether a request is over its customer's ceiling, the hard rate limit."""
     return bool(customer.plan.ceiling_rate_per_s) and customer.ceiling_tokens < units
 
 
 def may_use_spare_capacity(plan: api.Plan, load: Load, is_recovering: bool) -> bool:
-    """Whether a request over its quota earns more than it costs while capacity is clearly spare."""
+    """Whether a request over its quota may use spare capacity, as it earns more than it costs."""
     return not is_recovering and load.is_low and plan.overage_revenue > plan.overage_cost
 
 
 class Admission:
-    """Runs all checks of a request.
+    """Runs all admission checks of a request.
 
     Attributes:
-        quota: The check of the quota.
+        quota: The check of the customer's quota.
     """
 
     def __init__(
@@ -224,7 +233,7 @@
         customer, units = request.customer, request.units
         quota_rate_per_s = self.quota.rate_per_s(customer)
         missing_units = self.quota.missing_units(customer, units)
-        has_many_open = has_too_many_open(customer)
+        has_many_in_flight = has_too_many_in_flight(customer)
         load = self._shedding.load_of(now, request)
         self._retry_budget.earn(load.is_low)
         is_recovering = self._recovery_ramp.is_active(now)
@@ -232,7 +241,7 @@
         reserve = self._durable_state.shortfall(now, customer, units)
         missing_units = max(missing_units, reserve.units)
         over_ceiling = is_over_ceiling(customer, units) or reserve.over_ceiling
-        over_quota = missing_units > 0 or has_many_open
+        over_quota = missing_units > 0 or has_many_in_flight
         is_too_late = self._shedding.is_too_late(now, request, load, is_recovering)
         limit = api.RejectionCause.OVERLOAD
         if over_quota:
@@ -250,20 +259,20 @@
 
 
 class RetryAfter:
-    """Decides when the client of a rejected request should come back."""
+    """Decides when the client of a rejected request should retry."""
 
     def __init__(self, settings: api.Settings, rng: random.Random) -> None:
         self._rng = rng
         self._max_retry_after_ms = settings.max_retry_after_ms
 
     def wait_ms(self, request: Request, verdict: AdmissionVerdict) -> float:
-        """Give when a rejected client should come back.
+        """Return the time in milliseconds after which a rejected client should retry.
 
-        Where units are missing: once the quota has them. For any other cause, the ceiling too: the usual
-        wait, a part of the latency objective.
+        If units are missing, it is the time until the quota has them. For any other cause, also the ceiling,
+        it is the usual wait, a part of the latency objective.
 
-        While the whole fleet recovers, the waits are spread, so that those rejected don't all come back at
-        once.
+        While the whole fleet is recovering, the waits are random, so that rejected clients don't all retry at
+        the same time.
         """
         wait_ms = initial_loss_timeout_ms(request.request_class.latency_objective_ms)
         if verdict.missing_units > 0:
--- a/switchline/policy/quota/counter_capacity.py
+++ b/switchline/policy/quota/counter_capacity.py
@@ -1,11 +1,12 @@
-"""How many refreshes of sparse leases a crowded counter service has capacity for."""
+"""The part of lease refreshes for which an overloaded counter service has capacity."""
 
 from __future__ import annotations
 
 from switchline.policy import interface as api
 
-# A few calls in a hundred that are lost on the way thin nothing out.
+# Added to the ratio after a successful call; it makes up for a few lost calls in a hundred.
 RECOVERY_STEP = 0.02
+# The ratio is multiplied by one of these after a call that failed or that the busy counter refused.
 FAILED_FACTOR = 0.9
 BUSY_FACTOR = 0.6
 MIN_RATIO = 0.1
@@ -14,17 +15,17 @@
 class CounterCapacity:
     """Owns the part of refreshes that are sent to the counter.
 
-    A crowded counter fails everybody's calls, and their number keeps it crowded.
+    An overloaded counter fails the calls of all gateways, and their number keeps it overloaded.
 
     Attributes:
-        ratio: The part of refreshes that are sent, up to 1.
+        ratio: The ratio of refreshes that are sent, up to 1.
     """
 
     def __init__(self) -> None:
         self.ratio = 1.0
 
     def on_reply(self, outcome: api.Outcome) -> None:
-        """Thin refreshes out as calls fail, and let them come back slowly."""
+        """Lower the ratio after a failed call, and raise it slowly after a successful one."""
         if outcome is api.Outcome.OK:
             self.ratio = min(1.0, self.ratio + RECOVERY_STEP)
         else:
--- a/switchline/policy/quota/customer.py
+++ b/switchline/policy/quota/customer.py
@@ -1,4 +1,4 @@
-"""One customer as a gateway knows it: its lease, its buckets and the last reading of the counter."""
+"""The state of one customer at a gateway: its lease, its buckets and the last reading of the counter."""
 
 from __future__ import annotations
 
@@ -6,23 +6,24 @@
 
 from switchline.policy import interface as api
 
-LEASE_MS = 15_000.0  # as long as other gateways may count on what this one has reported
-# Parts of a burst, in largest requests: under the first a lease is too thin to spend, under the other next
-# to nothing.
+# The time to live of a lease: for as long, other gateways may rely on what this one has reported.
+LEASE_MS = 15_000.0
+# Bounds for an even share of a burst, in requests of the largest size. Below the first it is sparse (too
+# small to be spent locally), below the second very sparse.
 SPARSE_REQUESTS = 1.5
-SCATTERED_REQUESTS = 0.25
-NO_PERIOD = -2  # neither any period nor the one before it
+VERY_SPARSE_REQUESTS = 0.25
+NO_PERIOD = -2  # no reading yet; it is neither equal to any period nor to the one before any
 
 
 @dataclass(slots=True)
 class PendingPeriod:
-    """A period whose first reading waits for how the period before it ended.
+    """A period whose first reading waits for the final total of the period before it.
 
     Attributes:
-        other_units: Units that the other gateways asked in it.
-        own_units: Units that this gateway asked in it.
-        gained_units: Units of quota that time has brought.
-        previous_total: This gateway's last reading of the period before; below 0: it has none.
+        other_units: Units that were requested at the other gateways in the period.
+        own_units: Units that were requested at this gateway in the period.
+        gained_units: Units by which the quota has refilled.
+        previous_total: This gateway's last reading of the period before, in units; below 0: it has none.
     """
 
     other_units: float = 0.0
@@ -35,32 +36,34 @@
     """One customer at this gateway. Units are those of its quota, times are milliseconds.
 
     Attributes:
-        key: Its key in requests.
+        key: The key of the customer in requests.
         plan: Its plan.
         even_share: One gateway's even share of its quota, up to 1.
         in_flight: Its attempts in flight from this process.
-        peer_in_flight: Those of the other process of this gateway.
-        quota_share: The lease: this gateway's part of the quota's rate and burst.
-        ceiling_share: This gateway's part of the ceiling's.
+        peer_in_flight: Its attempts in flight from the peer process of this gateway.
+        quota_share: The lease: this gateway's share of the rate and the burst of the quota.
+        ceiling_share: This gateway's share of the rate and the burst of the ceiling.
         tokens: Units in the bucket of the lease.
         ceiling_tokens: Units in the bucket of the ceiling.
-        fleet_remaining_units: What all gateways have left, by the last reading and what was sent here since.
-        filled_at_ms: Up to when time has filled the buckets.
-        admit_probability: The part of its requests that the quota has capacity for; matters if it is sparse.
-        spent_units: What was sent here since the last reading.
-        lease_expires_ms: When the lease ends unless a call to the counter renews it.
-        next_refresh_ms: When the counter may be called again.
-        has_valid_reading: Whether the last call to the counter succeeded.
-        unreported_units: Units asked here that the counter has not been given.
-        own_demand_units: Units asked here lately, fading.
-        fleet_demand_units: Units asked at all gateways lately, fading.
+        fleet_remaining_units: The units that all gateways have left: those of the last reading, refilled
+            since, less those that this gateway has spent since.
+        filled_at_ms: The time up to which the buckets have been filled.
+        admit_probability: The part of its requests for which the quota has units; used if it is sparse.
+        spent_units: Units that this gateway has spent since the last reading.
+        lease_expires_ms: When the lease expires unless a call to the counter renews it.
+        next_refresh_ms: The earliest time of the next call to the counter.
+        has_valid_reading: Whether the last call to the counter gave a reading that the gateway uses.
+        unreported_units: Units requested here that have not been added to the counter.
+        own_demand_units: Units requested here recently; older ones decay exponentially.
+        fleet_demand_units: Units requested at all gateways recently; older ones decay exponentially.
         period: The counter's period of the last reading.
-        period_total: The counter's number at the last reading.
-        read_at_ms: When that was.
-        pending_period: A period that this gateway begins to read.
-        idle_ttl_ms: How long it is remembered while it asks for nothing.
-        is_sparse: Its even share of a burst is too small to be spent locally: each request asks the counter.
-        is_very_sparse: It is spread over so many gateways that its even share is next to nothing.
+        period_total: The counter's number at the last reading, in units.
+        read_at_ms: The time of the last reading.
+        pending_period: A period whose first reading is not complete.
+        idle_ttl_ms: How long the customer is kept while it sends no requests.
+        is_sparse: Whether its even share of a burst is too small to be spent locally; then each request calls
+            the counter.
+        is_very_sparse: Whether it has so many gateways that its even share is far smaller than one request.
     """
 
     __slots__ = (
@@ -110,7 +113,7 @@
         self.ceiling_share = even_share
         even_burst = plan.burst_units * even_share
         self.tokens = max(max_request_units, even_burst)
-        # A restarted gateway does not know what it sent: from empty, its part is never spent twice.
+        # A restarted gateway does not know what it has sent; an empty bucket keeps it from spending it twice.
         self.ceiling_tokens = (now - gateway_created_ms) / 1000 * plan.ceiling_rate_per_s * even_share
         self.fleet_remaining_units = plan.burst_units
         self.filled_at_ms = now
@@ -129,27 +132,27 @@
         ceiling_fill_ms = plan.ceiling_burst_units / max(plan.ceiling_rate_per_s, 1e-9) * 1000
         self.idle_ttl_ms = max(LEASE_MS, ceiling_fill_ms)
         self.is_sparse = even_burst < SPARSE_REQUESTS * max_request_units
-        self.is_very_sparse = 0 < even_burst < SCATTERED_REQUESTS * max_request_units
+        self.is_very_sparse = 0 < even_burst < VERY_SPARSE_REQUESTS * max_request_units
 
     def spend(self, tokens: float, units: float, ceiling_tokens: float) -> None:
-        """Take what a request uses from the lease's bucket, from all gateways' and from the ceiling's."""
+        """Take a request's units from the buckets of the lease, of all gateways and of the ceiling."""
         self.tokens -= tokens
         self.ceiling_tokens -= ceiling_tokens
         self.fleet_remaining_units -= units
         self.spent_units += units
 
     def is_idle(self, now: float) -> bool:
-        """Whether it may be forgotten."""
+        """Whether it has sent no requests for so long that it may be removed."""
         return not self.in_flight and now - self.filled_at_ms > self.idle_ttl_ms
 
     def use_even_share(self) -> None:
-        """Fall back to the safe share of a gateway that knows nothing of the others."""
+        """Fall back to the even share, which is safe if nothing is known of the other gateways."""
         self.quota_share = self.even_share
         self.ceiling_share = self.even_share
         self.has_valid_reading = False
 
     def record(self, reserved_units: float = 0.0) -> api.CustomerRecord:
-        """Give its state record, in which the reserved units count as spent."""
+        """Return its state record, in which the reserved units count as spent."""
         return api.CustomerRecord(
             customer=self.key,
             plan=self.plan.name,
@@ -175,7 +178,7 @@
         )
 
     def restore(self, record: api.CustomerRecord) -> None:
-        """Take over a state record; the attempts in flight are those of the other process."""
+        """Restore a state record; its attempts in flight are those of the peer process."""
         self.even_share = record.even_share
         self.ceiling_share = record.ceiling_share
         self.tokens = record.tokens
@@ -183,7 +186,7 @@
         self.ceiling_tokens = record.ceiling_tokens
         self.quota_share = record.quota_share
         self.admit_probability = record.admit_probability
-        # An int stays an int, so that the record reads as before: a plan's burst may be a whole number.
+        # An int stays an int, so that the stored record does not change: a plan's burst may be an int.
         self.fleet_remaining_units = type(self.fleet_remaining_units)(record.fleet_remaining_units)
         self.spent_units = record.spent_units
         self.lease_expires_ms = record.lease_expires_ms
@@ -198,7 +201,7 @@
         self.peer_in_flight = record.in_flight
 
     def limit_times(self, now: float) -> None:
-        """Bound times that came from another process, whose clock may be ahead: none lies in the future."""
+        """Limit times from another process, whose clock may be ahead, to those possible on this clock."""
         self.filled_at_ms = min(self.filled_at_ms, now)
         self.read_at_ms = min(self.read_at_ms, now)
         self.lease_expires_ms = min(self.lease_expires_ms, now + LEASE_MS)
--- a/switchline/policy/quota/customers.py
+++ b/switchline/policy/quota/customers.py
@@ -1,4 +1,4 @@
-"""The customers that a gateway knows."""
+"""The table of the customers of a gateway."""
 
 from __future__ import annotations
 
@@ -6,15 +6,18 @@
 from switchline.policy.persistence.durable_state import DurableState
 from switchline.policy.quota.customer import LEASE_MS, Customer
 
-MIN_EVEN_SHARE = 1e-3  # of a customer that another process or the disk reports
+# The smallest even share that is accepted from a record of another process or from disk.
+MIN_EVEN_SHARE = 1e-3
 
 
 class CustomerTable:
-    """Owns the customers by their keys, and forgets idle ones.
+    """Owns the customers, and removes idle ones.
 
     Attributes:
-        by_key: The customers.
-        gateway_created_ms: The time of the gateway's first event, below 0 before it; ceilings fill since.
+        plans: The plans by name.
+        by_key: The customers by key.
+        gateway_created_ms: The time of the gateway's first event, when ceilings begin to fill; below 0
+            before it.
     """
 
     def __init__(self, settings: api.Settings, durable_state: DurableState) -> None:
@@ -26,12 +29,12 @@
         self._idle_checked_ms = 0.0
 
     def begin(self, now: float) -> None:
-        """Begin at the gateway's first event."""
+        """Set the time of the gateway's first event."""
         self.gateway_created_ms = now
         self._idle_checked_ms = now
 
     def get_or_create(self, now: float, key: str, plan: str, even_share: float) -> Customer:
-        """Give a customer; a new one starts with what its gateways' even shares hold."""
+        """Return a customer; a new one starts with the even share of its gateways."""
         customer = self.by_key.get(key)
         if customer is None:
             known_plan = self.plans.get(plan) or api.Plan(plan)  # an unknown plan has no quota
@@ -43,15 +46,15 @@
         return customer
 
     def remove_idle(self, now: float, actions: api.Actions) -> None:
-        """Forget idle customers and delete their records, once a lease's time."""
+        """Remove idle customers and delete their records, at most once in `LEASE_MS`."""
         if now - self._idle_checked_ms <= LEASE_MS:
             return
         remaining = {key: customer for key, customer in self.by_key.items() if not customer.is_idle(now)}
-        forgotten = [key for key in self.by_key if key not in remaining]
-        self._durable_state.delete_customers(forgotten, actions)
+        removed_keys = [key for key in self.by_key if key not in remaining]
+        self._durable_state.delete_customers(removed_keys, actions)
         self.by_key = remaining
         self._idle_checked_ms = now
 
     def remove(self, key: str) -> None:
-        """Forget one customer."""
+        """Remove one customer. Raises KeyError if it is not in the table."""
         del self.by_key[key]
--- a/switchline/policy/quota/fair_shares.py
+++ b/switchline/policy/quota/fair_shares.py
@@ -1,17 +1,19 @@
-"""Max-min fair shares of a number of slots among their holders, under pressure alone.
+"""Max-min fair shares of a number of slots among their holders, applied only under pressure.
 
-While enough slots are free nobody meets a limit. Once most are taken, a further one goes only to a holder of
-fewer than are free (a dynamic threshold): who has many gets no more until it has released some, and who has
-none finds one as long as any is left. Of many who want all they can get, each ends up with as many.
+While enough slots are free, there is no limit for a holder. Once most are in use, a holder gets a further
+slot only if it has fewer than are free (a dynamic threshold): a holder of many gets no more until it has
+released some, and a holder of none gets one as long as any is free. If many holders take all they can get,
+each ends up with the same number.
 """
 
 from __future__ import annotations
 
-PRESSURE_RATIO = 0.75  # of the slots: once so many are taken, the rest is shared out
+# Once this ratio of the slots is in use, the rest is shared out.
+PRESSURE_RATIO = 0.75
 
 
 class FairShares:
-    """Counts the slots that each holder has; a holder is forgotten with the last slot that it releases.
+    """Counts the slots of each holder; a holder is removed when it releases its last slot.
 
     Attributes:
         limit: How many slots there are. It and `pressure_threshold` may change at any time; slots in use
@@ -28,7 +30,7 @@
         self.slots_in_use = 0
 
     def admits(self, holder: str) -> bool:
-        """Whether a holder may take a further slot."""
+        """Return whether a holder may take a further slot."""
         free = self.limit - self.slots_in_use
         return free > 0 and (
             self.slots_in_use < self.pressure_threshold or self.slots_by_holder.get(holder, 0) < free
@@ -40,7 +42,7 @@
         self.slots_in_use += 1
 
     def release(self, holder: str) -> None:
-        """Take a slot back from a holder that has one."""
+        """Free a slot of a holder. Raises KeyError if the holder has none."""
         left = self.slots_by_holder[holder] - 1
         self.slots_in_use -= 1
         if left:
--- a/switchline/policy/quota/lease_sizing.py
+++ b/switchline/policy/quota/lease_sizing.py
@@ -1,4 +1,4 @@
-"""How a reading of the counter sizes a customer's lease, and what it shows all gateways to have left."""
+"""Sizes a customer's lease by a reading of the counter, and estimates what all gateways have left."""
 
 from __future__ import annotations
 
@@ -8,52 +8,55 @@
 
 from switchline.policy.quota.customer import Customer, PendingPeriod
 
-PERIOD_MS = 15_000.0  # of a number on the counter: long, as each new one costs a call more
-REFRESH_MS = 500.0  # between refreshes at least: shares follow a shift, calls stay under requests
-DEMAND_MEMORY_MS = 3_000.0
-# Of a ceiling: the part that is divided evenly, and by demand; the rest is for late readings.
+# The length of a counter period, for which one number is used. It is long because each new number costs one
+# more call.
+PERIOD_MS = 15_000.0
+# The shortest time between two refreshes: shares follow a shift of demand, and calls are fewer than requests.
+REFRESH_MS = 500.0
+DEMAND_MEMORY_MS = 3_000.0  # the time constant with which demand decays
+# The ratios of a ceiling that are divided evenly and by demand; the rest is a margin for late readings.
 EVEN_CEILING_RATIO = 0.5
 DEMAND_CEILING_RATIO = 0.45
-SPARSE_REFRESH_MS = 100.0
-# A sparse reading stands until so many quotas at once could spend what is left.
+SPARSE_REFRESH_MS = 100.0  # the shortest time between two refreshes of a sparse lease
+# A reading is used until demand at this multiple of the quota's rate could have spent what is left.
 SURGE_MULTIPLE = 5.0
-TOTAL_TOLERANCE_UNITS = 0.01  # rounding on the counter's side
+TOTAL_TOLERANCE_UNITS = 0.01  # the counter rounds its numbers
 
 
 class QuotaGain(NamedTuple):
-    """What some time has brought of a quota, over all gateways: all units, and a burst among them."""
+    """The units by which a quota has refilled over all gateways; `burst_units` of them come from a burst."""
 
     units: float
     burst_units: float = 0.0
 
 
 def refresh_interval_ms(customer: Customer) -> float:
-    """Give the shortest time between two calls to the counter for a customer."""
+    """Return the shortest time in milliseconds between two calls to the counter for a customer."""
     return SPARSE_REFRESH_MS if customer.is_sparse else REFRESH_MS
 
 
 def fill_buckets(now: float, customer: Customer, max_request_units: float) -> None:
-    """Fill a customer's buckets with what the time since the last fill has brought."""
+    """Refill a customer's buckets for the time since the last refill."""
     plan = customer.plan
-    passed_s = max(0.0, now - customer.filled_at_ms) / 1000
+    elapsed_s = max(0.0, now - customer.filled_at_ms) / 1000
     customer.filled_at_ms = now
-    # The part of a ceiling by demand of long ago is spent by others meanwhile: it fades as demand does.
+    # The share of a ceiling for old demand may be in use at other gateways by now: it decays as demand does.
     least_share = customer.even_share * (EVEN_CEILING_RATIO if customer.has_valid_reading else 1.0)
-    fading = math.exp(-passed_s * 1000 / DEMAND_MEMORY_MS)
-    customer.ceiling_share = least_share + (customer.ceiling_share - least_share) * fading
+    decay_factor = math.exp(-elapsed_s * 1000 / DEMAND_MEMORY_MS)
+    customer.ceiling_share = least_share + (customer.ceiling_share - least_share) * decay_factor
     bucket = max(max_request_units, plan.burst_units * customer.quota_share)
-    customer.tokens = min(bucket, customer.tokens + passed_s * plan.rate_per_s * customer.quota_share)
+    customer.tokens = min(bucket, customer.tokens + elapsed_s * plan.rate_per_s * customer.quota_share)
     customer.fleet_remaining_units = min(
-        plan.burst_units, customer.fleet_remaining_units + passed_s * plan.rate_per_s
+        plan.burst_units, customer.fleet_remaining_units + elapsed_s * plan.rate_per_s
     )
-    ceiling_gain = passed_s * plan.ceiling_rate_per_s * customer.ceiling_share
+    ceiling_gain = elapsed_s * plan.ceiling_rate_per_s * customer.ceiling_share
     ceiling_bucket = plan.ceiling_burst_units * customer.ceiling_share
     customer.ceiling_tokens = min(ceiling_bucket, customer.ceiling_tokens + ceiling_gain)
 
 
 @dataclass(slots=True)
 class Reading:
-    """One reading of a customer's number on the counter, beside what the gateway knew before it.
+    """One reading of a customer's number on the counter, and its differences from the previous reading.
 
     Attributes:
         period: The counter's period that was read.
@@ -61,11 +64,11 @@
         other_units: Units that the other gateways added since the last reading.
         is_same_period: Whether the last reading was of the same period.
         is_next_period: Whether the last reading was of the period before.
-        previous_total: What that reading gave.
-        window_s: The time since then.
-        spent_units: What was sent here since then.
-        fading: How much demand has faded since then, as a factor.
-        lost_count: Whether the number is lower than it was: the counter has lost it.
+        previous_total: The counter's number at the last reading, in units.
+        window_s: The time since the last reading.
+        spent_units: Units that this gateway has spent since the last reading.
+        decay_factor: The factor by which demand has decayed since the last reading.
+        lost_count: Whether the number is lower than at the last reading, because the counter has lost it.
     """
 
     period: int
@@ -76,12 +79,23 @@
     previous_total: float
     window_s: float
     spent_units: float
-    fading: float
+    decay_factor: float
     lost_count: bool
 
 
 def take_reading(now: float, customer: Customer, period: int, own_units: float, total: float) -> Reading:
-    """Replace a customer's last reading by this one; gives what it shows."""
+    """Replace a customer's last reading by a new one.
+
+    Args:
+        now: The time in milliseconds.
+        customer: The customer.
+        period: The counter's period that was read.
+        own_units: Units that the call added.
+        total: The counter's number after the call, in units.
+
+    Returns:
+        The new reading.
+    """
     previous_total = customer.period_total
     is_same_period = period == customer.period
     reading = Reading(
@@ -93,7 +107,7 @@
         previous_total=previous_total,
         window_s=(now - customer.read_at_ms) / 1000,
         spent_units=customer.spent_units,
-        fading=math.exp((customer.read_at_ms - now) / DEMAND_MEMORY_MS),
+        decay_factor=math.exp((customer.read_at_ms - now) / DEMAND_MEMORY_MS),
         lost_count=is_same_period and total < previous_total - TOTAL_TOLERANCE_UNITS,
     )
     customer.period = period
@@ -104,14 +118,14 @@
 
 
 def size_lease(now: float, customer: Customer, reading: Reading) -> None:
-    """Size the lease by this gateway's part of all demand.
+    """Set the lease to this gateway's share of all demand.
 
-    The parts of a quota may add up to more than one while it has units left; those of a ceiling may not.
+    The shares of a quota may add up to more than 1 while it has units left; those of a ceiling may not.
     """
     own, others = reading.own_units, reading.other_units
     if reading.is_same_period:
-        customer.own_demand_units = customer.own_demand_units * reading.fading + own
-        customer.fleet_demand_units = customer.fleet_demand_units * reading.fading + own + others
+        customer.own_demand_units = customer.own_demand_units * reading.decay_factor + own
+        customer.fleet_demand_units = customer.fleet_demand_units * reading.decay_factor + own + others
         demand_share = customer.own_demand_units / customer.fleet_demand_units
     else:
         demand_share = own / (own + others)
@@ -125,19 +139,19 @@
     customer.next_refresh_ms = now + refresh_interval_ms(customer)
 
 
-def share_reading(now: float, customer: Customer, reading: Reading, max_request_units: float) -> bool:
-    """Follow what all gateways have left after a reading.
+def apply_reading(now: float, customer: Customer, reading: Reading, max_request_units: float) -> bool:
+    """Update by a reading what all gateways have left of the quota.
 
     Returns:
-        Whether the reading says enough. If not, the first reading of a period waits for how the period
-        before it ended (`PendingPeriod`), as the burst may not be paid back yet.
+        Whether the reading was sufficient. If not, the first reading of a period waits for the final total of
+        the period before it (`PendingPeriod`), as the burst may not have refilled yet.
     """
     plan = customer.plan
     rate, spent = plan.rate_per_s, reading.spent_units
     own, others = reading.own_units, reading.other_units
     window_units = rate * reading.window_s - spent
     if reading.is_same_period:
-        share_remaining(
+        set_remaining(
             now,
             customer,
             others,
@@ -149,35 +163,35 @@
     period_s = max(0.0, now - reading.period * PERIOD_MS) / 1000
     period_units = rate * period_s
     if customer.is_sparse and others + own + spent <= period_units:
-        # All demand of this period fits into what its time brought, however the last one ended.
+        # All demand of this period is within its refill, whatever the final total of the last one was.
         gained = max(period_units - spent, customer.fleet_remaining_units if reading.is_next_period else 0.0)
-        share_remaining(now, customer, others, own, QuotaGain(gained), max_request_units)
+        set_remaining(now, customer, others, own, QuotaGain(gained), max_request_units)
         return True
     gained = max(customer.fleet_remaining_units, window_units) if reading.is_next_period else period_units
     if not reading.is_next_period and others > max(gained + plan.burst_units, max_request_units):
-        # Others asked for more than a whole burst could pay as well: the share is the same however the
-        # period before ended.
-        share_remaining(now, customer, others, own, QuotaGain(gained), max_request_units)
+        # The other gateways requested more than a whole burst would cover as well: the share is the same for
+        # any final total of the period before.
+        set_remaining(now, customer, others, own, QuotaGain(gained), max_request_units)
         return True
     previous_total = reading.previous_total if reading.is_next_period else -1.0
     customer.pending_period = PendingPeriod(others, own, gained, previous_total)
     return False
 
 
-def share_after_period(now: float, customer: Customer, total: float, max_request_units: float) -> None:
-    """Complete a pending period with the total at which the period before it ended."""
+def apply_final_total(now: float, customer: Customer, total: float, max_request_units: float) -> None:
+    """Complete a pending period with the final total of the period before it, in units."""
     plan, pending = customer.plan, customer.pending_period
     others, own, gained = pending.other_units, pending.own_units, pending.gained_units
-    if pending.previous_total >= 0:  # that period was read before, and what was left then is known
+    if pending.previous_total >= 0:  # that period was read before, so what was left then is known
         others += max(0.0, total - pending.previous_total)
-        share_remaining(now, customer, others, own, QuotaGain(gained), max_request_units)
+        set_remaining(now, customer, others, own, QuotaGain(gained), max_request_units)
         return
     burst = plan.burst_units
     burst -= min(burst, max(0.0, total - plan.rate_per_s * PERIOD_MS / 1000))
-    share_remaining(now, customer, others, own, QuotaGain(gained + burst, burst), max_request_units)
+    set_remaining(now, customer, others, own, QuotaGain(gained + burst, burst), max_request_units)
 
 
-def share_remaining(
+def set_remaining(
     now: float,
     customer: Customer,
     other_units: float,
@@ -185,19 +199,19 @@
     gain: QuotaGain,
     max_request_units: float,
 ) -> None:
-    """Set what is left of the quota after some demand, as one gateway that saw it all would find it.
+    """Set what is left of the quota after some demand, as a single gateway with all the demand would.
 
-    Demand that fits into what the time brought was let in and is taken off. Past that, what it brought, less
-    a burst that went to the first of it, over all demand is the part let in; but another gateway's lone
-    request that did not fit took nothing.
+    Demand within the refill was admitted and is taken off. Above it, the admitted part is the refill, less a
+    burst that went to the first requests, divided by all demand; but a lone request of another gateway that
+    exceeded the refill took nothing.
 
     Args:
         now: The time in milliseconds.
-        customer: Whose lease it is.
-        other_units: Units that other gateways asked.
-        own_units: Units that this one asked.
-        gain: What the time brought.
-        max_request_units: The largest request.
+        customer: The customer that owns the lease.
+        other_units: Units that were requested at other gateways.
+        own_units: Units that were requested at this gateway.
+        gain: The refill of the quota.
+        max_request_units: The units of the largest request.
     """
     customer.admit_probability = 1.0
     customer.has_valid_reading = True
--- a/switchline/policy/quota/leases.py
+++ b/switchline/policy/quota/leases.py
@@ -1,4 +1,4 @@
-"""The leases of customers: filled as time passes, refreshed by calls to the counter, spent locally."""
+"""The leases of customers: they refill with time, are refreshed by counter calls and are spent locally."""
 
 from __future__ import annotations
 
@@ -15,20 +15,22 @@
 from switchline.policy.quota.customers import CustomerTable
 from switchline.policy.quota.lease_sizing import (
     PERIOD_MS,
+    apply_final_total,
+    apply_reading,
     fill_buckets,
     refresh_interval_ms,
-    share_after_period,
-    share_reading,
     size_lease,
     take_reading,
 )
 from switchline.policy.requests.request import NEVER_RAN, Request
 
-SILENCE_MULTIPLE = 5.0  # of a call's usual time: past what the network code waits for an answer
-MIN_REPORT_UNITS = 0.01  # an amount of 0 only reads
-MIN_FOREIGN_UNITS = 0.1  # demand of others that no rounding makes up
-# The front spreads each customer over several gateways: that nobody else was ever seen to ask anything of so
-# many customers is no chance.
+# The longest wait for a reply, as a multiple of a call's usual duration; it is longer than the timeout of the
+# network code.
+REPLY_WAIT_MULTIPLE = 5.0
+MIN_REPORT_UNITS = 0.01  # the smallest amount to add, as an amount of 0 only reads
+MIN_FOREIGN_UNITS = 0.1  # the smallest demand of other gateways that can't come from rounding
+# The front distributes each customer over several gateways. If no demand of others was ever read for this
+# many customers, that is not by chance.
 MAX_CUSTOMERS_ALONE = 8
 
 
@@ -39,8 +41,8 @@
     Attributes:
         customer: The customer's key.
         period: The counter's period.
-        amount: Units that it adds.
-        request: The request that waits for it, or "".
+        amount: The units that it adds; 0 only reads.
+        request: The identifier of the request that waits for the reply, or "".
     """
 
     customer: str
@@ -50,12 +52,12 @@
 
 
 class LeaseKeeper:
-    """Owns the calls to the counter and what their replies say of the counter; sizes and fills leases.
+    """Owns the calls to the counter and the estimate of its capacity; sizes and refills leases.
 
     Attributes:
-        is_stale: This gateway acts on older data than the fleet: quotas go by the even share, and the
-            counter is not called.
-        counter: How many refreshes the counter has capacity for.
+        is_stale: Whether this gateway's data are older than the fleet's; then it uses even shares of
+            quotas and does not call the counter.
+        counter_capacity: The part of refreshes for which the counter has capacity.
     """
 
     def __init__(
@@ -73,22 +75,22 @@
         self._customers = customers
         self._durable_state = durable_state
         self._replication = replication
-        self._calls: dict[str, deque[PendingCall]] = {}  # by the name of the number, the oldest first
-        self._has_seen_others = False  # demand of other gateways was read in a period of this one's
-        self._seen_alone: set[str] = set()  # customers of whom a reading showed none
+        self._calls: dict[str, deque[PendingCall]] = {}  # by the counter's name, the oldest call first
+        self._has_seen_others = False  # whether demand of other gateways was ever read
+        self._customers_alone: set[str] = set()  # keys of customers without demand of others in a reading
 
     def fill(self, now: float, customer: Customer) -> None:
-        """Fill a customer's buckets; without a live lease the safe capacity is the even share."""
+        """Refill a customer's buckets; once its lease has expired, it has the even share, which is safe."""
         if now > customer.lease_expires_ms or self.is_stale:
             customer.use_even_share()
         fill_buckets(now, customer, self._settings.max_request_units)
 
     def refresh(self, now: float, request: Request, actions: api.Actions) -> bool:
-        """Add the units asked since the last call, rejected ones too, and so learn of all that were asked.
+        """Report the units requested since the last call, also rejected ones, and so read all demand.
 
         Returns:
             Whether the request waits for the reply. A sparse lease is refreshed by the request that needs it:
-            a local bucket would be empty, or full of units that a hundred other gateways have too.
+            a local bucket would be empty, or full of units that a hundred other gateways count as theirs too.
         """
         customer = request.customer
         if not self._replication.calls_counter:
@@ -100,10 +102,12 @@
         if not self._settings.uses_counter or not customer.plan.rate_per_s:
             return False
         if self._rng.random() > self.counter_capacity.ratio:
-            # Of a sparse lease, the requests that are counted stand for those that are not.
+            # For a sparse lease, the requests that are reported are scaled up for those that are not.
             customer.unreported_units -= request.units if customer.is_sparse else 0.0
             return False
-        amount = max(MIN_REPORT_UNITS, customer.unreported_units)  # corrections may outweigh what was asked
+        amount = max(
+            MIN_REPORT_UNITS, customer.unreported_units
+        )  # corrections may exceed the requested units
         customer.unreported_units -= amount
         amount /= self.counter_capacity.ratio if customer.is_sparse else 1.0
         customer.next_refresh_ms = now + refresh_interval_ms(customer)
@@ -112,11 +116,11 @@
         return customer.is_sparse
 
     def max_reply_wait_ms(self) -> float:
-        """Give how long a request waits for the counter at most."""
-        return SILENCE_MULTIPLE * self._settings.counter_call_ms
+        """Return the longest time in milliseconds that a request waits for the counter."""
+        return REPLY_WAIT_MULTIPLE * self._settings.counter_call_ms
 
     def correct(self, customer: Customer, units: float, actions: api.Actions) -> None:
-        """Take the units that an answer shows a request to have used beyond its guess, here and over all."""
+        """Take off the units that a request used beyond its estimate, here and for all gateways."""
         calls_counter = self._replication.calls_counter
         unreported_units = 0.0 if calls_counter else units
         self._replication.replicate_correction(customer, units, unreported_units, actions)
@@ -127,7 +131,7 @@
         self._durable_state.correct(customer, units)
 
     def on_reply(self, now: float, event: api.CounterReplied, actions: api.Actions) -> str:
-        """Renew a lease by a reply of the counter; gives the request that waits no longer, or ""."""
+        """Renew a lease by a reply of the counter; return the request that no longer waits, or ""."""
         calls = self._calls.get(event.name)
         if not calls:
             return ""
@@ -143,7 +147,7 @@
         if is_ok:
             waits = self.renew(now, customer, call, event.total, actions)
             return "" if waits else call.request
-        customer.has_valid_reading = False  # what others took is not known: the lease's own bucket pays
+        customer.has_valid_reading = False  # the demand of others is unknown: use the lease's own bucket
         if event.outcome in NEVER_RAN:
             customer.unreported_units += call.amount * (ratio if customer.is_sparse else 1.0)
         return call.request
@@ -151,7 +155,9 @@
     def _call(
         self, customer: Customer, period: int, amount: float, request: str, actions: api.Actions
     ) -> None:
-        digest = hashlib.blake2b(customer.key.encode(), digest_size=16).hexdigest()  # keys may be long
+        digest = hashlib.blake2b(
+            customer.key.encode(), digest_size=16
+        ).hexdigest()  # bounds the name: keys may be long
         name = f"{period}:{digest}"
         call = PendingCall(customer.key, period, round(amount, 3), request)
         self._calls.setdefault(name, deque()).append(call)
@@ -160,40 +166,40 @@
     def renew(
         self, now: float, customer: Customer, call: PendingCall, total: float, actions: api.Actions
     ) -> bool:
-        """Size the lease by the demand that was added, here and by all, and follow what all have left.
+        """Size the lease by the demand here and at all gateways, and update what all have left.
 
         Returns:
-            Whether it still waits for how the last period ended.
+            Whether it still waits for the final total of the last period.
         """
         max_request_units = self._settings.max_request_units
         self.fill(now, customer)
         self._durable_state.on_lease_renewed(customer)
         customer.lease_expires_ms = now + LEASE_MS
-        if not call.amount:  # how the last period ended
-            share_after_period(now, customer, total, max_request_units)
+        if not call.amount:  # it has read the final total of the last period
+            apply_final_total(now, customer, total, max_request_units)
             return False
         reading = take_reading(now, customer, call.period, call.amount, total)
         if reading.lost_count:
-            return False  # it would look as if nobody had asked for anything
-        if self._is_counted_apart(customer, reading.other_units):
+            return False  # the reading would look as if there had been no demand
+        if self._has_wrong_period(customer, reading.other_units):
             customer.use_even_share()
             customer.next_refresh_ms = now + refresh_interval_ms(customer)
             return False
         size_lease(now, customer, reading)
-        if share_reading(now, customer, reading, max_request_units):
+        if apply_reading(now, customer, reading, max_request_units):
             return False
         self._call(customer, call.period - 1, 0.0, call.request, actions)
         return True
 
-    def _is_counted_apart(self, customer: Customer, other_units: float) -> bool:
-        """Whether the periods here are not those of the other gateways, as this one's clock is wrong.
+    def _has_wrong_period(self, customer: Customer, other_units: float) -> bool:
+        """Whether this gateway uses other periods than the rest, because its clock is wrong.
 
-        One reading that shows others' demand proves the clock good.
+        One reading that shows demand of others proves the clock right.
         """
         if other_units >= MIN_FOREIGN_UNITS:
             self._has_seen_others = True
         if self._has_seen_others or customer.even_share >= 1:
             return False
-        if len(self._seen_alone) < MAX_CUSTOMERS_ALONE:
-            self._seen_alone.add(customer.key)
-        return len(self._seen_alone) >= MAX_CUSTOMERS_ALONE
+        if len(self._customers_alone) < MAX_CUSTOMERS_ALONE:
+            self._customers_alone.add(customer.key)
+        return len(self._customers_alone) >= MAX_CUSTOMERS_ALONE
--- a/switchline/policy/requests/__init__.py
+++ b/switchline/policy/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Requests: attempts, latency, patience, retries and the final answer."""
+"""Requests: attempts, latency, load, the loss timeout, the retry budget and the final answer."""
--- a/switchline/policy/requests/final_answer.py
+++ b/switchline/policy/requests/final_answer.py
@@ -8,7 +8,7 @@
 
 
 def is_safe_to_repeat(request: Request) -> bool:
-    """Whether a client may send a request again without harm: it did not run, or may run twice."""
+    """Whether a client may repeat a request without harm: it did not run, or it may run twice."""
     if not request.may_have_run:
         return True
     request_class = request.request_class
@@ -20,13 +20,13 @@
 def final_answer(
     request: Request, retry_after_ms: float, cause: api.RejectionCause, max_retry_after_ms: float
 ) -> api.Reject | api.Fail:
-    """Give the final answer: a rejection only where a new attempt by the client does no harm.
+    """Return the final answer: a rejection only if a retry by the client does no harm, else a failure.
 
     Args:
         request: The request.
-        retry_after_ms: When to come back; 0: the usual wait, a part of the latency objective.
-        cause: Why it is rejected.
-        max_retry_after_ms: The longest Retry-After; 0: the answer names none.
+        retry_after_ms: The wait before a retry; 0: the usual wait, a part of the latency objective.
+        cause: The cause of the rejection.
+        max_retry_after_ms: The longest Retry-After; 0: the answer has none.
     """
     if not is_safe_to_repeat(request):
         return api.Fail(request.id)
--- a/switchline/policy/requests/request.py
+++ b/switchline/policy/requests/request.py
@@ -1,4 +1,4 @@
-"""A request that is owed a final answer, and its attempts."""
+"""A request without a final answer, and its attempts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from switchline.policy.backends.score_names import ALL_REQUESTS_SCORE, score_of_class, score_of_plan
 from switchline.policy.quota.customer import Customer
 
-# Outcomes of an attempt that surely did not run.
+# Outcomes of an attempt that certainly did not run.
 NEVER_RAN = {
     api.Outcome.QUEUE_FULL,
     api.Outcome.CONNECT_FAILED,
@@ -20,24 +20,24 @@
 
 
 class Request:
-    """One request that is owed a final answer.
+    """One request that has no final answer yet.
 
     Attributes:
         id: Its identifier.
         request_class: Its class.
         customer: Its customer.
-        units: Its size as guessed, in units of quota.
+        units: Its estimated size, in units of quota.
         expires_ms: When its client stops waiting.
         answer_due_ms: When its answer is due by the latency objective of its class.
         attempts_made: How many attempts it has had.
-        check_at_ms: When it is looked at again.
-        has_actual_units: Whether its true size is known.
-        score_names: The outlier scores of a backend that its attempts bear on.
-        is_streamed: Whether its body comes in while it is sent on.
-        is_body_complete: Whether the body has come in.
-        live: The numbers of its attempts in flight.
-        tried: The backends that it was sent to.
-        may_have_run: Its attempts that may have run or are in flight, the earliest first.
+        check_at_ms: When it is checked next.
+        has_actual_units: Whether its actual size is known.
+        score_names: The names of a backend's outlier scores that its attempts change.
+        is_streamed: Whether its body is forwarded while it is being received.
+        is_body_complete: Whether its body has been received.
+        in_flight_attempts: The numbers of its attempts in flight.
+        tried_backends: The identifiers of the backends to which it was sent.
+        may_have_run: Its attempts that may have run or are in flight, the oldest first.
     """
 
     __slots__ = (
@@ -84,7 +84,7 @@
         self.may_have_run: list[Attempt] = []
 
     def on_body_received(self, now: float, expires_ms: float) -> None:
-        """Begin to count the time of a streamed request, now that its body is complete."""
+        """Set the times of a streamed request, now that its body is complete."""
         self.is_body_complete = True
         self.expires_ms = expires_ms
         self.answer_due_ms = min(expires_ms, now + self.request_class.latency_objective_ms)
@@ -96,9 +96,9 @@
 
     Attributes:
         request: The request.
-        backend: The backend that it was sent to.
-        sent_at_ms: When all of it was sent; infinite until then.
-        is_answer_streamed: Whether its answer is being passed on already.
+        backend: The backend to which it was sent.
+        sent_at_ms: When its last byte was sent; infinite until then.
+        is_answer_streamed: Whether its answer is being forwarded to the client.
     """
 
     request: Request
--- a/switchline/policy/requests/retry_budget.py
+++ b/switchline/policy/requests/retry_budget.py
@@ -1,31 +1,34 @@
-"""The retry budget: further attempts are earned by requests, so that they can't double an overload."""
+"""The retry budget: requests earn further attempts, so that retries can't double an overload."""
 
 from __future__ import annotations
 
-MAX_BALANCE = 10.0  # attempts
-# Attempts earned a request, and while the load is low.
-EARNED = 0.15
-EARNED_AT_LOW_LOAD = 0.6
+MAX_BALANCE_ATTEMPTS = 10.0
+# The further attempts that one request earns, usually and while the load is low.
+ATTEMPTS_PER_REQUEST = 0.15
+ATTEMPTS_PER_REQUEST_AT_LOW_LOAD = 0.6
 
 
 class RetryBudget:
-    """Owns how many further attempts (retries and hedged requests) may be made now.
+    """Limits the number of further attempts (retries and hedged attempts).
 
     Attributes:
-        balance: Attempts that are saved up.
+        balance: The number of further attempts that may be made now.
     """
 
     def __init__(self) -> None:
-        self.balance = MAX_BALANCE
+        self.balance = MAX_BALANCE_ATTEMPTS
 
     def earn(self, is_load_low: bool) -> None:
-        """Earn a part of an attempt with a request."""
-        self.balance = min(MAX_BALANCE, self.balance + (EARNED_AT_LOW_LOAD if is_load_low else EARNED))
+        """Add the part of an attempt that one request earns."""
+        self.balance = min(
+            MAX_BALANCE_ATTEMPTS,
+            self.balance + (ATTEMPTS_PER_REQUEST_AT_LOW_LOAD if is_load_low else ATTEMPTS_PER_REQUEST),
+        )
 
     def allows(self, price: float) -> bool:
-        """Whether the balance holds so many attempts."""
+        """Return whether the balance covers a price in attempts."""
         return self.balance >= price
 
     def spend(self, price: float) -> None:
-        """Take attempts from the balance."""
+        """Subtract a price in attempts from the balance."""
         self.balance -= price
--- a/tests/policy/test_leases.py
+++ b/tests/policy/test_leases.py
@@ -7,14 +7,14 @@
 from lease_answers import answer
 
 from switchline.policy import interface as api
-from switchline.policy.quota.admission import SCATTERED_RATIO
+from switchline.policy.quota.admission import VERY_SPARSE_RATIO
 from switchline.policy.quota.customer import LEASE_MS
 from switchline.policy.quota.lease_sizing import (
     EVEN_CEILING_RATIO,
     PERIOD_MS,
     REFRESH_MS,
     QuotaGain,
-    share_remaining,
+    set_remaining,
 )
 from switchline.policy.quota.leases import PendingCall
 
@@ -320,7 +320,7 @@
         (call,) = counts(read.ask(spread=100))
         customer = read.gateway.customers.by_key["c"]
         brought, burst = 20.0, BASIC.burst_units - min(BASIC.burst_units, max(0.0, ended - 30.0))
-        share_remaining(read.now, customer, others, call.amount, QuotaGain(brought + burst, burst), 1.0)
+        set_remaining(read.now, customer, others, call.amount, QuotaGain(brought + burst, burst), 1.0)
         assert (told.admit_probability, told.fleet_remaining_units) == (
             customer.admit_probability,
             customer.fleet_remaining_units,
@@ -542,6 +542,6 @@
             answer(world, call, 41.0)  # 40 others, for 20 that the time brought: about half
             sent += len(sends(action for _, action in world.log))
         let_in[room] = sent / 300
-    assert abs(let_in[1.0] - SCATTERED_RATIO * 20 / 41) < 0.07
+    assert abs(let_in[1.0] - VERY_SPARSE_RATIO * 20 / 41) < 0.07
     unread = (1 - 0.6) * 0.5
     assert abs(0.6 * let_in[0.6] + unread - let_in[1.0]) < 0.08
