--- a/switchline/policy/quota/leases.py
+++ b/switchline/policy/quota/leases.py
@@ -105,9 +105,8 @@
             # For a sparse lease, the requests that are reported are scaled up for those that are not.
             customer.unreported_units -= request.units if customer.is_sparse else 0.0
             return False
-        amount = max(
-            MIN_REPORT_UNITS, customer.unreported_units
-        )  # corrections may exceed the requested units
+        # Corrections may exceed the requested units and make the sum negative.
+        amount = max(MIN_REPORT_UNITS, customer.unreported_units)
         customer.unreported_units -= amount
         amount /= self.counter_capacity.ratio if customer.is_sparse else 1.0
         customer.next_refresh_ms = now + refresh_interval_ms(customer)
@@ -155,9 +154,8 @@
     def _call(
         self, customer: Customer, period: int, amount: float, request: str, actions: api.Actions
     ) -> None:
-        digest = hashlib.blake2b(
-            customer.key.encode(), digest_size=16
-        ).hexdigest()  # bounds the name: keys may be long
+        # A digest bounds the length of the name, as keys may be long.
+        digest = hashlib.blake2b(customer.key.encode(), digest_size=16).hexdigest()
         name = f"{period}:{digest}"
         call = PendingCall(customer.key, period, round(amount, 3), request)
         self._calls.setdefault(name, deque()).append(call)
--- a/switchline/policy/requests/attempts.py
+++ b/switchline/policy/requests/attempts.py
@@ -96,7 +96,7 @@
             attempt.sent_at_ms = now
 
     def on_answer_streamed(self, now: float, event: api.StreamedAnswerStarted, actions: api.Actions) -> None:
-        """Take a streamed answer as the final one: it must not be cancelled; all other attempts are."""
+        """Take a streamed answer as the final one: it must not be cancelled; cancel all others."""
         attempt = self.in_flight.get((event.request, event.attempt))
         request = self.requests.pop(event.request, None)
         if attempt and request:
--- a/switchline/policy/requests/load.py
+++ b/switchline/policy/requests/load.py
@@ -9,7 +9,8 @@
 from switchline.policy.requests.latency import MAX_SAMPLE_MULTIPLE, RECENT_WEIGHT, LatencyEstimate
 from switchline.policy.requests.request import Attempt
 
-# A gateway whose usual number of attempts in flight is below this can't judge the load by its own attempts.
+# If the number of attempts that a gateway may have in flight at any load is below this, its own attempts show
+# too little of the load.
 MIN_INFORMATIVE_IN_FLIGHT = 2.0
 
 
@@ -24,7 +25,7 @@
         self._backends = backends
 
     def has_few_in_flight(self) -> bool:
-        """Whether this gateway has too few attempts in flight for them to show the load."""
+        """Whether this gateway may have too few attempts in flight for them to show the load."""
         return self._backends.free_in_flight < MIN_INFORMATIVE_IN_FLIGHT
 
     def expected_answer_ms(self, now: float) -> float:
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -401,10 +401,8 @@
             send = only_send(world.ask())
             sent_by_coldness[send.backend < 36] += 1
             world.end(send)
-    cold, warm = (
-        sent_by_coldness[True] / (36 * 0.25),
-        sent_by_coldness[False] / 24,
-    )  # requests per unit of capacity
+    # Requests per unit of capacity.
+    cold, warm = sent_by_coldness[True] / (36 * 0.25), sent_by_coldness[False] / 24
     assert 0.7 < cold / warm < 1.1
 
 
