--- a/tests/neutral_form.py
+++ b/tests/neutral_form.py
@@ -379,7 +379,9 @@
             zone: {
                 "usable": observation.usable_backends,
                 "lost_ms": [[backend, age] for backend, age in observation.lost_backend_ages_ms.items()],
-                "answering_ms": [[backend, age] for backend, age in observation.answering_backend_ages_ms.items()],
+                "answering_ms": [
+                    [backend, age] for backend, age in observation.answering_backend_ages_ms.items()
+                ],
                 "slow": observation.slow_backends,
                 "warmth": observation.warm_ratio,
             }
