--- a/switchline/policy/backends/backend_table.py
+++ b/switchline/policy/backends/backend_table.py
@@ -1,4 +1,4 @@
-"""The backends of the endpoint list, operators' overrides of them, and the subset that is used."""
+"""The backends of the endpoint list, operators' overrides, and the subset that this gateway uses."""
 
 from __future__ import annotations
 
@@ -7,17 +7,18 @@
 from switchline.policy.backends.subset import choose_subset
 from switchline.policy.backends.zones import Zones
 
-FREE_IN_FLIGHT_PER_BACKEND = 3.0  # over all gateways: always allowed
+# Attempts in flight for each backend, over all gateways, that are allowed whatever the load.
+FREE_IN_FLIGHT_PER_BACKEND = 3.0
 
 
 class BackendTable:
-    """Owns the backends, which of them operators disabled, and the subset.
+    """Holds the backends, the numbers of those that operators disabled, and the subset.
 
     Attributes:
         by_id: The backends by number.
-        disabled: The numbers of those that operators disabled.
-        subset: Those that this gateway uses.
-        free_in_flight: Attempts that this gateway may always have in flight, whatever the load.
+        disabled: Numbers of the backends that operators disabled.
+        subset: Backends that this gateway uses.
+        free_in_flight: Number of attempts that this gateway may have in flight whatever the load.
     """
 
     def __init__(self, settings: api.Settings, zones: Zones) -> None:
@@ -27,20 +28,24 @@
         self.free_in_flight = 0.0
         self._settings = settings
         self._zones = zones
-        self._enabled_ms: dict[int, float] = {}  # those that operators enabled lately, and when
+        # Times in milliseconds at which operators enabled backends again, of those that are still warming up.
+        self._enabled_ms: dict[int, float] = {}
 
     def is_usable(self, backend: Backend) -> bool:
-        """Whether a backend may get work, by the list and the operators."""
+        """Return whether the endpoint list and the operators' overrides allow work at a backend."""
         return (
             backend.is_ready and backend.id not in self.disabled and backend.zone not in self._zones.disabled
         )
 
     def warm_ratio(self, now: float) -> float:
-        """Give the part of the subset's capacity that it surely has, up to 1."""
+        """Return the ratio of the subset's capacity that its backends certainly have, up to 1."""
         return sum(backend.warm_ratio(now) for backend in self.subset) / max(1, len(self.subset))
 
     def on_backends_changed(self, now: float, event: api.BackendsChanged, actions: api.Actions) -> None:
-        """Take over the endpoint list or its changes; after a failed poll the old list stays."""
+        """Apply the endpoint list or its changes.
+
+        After a failed poll the old list stays, and a timer asks for the next poll.
+        """
         if event.scope is api.ListScope.FAILED:
             delay_ms = self._settings.rules.drain_grace_ms
             actions.append(api.SetTimer(delay_ms, api.Timer(api.TimerPurpose.ENDPOINT_LIST)))
@@ -53,9 +58,9 @@
         self.update_subset(now)
 
     def on_overridden(self, now: float, event: api.BackendOverridden, _: api.Actions) -> None:
-        """Operators' overrides go before the list, and last until they are taken back."""
-        warm_ms = now - self._settings.rules.warm_up_ms
-        self._enabled_ms = {number: at for number, at in self._enabled_ms.items() if at > warm_ms}
+        """Apply an operator's override of a backend: it precedes the list and lasts until it is revoked."""
+        cold_since_ms = now - self._settings.rules.warm_up_ms
+        self._enabled_ms = {number: at for number, at in self._enabled_ms.items() if at > cold_since_ms}
         if event.disabled:
             self.disabled.add(event.backend)
             self._enabled_ms.pop(event.backend, None)
@@ -68,7 +73,7 @@
         self.update_subset(now)
 
     def on_zone_overridden(self, now: float, event: api.ZoneOverridden, _: api.Actions) -> None:
-        """As for one backend; all backends of a zone that is enabled again count as cold."""
+        """Apply an operator's override of a zone; all backends of a zone that is enabled again are cold."""
         self._zones.override(now, event.zone, event.disabled)
         for backend in self.by_id.values():
             if backend.zone == event.zone and not event.disabled:
@@ -77,13 +82,16 @@
         self.update_subset(now)
 
     def on_outage(self, now: float, event: api.FleetOutage) -> None:
-        """The whole fleet lost power: so may the backends have, whatever an old list shows of their ages."""
+        """Treat backends as restarted after a power loss of the whole fleet.
+
+        The backends may have lost power too, whatever start times an old list shows.
+        """
         for backend in self.by_id.values():
             if backend.started_ms < event.earliest_power_loss_ms:
                 backend.enable(now, event.recovered_at_ms, is_estimated=True)
 
     def update_subset(self, now: float) -> None:
-        """Choose the subset anew, and let the zones know which backends there are."""
+        """Choose the subset again, and pass the backends to the zones."""
         settings = self._settings
         self.free_in_flight = FREE_IN_FLIGHT_PER_BACKEND * len(self.by_id) / max(1, settings.gateways)
         backends = list(self.by_id.values())
--- a/switchline/policy/backends/zone_routing.py
+++ b/switchline/policy/backends/zone_routing.py
@@ -1,4 +1,4 @@
-"""Where work may go: open zones, the fleet's recovery ramp, health checks, and the cost of each zone."""
+"""Zones that a request may go to: open zones, the fleet's recovery ramp, health checks, cost of zones."""
 
 from __future__ import annotations
 
@@ -7,50 +7,58 @@
 from switchline.policy import interface as api
 from switchline.policy.backends.zones import Zone, Zones
 
-# Of all usable backends: where fewer remain, the fault is held to be common, and no zone is left.
+# If less than this ratio of all usable backends remains, the fault is assumed to be common to all zones,
+# and no zone is avoided.
 PANIC_RATIO = 0.3
-ZONE_FAILURE_COST = 1.0  # how much failing raises the cost of a zone: it is still met until it is surely lost
-# The cost of a step away from the own zone: without a price for crossing, per price, and at most.
+# Relative surcharge on the cost of a zone that surely fails. It is low, so that the zone still gets requests
+# until it is left.
+ZONE_FAILURE_COST = 1.0
+# Relative surcharge for each step of distance from the own zone: without a price for attempts that cross
+# zones, for each unit of that price, and at most.
 MIN_DISTANCE_COST = 0.05
 DISTANCE_COST_PER_PRICE = 5.0
 MAX_DISTANCE_COST = 1.0
-MAX_GRANTED = 1.5  # requests that wait in this gateway's part of the fleet's ramp: it gives no bursts
-OTHER_REGION = 2  # steps
+# Granted requests that may accumulate in this gateway's part of the fleet's ramp: it allows no bursts.
+MAX_GRANTED_REQUESTS = 1.5
+OTHER_REGION_DISTANCE = 2  # steps from the own zone
 
 
 class ZoneRouting:
-    """Decides which zones a request may go to; the state of zones is that of `Zones`."""
+    """Decides which zones a request may go to, by the state that `Zones` holds."""
 
     def __init__(self, settings: api.Settings, rng: random.Random, zones: Zones) -> None:
         self._rng = rng
         self._zones = zones
-        self._own = settings.zone
+        self._own_zone = settings.zone
         self._start_capacity = settings.rules.start_capacity
         self._cross_zone_price = settings.cross_zone_price
 
     def closed_zones(self, now: float) -> set[str]:
-        """Give the zones that a request may not go to: those left, and by chance those that return."""
+        """Return the names of the zones that a request may not go to.
+
+        These are the zones that are left and, at random, those that return.
+        """
         zones = self._zones
-        if self._is_panic():  # but what the fleet's ramp does not grant would overload what returns
+        if self._is_panic():  # more than the fleet's ramp grants would overload a zone that returns
             return {name for name in zones.by_name if zones.is_rationed(name)}
         return {name for name, zone in zones.by_name.items() if not self._is_open(now, zone)}
 
     def granted_zone(self, now: float) -> Zone | None:
-        """Give a zone that the fleet returns to and that one more request of this gateway may go to."""
+        """Return a zone that the fleet returns to and that grants this gateway another request, or None."""
         for name, zone in self._zones.by_name.items():
             directive = zone.directive
             if directive is None or zone.state is not api.ZoneState.RETURNING:
                 continue
             if self._zones.is_rationed(name):
-                earned = (now - zone.granted_at_ms) / 1000 * directive.rate_per_s
-                zone.granted = min(MAX_GRANTED, zone.granted + earned)
-                zone.granted_at_ms = now
-                if zone.granted >= 1:
+                new_requests = (now - zone.granted_requests_at_ms) / 1000 * directive.rate_per_s
+                zone.granted_requests = min(MAX_GRANTED_REQUESTS, zone.granted_requests + new_requests)
+                zone.granted_requests_at_ms = now
+                if zone.granted_requests >= 1:
                     return zone
         return None
 
     def zone_to_check(self, now: float) -> str | None:
-        """Give a zone that is left and whose health check is due."""
+        """Return the name of a zone that is left and whose health check is due, or None."""
         for name, zone in self._zones.by_name.items():
             is_due = zone.state is api.ZoneState.LEFT and now >= zone.check_due_ms
             if is_due and not self._zones.is_rationed(name):
@@ -58,60 +66,68 @@
         return None
 
     def cost_factors(self, now: float) -> dict[str, float]:
-        """Give how much each zone raises the cost of its backends: by what fails there, and by distance.
+        """Return by zone the factor on the cost of its backends, for its failures and its distance.
 
-        Only evidence beyond the least failing zone's counts: if all fail alike, the fault is common.
+        Only the excess over the lowest failure score of a zone counts: if all zones fail alike, the fault is
+        common.
         """
         zones = self._zones
-        scores = {name: zone.failure_score(now, zones.memory_ms) for name, zone in zones.by_name.items()}
-        least = min(
+        scores = {name: zone.failure_score(now, zones.decay_ms) for name, zone in zones.by_name.items()}
+        least_score = min(
             (scores[name] for name, zone in zones.by_name.items() if zone.usable_backends), default=0.0
         )
         step_cost = self._step_cost()
         return {
-            name: (1 + ZONE_FAILURE_COST * max(0.0, score - least)) * (1 + step_cost * self.distance(name))
+            name: (1 + ZONE_FAILURE_COST * max(0.0, score - least_score))
+            * (1 + step_cost * self.distance(name))
             for name, score in scores.items()
         }
 
     def distance(self, name: str) -> int:
-        """Give 0 in the own zone, 1 in its region, 2 elsewhere. Without regions all zones are of one."""
+        """Return the distance to a zone in steps: 0 to the own zone, 1 within its region, 2 elsewhere.
+
+        Without a table of regions all zones are in one region.
+        """
         regions = self._zones.regions
-        if name == self._own or not regions:
-            return int(name != self._own)
-        own_region = regions.get(self._own)
-        return 1 if own_region is not None and own_region == regions.get(name) else OTHER_REGION
+        if name == self._own_zone or not regions:
+            return int(name != self._own_zone)
+        own_region = regions.get(self._own_zone)
+        return 1 if own_region is not None and own_region == regions.get(name) else OTHER_REGION_DISTANCE
 
     def _is_panic(self) -> bool:
-        """Whether so little remains that the gateway itself is cut off, or the fault is common."""
+        """Return whether so few backends remain that this gateway is cut off or the fault is common."""
         zones = self._zones.by_name
         usable = sum(zone.usable_backends for zone in zones.values())
         remaining = sum(
             zone.usable_backends for zone in zones.values() if zone.state is not api.ZoneState.LEFT
         )
-        own = zones.get(self._own)
-        if own is not None and own.usable_backends and own.state is not api.ZoneState.LEFT:
-            return False  # what works is near: use it, and reject what it can't take
+        own_zone = zones.get(self._own_zone)
+        if own_zone is not None and own_zone.usable_backends and own_zone.state is not api.ZoneState.LEFT:
+            return False  # the own zone works: use it, and reject requests beyond its capacity
         return remaining < PANIC_RATIO * usable
 
     def _is_open(self, now: float, zone: Zone) -> bool:
-        """Whether a request may go to a zone; to one that returns, a growing part of them."""
+        """Return whether a request may go to a zone; a zone that returns gets a growing share of them."""
         if zone.directive:
-            return False  # left, or granted one by one
+            return False  # the zone is left, or its requests are granted one by one
         if zone.state is api.ZoneState.RETURNING:
-            least = self._start_capacity
-            share = least + (1 - least) * (now - zone.ramp_began_ms) / max(1.0, zone.ramp_ms)
+            min_share = self._start_capacity
+            share = min_share + (1 - min_share) * (now - zone.ramp_began_ms) / max(1.0, zone.ramp_ms)
             return share >= 1 or self._rng.random() < share
         return zone.state is api.ZoneState.UP
 
     def _step_cost(self) -> float:
-        """Give the cost of a step away, by the price of crossing; less where the own zone is small.
+        """Return the relative surcharge for a step of distance, by the price of crossing zones.
 
-        In a zone of few backends gateways are many, and each sees little of what the others send.
+        It is lower if the own zone has few backends: many gateways share them, and each observes little of
+        the load that the others send.
         """
         zones = self._zones.by_name
         usable = [zone.usable_backends for zone in zones.values() if zone.usable_backends]
-        own = zones[self._own].usable_backends if self._own in zones else 0
-        mean = sum(usable) / max(1, len(usable))
-        price_cost = MIN_DISTANCE_COST + DISTANCE_COST_PER_PRICE * self._cross_zone_price
-        step_cost = min(MAX_DISTANCE_COST, price_cost)
-        return step_cost * min(1.0, own / max(1.0, mean)) ** 2 if own else step_cost
+        own_backends = zones[self._own_zone].usable_backends if self._own_zone in zones else 0
+        mean_backends = sum(usable) / max(1, len(usable))
+        unbounded_step_cost = MIN_DISTANCE_COST + DISTANCE_COST_PER_PRICE * self._cross_zone_price
+        step_cost = min(MAX_DISTANCE_COST, unbounded_step_cost)
+        return (
+            step_cost * min(1.0, own_backends / max(1.0, mean_backends)) ** 2 if own_backends else step_cost
+        )
