--- a/switchline/policy/__init__.py
+++ b/switchline/policy/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of a gateway: events and the time go in, actions come out. No I/O and no clock."""
+"""The decisions of a gateway: events and the time are its input, actions its output. No I/O, no clock."""
 
 from switchline.policy.gateway import Gateway
 
--- a/switchline/policy/gateway.py
+++ b/switchline/policy/gateway.py
@@ -1,6 +1,7 @@
-"""One gateway's decisions: joins their parts in the order in which an event meets them.
+"""The decisions of one gateway: passes each event to the parts that handle it.
 
-A gateway knows its settings, its seed, the `now` it is given (milliseconds) and its own events; nothing else.
+The decisions depend only on the settings, the seed, the events and the times passed with them (`now`, in
+milliseconds).
 """
 
 from __future__ import annotations
@@ -31,39 +32,39 @@
 
 
 class Gateway:
-    """Takes events and gives actions.
+    """Handles events and returns the actions that they cause.
 
     Args:
-        settings: What it knows from the start.
-        seed: Of its random numbers: the same seed and events give the same actions.
+        settings: The settings of the gateway's decisions.
+        seed: The seed of its random numbers; the same seed and events give the same actions.
 
     Attributes:
-        settings: The same.
+        settings: The settings of the gateway's decisions.
         classes: The classes of requests by name.
         customers: The customers and their buckets.
-        leases: Calls to the counter.
-        admission: The checks of a request.
-        retry_after: When the client of a rejected request should come back.
-        shared_state: Records of the gateway and of backends.
-        attempts: Open requests and their attempts.
+        leases: The customers' leases and the calls to the counter that renew them.
+        admission: The checks that admit or reject a request.
+        retry_after: The Retry-After time of a rejected request.
+        shared_state: The state records of the gateway and of backends.
+        attempts: The requests that have no final answer yet, and their attempts.
         latency: The estimate of latency.
-        load: The load on what is in flight.
-        backends: The backends and the subset.
-        selection: The choice among them.
-        zones: The state of zones.
-        recovery_ramp: The recovery of a whole fleet.
-        durable_state: What is stored on disk.
-        replication: The other process of this gateway in an upgrade.
+        load: The estimate of load from the attempts in flight.
+        backends: The backends and the subset that this gateway uses.
+        selection: The selection of the backend of an attempt.
+        zones: The state of each zone.
+        recovery_ramp: The recovery ramp of a whole fleet that lost power.
+        durable_state: The state that is stored on disk.
+        replication: The replication to the other process of this gateway in an upgrade.
     """
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         rng = random.Random(seed)
         self.settings = settings
-        self.classes = {one.name: one for one in settings.classes}
+        self.classes = {request_class.name: request_class for request_class in settings.classes}
         self.latency = LatencyEstimate()
         self.recovery_ramp = RecoveryRamp()
         self.replication = PeerReplication()
-        # With random numbers of its own: it changes no other decision.
+        # It has its own random numbers, so that it does not change those of other decisions.
         self.durable_state = DurableState(settings, random.Random(seed))
         self.zones = Zones(settings, rng)
         self.backends = BackendTable(settings, self.zones)
@@ -86,7 +87,10 @@
         self._handlers = self._handlers_by_event()
 
     def _handlers_by_event(self) -> dict[type, Handler]:
-        """Give the method for each event; messages of peers and begun answers change no decision."""
+        """Return the handler of each type of event.
+
+        `GossipReceived` and `AnswerStarted` have none, as no decision depends on them.
+        """
         return {
             api.RequestArrived: self._on_request,
             api.AttemptEnded: self.attempts.on_ended,
@@ -114,18 +118,18 @@
         }
 
     def handle(self, now: float, event: api.Event) -> api.Actions:
-        """Take an event and give the actions that it asks for.
+        """Handle an event and return the actions that it causes.
 
         Args:
             now: The time in milliseconds, which never goes back.
-            event: What has happened.
+            event: The event.
 
         Raises:
-            ValueError: A record of another process or from disk can't be taken over.
+            ValueError: A record of another process or from disk can't be applied.
         """
         actions: api.Actions = []
         if self.customers.gateway_created_ms < 0:
-            self._begin(now, actions)
+            self._start(now, actions)
         handler = self._handlers.get(type(event))
         if handler is not None:
             handler(now, event, actions)
@@ -135,7 +139,7 @@
         return actions
 
     def admit(self, now: float, request: Request, actions: api.Actions) -> None:
-        """Send a request if its limits, the load and the backends allow it, else reject it."""
+        """Send a request if its customer's limits, the load and the backends allow it, else reject it."""
         verdict = self.admission.check(now, request)
         backend = self.selection.pick(now, request) if verdict.is_admitted else None
         if backend is None:
@@ -149,7 +153,7 @@
         self.replication.replicate_request(customer, tokens, units, actions)
         self.attempts.send(now, request, backend, actions)
 
-    def _begin(self, now: float, actions: api.Actions) -> None:
+    def _start(self, now: float, actions: api.Actions) -> None:
         self.customers.begin(now)
         self.latency.answered_at_ms = now
         if self.settings.must_watch_endpoint_list:
@@ -185,9 +189,9 @@
                 self._check_request(now, request, actions)
 
     def _check_request(self, now: float, request: Request, actions: api.Actions) -> None:
-        """A request is due to be looked at: it expires, its counter call or its attempt is silent."""
+        """Check a request whose timer is due: it expires, or its counter call or attempt got no answer."""
         if self.attempts.is_expiring(now, request):
-            self.attempts.finish(request, actions)  # every open request ends here at the latest
+            self.attempts.finish(request, actions)  # at the latest here each request gets its final answer
         elif not request.attempts_made:
             self.admit(now, request, actions)
         else:
@@ -207,7 +211,10 @@
         self.durable_state.spread_refreshes(now, self.customers.by_key.values())
 
     def _on_peer_quota(self, now: float, event: api.GatewayQuotaReport, _: api.Actions) -> None:
-        """A peer reports what all have left of a quota: a disk that is lost or old forgets what it spent."""
+        """Limit a customer's units by another gateway's report of what is left of its quota.
+
+        Used after a restart, if the disk is lost or out of date and does not show what was spent.
+        """
         plan = self.customers.plans.get(event.plan)
         if plan and 0 <= event.remaining_units <= plan.burst_units and 0 < event.even_share <= 1:
             customer = self.customers.get_or_create(now, event.customer, event.plan, event.even_share)
@@ -230,7 +237,7 @@
             customer.limit_times(now)
 
     def _on_peer_spending(self, now: float, record: api.SpendingRecord, actions: api.Actions) -> None:
-        """Take what the other process took from the same customer's buckets."""
+        """Take from a customer's buckets what the other process of this gateway took from its copy."""
         even_share = max(MIN_EVEN_SHARE, record.even_share)
         customer = self.customers.get_or_create(now, record.customer, record.plan, even_share)
         self.leases.fill(now, customer)
@@ -244,19 +251,25 @@
 
     def _on_persistence(self, now: float, event: api.PersistenceChanged, actions: api.Actions) -> None:
         state = self.shared_state.records()
-        self.durable_state.switch(now, event, self.customers.by_key, state, actions)
+        self.durable_state.on_persistence_changed(now, event, self.customers.by_key, state, actions)
 
     def _on_persisted(self, now: float, event: api.RecordsPersisted, actions: api.Actions) -> None:
         self.durable_state.on_committed(now, event.up_to_serial, actions)
 
     def _on_restored(self, now: float, event: api.RecordRestored, _: api.Actions) -> None:
-        """Take over a record of an earlier incarnation. Raises ValueError for what can't be taken over."""
+        """Restore a record of an earlier incarnation.
+
+        Raises:
+            ValueError: The record can't be read, or a value is out of range.
+        """
         record = event.record
         if not isinstance(record, api.CustomerRecord):
             if record is None:
-                raise ValueError("a record that can't be read")
+                raise ValueError(
+                    "a state record can't be read, expected a record of a gateway, a backend or a customer"
+                )
             check_record(record)
-            if self.durable_state.restarts.is_believed:
+            if self.durable_state.restarts.is_trusted:
                 self.shared_state.merge(now, record)
                 self.shared_state.limit_times(now)
             return
@@ -268,6 +281,6 @@
         except ValueError:
             self.customers.remove(customer.key)
             raise
-        customer.peer_in_flight = 0  # no other process is left that has attempts
+        customer.peer_in_flight = 0  # the other process has ended, and its attempts with it
         customer.period = min(customer.period, int(now // PERIOD_MS))
         self.leases.fill(now, customer)
--- a/switchline/policy/persistence/codec.py
+++ b/switchline/policy/persistence/codec.py
@@ -1,4 +1,4 @@
-"""Turns state records and timers into the lists and strings that are stored and sent, and back."""
+"""Encodes state records and timers as the lists and strings that are stored and sent, and decodes them."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
     TimerPurpose,
 )
 
-GATEWAY_FIELDS = tuple(one.name for one in fields(GatewayRecord))
-# A customer's key, plan and open attempts stand before the list of its numbers.
-CUSTOMER_FIELDS = tuple(one.name for one in fields(CustomerRecord))[3:]
-SPENDING_FIELDS = tuple(one.name for one in fields(SpendingRecord))
+GATEWAY_FIELDS = tuple(field.name for field in fields(GatewayRecord))
+# The customer's key, plan and attempts in flight precede the list of its numbers.
+CUSTOMER_FIELDS = tuple(field.name for field in fields(CustomerRecord))[3:]
+SPENDING_FIELDS = tuple(field.name for field in fields(SpendingRecord))
 
 
 class RecordError(ValueError):
-    """A list is no record of this program."""
+    """A list does not have the form of a state record of this program."""
 
 
 def encode_record(record: Record) -> list[Any]:
-    """Give the list that is stored and sent for a record."""
+    """Return the list that is stored and sent for a record."""
     match record:
         case GatewayRecord():
             return ["gateway", *(getattr(record, name) for name in GATEWAY_FIELDS)]
@@ -47,10 +47,10 @@
 
 
 def decode_record(values: list[Any]) -> Record:
-    """Read a record from the list that was stored or sent.
+    """Return the record of a list that was stored or sent.
 
     Raises:
-        RecordError: No process of this program writes such a list.
+        RecordError: The list does not have the form of a record.
     """
     try:
         return read_record(values)
@@ -59,7 +59,14 @@
 
 
 def read_record(values: list[Any]) -> Record:
-    """As `decode_record`, with the errors of the conversions as they come."""
+    """Return the record of a list.
+
+    Raises:
+        RecordError: The list is of no known form, or holds a number that is not finite.
+        TypeError: A value has a type that can't be converted.
+        ValueError: A value can't be converted.
+        OverflowError: A number is too large to convert.
+    """
     match values:
         case ["gateway", *numbers] if len(numbers) == len(GATEWAY_FIELDS):
             return GatewayRecord(*read_numbers(numbers))
@@ -73,11 +80,11 @@
             return SpendingRecord(customer, plan, *read_numbers(numbers))
         case ["forget", ("customer" | "backend") as kind, str(name)]:
             return DeleteRecord(RecordKind(kind), name)
-    raise RecordError(f"no state of this program: {values[:1]}")
+    raise RecordError(f"expected a gateway, backend, customer, spent or forget record, got: {values[:1]}")
 
 
 def read_customer(customer: str, plan: str, in_flight: int, values: list[Any]) -> CustomerRecord:
-    """Read a customer's record; its numbers are all floats but for the period and the flag."""
+    """Return a customer's record; its numbers are floats, except the period (int) and the flag (bool)."""
     numbers: dict[str, Any] = dict(zip(CUSTOMER_FIELDS, read_numbers(values), strict=True))
     numbers["has_valid_reading"] = bool(numbers["has_valid_reading"])
     numbers["period"] = int(numbers["period"])
@@ -85,25 +92,31 @@
 
 
 def read_scores(scores: dict[Any, Any]) -> dict[str, FadingScore]:
-    """Read scores: pairs of a level and a time, by name."""
+    """Return scores by name; each is stored as a pair of a level and a time in milliseconds."""
     return {str(name): FadingScore(*read_numbers(score)) for name, score in scores.items()}
 
 
 def read_numbers(values: Iterable[Any]) -> list[float]:
-    """Read finite numbers. Raises RecordError for an infinite one, ValueError or TypeError for none."""
+    """Return values as floats.
+
+    Raises:
+        RecordError: A number is not finite.
+        TypeError: A value has a type that is not a number.
+        ValueError: A text is not a number.
+    """
     numbers = [float(number) for number in values]
     if not all(map(math.isfinite, numbers)):
-        raise RecordError("no finite number")
+        raise RecordError("a state record holds a number that is not finite, expected finite numbers")
     return numbers
 
 
 def encode_timer(timer: Timer) -> str:
-    """Give a timer's token, as the simulator knows it."""
+    """Return the token of a timer in the simulator's events and actions."""
     return timer.purpose.value + timer.request
 
 
 def decode_timer(token: str) -> Timer:
-    """Read a timer from its token."""
+    """Return the timer of a token."""
     if token in (TimerPurpose.ENDPOINT_LIST.value, TimerPurpose.PERSISTENCE.value):
         return Timer(TimerPurpose(token))
     return Timer(TimerPurpose.REQUEST, token[1:])
--- a/switchline/policy/persistence/reserve.py
+++ b/switchline/policy/persistence/reserve.py
@@ -1,4 +1,4 @@
-"""Spending ahead of the disk: what one customer may spend before its next record is committed."""
+"""The reserve of a customer: the units that it may spend before its next record is committed on disk."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from switchline.policy import interface as api
 from switchline.policy.quota.customer import Customer
 
-# Reserved at a time: this part of a burst, or what this time brings if that is more.
-RESERVED_RATIO = 0.25
-RESERVED_MS = 100.0
+# A record reserves this ratio of a burst, or the units that the rate yields in this time if they are more.
+RESERVED_BURST_RATIO = 0.25
+RESERVED_RATE_MS = 100.0
 
 
 class SafeRate(NamedTuple):
-    """Units a second that may be spent without a reserve."""
+    """Rates, in units per second, at which a customer may spend without a reserve."""
 
     quota: float
     ceiling: float
 
 
 class ReserveShortfall(NamedTuple):
-    """What the reserve lacks for a request: units of the quota, and whether the ceiling has none either."""
+    """Units of quota that a reserve lacks for a request, and whether the ceiling lacks them too."""
 
     units: float
     over_ceiling: bool
@@ -31,12 +31,12 @@
 
 
 def is_limited(plan: api.Plan) -> bool:
-    """Whether a plan has a quota or a ceiling to keep."""
+    """Return whether a plan has a quota or a ceiling."""
     return bool(plan.rate_per_s or plan.ceiling_rate_per_s)
 
 
-def reserved_at_once(customer: Customer, max_request_units: float) -> float:
-    """Units of a customer that are reserved at a time: a part of its bucket, at least one request."""
+def reserve_size_units(customer: Customer, max_request_units: float) -> float:
+    """Return the units that one record of a customer reserves: a part of its bucket, at least one request."""
     plan = customer.plan
     if plan.rate_per_s:
         burst = plan.burst_units * customer.quota_share
@@ -44,11 +44,11 @@
     else:
         burst = plan.ceiling_burst_units * customer.ceiling_share
         rate = plan.ceiling_rate_per_s * customer.ceiling_share
-    return max(max_request_units, burst * RESERVED_RATIO, rate * RESERVED_MS / 1000)
+    return max(max_request_units, burst * RESERVED_BURST_RATIO, rate * RESERVED_RATE_MS / 1000)
 
 
 def safe_rate(customer: Customer) -> SafeRate:
-    """Give a customer's safe share of its rates, without a burst."""
+    """Return the rates of a customer's safe share, without a burst."""
     return SafeRate(
         customer.plan.rate_per_s * min(customer.quota_share, customer.even_share),
         customer.plan.ceiling_rate_per_s * min(customer.ceiling_share, customer.even_share),
@@ -56,19 +56,19 @@
 
 
 class Reserve:
-    """What a customer may spend before its next record is on disk.
+    """The units that a customer may spend before its next record is on disk.
 
     Attributes:
-        units: What the committed record shows as spent, and is not yet.
-        pending_serial: The serial number of a record that is not committed yet; 0: there is none.
-        pending_units: What that record reserves.
-        spent_since_write: What was spent after that record was written.
-        empty_since_ms: Since when nothing is reserved.
-        spent_while_empty: What was spent since then.
-        rate: What may be spent a second while nothing is reserved.
-        pending_rate: The same once the record on its way is committed.
-        written_ms: When the last record was written.
-        has_record: Whether there is one.
+        units: Units that the committed record counts as spent and that are not spent yet.
+        pending_serial: Serial number of a record that is not committed yet; 0 if there is none.
+        pending_units: Units that the pending record reserves.
+        spent_since_write: Units that were spent after the last record was written.
+        empty_since_ms: Time since which the reserve is too small, in milliseconds; infinite if it is not.
+        spent_while_empty: Units that were spent since that time at the safe rate.
+        rate: Rates at which units may be spent while the reserve is too small.
+        pending_rate: The value of `rate` once the pending record is committed.
+        written_ms: Time at which the last record was written, in milliseconds; minus infinity if none was.
+        has_record: Whether the customer has a record.
     """
 
     __slots__ = (
@@ -97,20 +97,26 @@
         self.has_record = False
 
     def shortfall(self, now: float, plan: api.Plan, units: float) -> ReserveShortfall:
-        """Give what the reserve and the safe rate together lack for a request of so many units."""
+        """Return what the reserve and the safe rate lack for a request.
+
+        Args:
+            now: The time in milliseconds.
+            plan: The customer's plan.
+            units: The units of the request.
+        """
         if self.units >= units:
             return NO_SHORTFALL
         if now < self.empty_since_ms:
             self.empty_since_ms = now
             self.spent_while_empty = 0.0
-        passed_s = (now - self.empty_since_ms) / 1000
-        wanted = self.spent_while_empty + units
-        short = wanted - passed_s * self.rate.quota if plan.rate_per_s else 0.0
-        over_ceiling = bool(plan.ceiling_rate_per_s) and wanted > passed_s * self.rate.ceiling
-        return ReserveShortfall(max(0.0, short), over_ceiling)
+        elapsed_s = (now - self.empty_since_ms) / 1000
+        needed_units = self.spent_while_empty + units
+        shortfall_units = needed_units - elapsed_s * self.rate.quota if plan.rate_per_s else 0.0
+        over_ceiling = bool(plan.ceiling_rate_per_s) and needed_units > elapsed_s * self.rate.ceiling
+        return ReserveShortfall(max(0.0, shortfall_units), over_ceiling)
 
     def spend(self, units: float) -> None:
-        """Take a request's units from the reserve, or from the safe rate where it does not hold them."""
+        """Take a request's units from the reserve, or from the safe rate if the reserve is too small."""
         if self.units >= units:
             self.units -= units
         else:
@@ -118,7 +124,13 @@
         self.spent_since_write += units
 
     def on_written(self, now: float, units: float, rate: SafeRate) -> None:
-        """A record that reserves so many units is on its way; `pending_serial` is set by the caller."""
+        """Note a record that was written and is not committed; the caller sets `pending_serial`.
+
+        Args:
+            now: The time in milliseconds.
+            units: Units that the record reserves.
+            rate: The customer's safe rates at this time.
+        """
         self.pending_units = units
         self.spent_since_write = 0.0
         self.has_record = True
@@ -126,7 +138,7 @@
         self.pending_rate = rate
 
     def on_committed(self) -> None:
-        """The record on its way is committed."""
+        """Apply the commit of the pending record."""
         self.units = self.pending_units - self.spent_since_write
         self.pending_serial = 0
         self.empty_since_ms = math.inf
--- a/switchline/policy/persistence/restore.py
+++ b/switchline/policy/persistence/restore.py
@@ -1,4 +1,4 @@
-"""After a restart: how far a state file is believed, and what its customers may have spent since."""
+"""Restoring state after a restart: whether a state file is trusted, and what was spent since its write."""
 
 from __future__ import annotations
 
@@ -6,21 +6,24 @@
 from dataclasses import dataclass
 
 from switchline.policy import interface as api
-from switchline.policy.persistence.reserve import reserved_at_once
+from switchline.policy.persistence.reserve import reserve_size_units
 from switchline.policy.quota.customer import NO_PERIOD, Customer
 
-MAX_DOWNTIME_MS = 600_000.0  # a longer one is not believed: the clock may have been set
-# What such a time brought may have been spent without a reserve; a commit takes half of it at most.
+# A state file that shows a longer downtime is not trusted: the clock may have been set.
+MAX_DOWNTIME_MS = 600_000.0
+# The units gained in this time may have been spent without a reserve; a commit takes half of it at most.
 MAX_COMMIT_LAG_MS = 3_000.0
-MAX_COUNTED_RESTARTS = 8  # after so many, a customer without a record begins with nothing
-MAX_RECORD_NUMBER = 1e9  # of any number that a record may hold, times apart
+# After this many recent restarts a customer without a record starts with one request and no ceiling units.
+MAX_COUNTED_RESTARTS = 8
+# Maximum of any number in a record, except times.
+MAX_RECORD_VALUE = 1e9
 
 
 def check_customer(customer: Customer) -> None:
     """Check the numbers of a customer that was just loaded from a record.
 
     Raises:
-        ValueError: One is out of range.
+        ValueError: A number is out of range.
     """
     ratios = {
         "even share": customer.even_share,
@@ -30,7 +33,7 @@
     }
     for name, ratio in ratios.items():
         if not 0 <= ratio <= 1.0:
-            raise ValueError(f"{name} out of range")
+            raise ValueError(f"{name} of a customer record is out of range, expected 0 to 1")
     units = (
         customer.tokens,
         customer.ceiling_tokens,
@@ -40,55 +43,67 @@
         customer.own_demand_units,
         customer.fleet_demand_units,
     )
-    if any(abs(number) > MAX_RECORD_NUMBER for number in units):
-        raise ValueError("out of range")
+    if any(abs(number) > MAX_RECORD_VALUE for number in units):
+        raise ValueError(
+            "customer record: a number of units or a demand is out of range, expected at most 1e9"
+        )
 
 
 def check_record(record: api.Record) -> None:
     """Check the numbers of a stored record of the gateway or of a backend.
 
     Raises:
-        ValueError: One is out of range, or the record is of another kind.
+        ValueError: A number is out of range, or the record is of another kind.
     """
     match record:
         case api.GatewayRecord():
             numbers = (record.mean_ms, record.recent_ms, record.sample_count, record.rate_per_s)
-            is_valid = all(0 <= number <= MAX_RECORD_NUMBER for number in numbers)
+            is_valid = all(0 <= number <= MAX_RECORD_VALUE for number in numbers)
         case api.BackendRecord(started_ms=float()):
-            is_valid = all(abs(score.level) <= MAX_RECORD_NUMBER for score in record.scores.values())
+            is_valid = all(abs(score.level) <= MAX_RECORD_VALUE for score in record.scores.values())
         case _:
             is_valid = False
     if not is_valid:
-        raise ValueError(f"out of range: {type(record).__name__}")
+        raise ValueError(
+            f"wrong kind of record, or a number not in the range to 1e9: {type(record).__name__}"
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class RestartHistory:
-    """What a state file shows of the incarnations before this one.
+    """What a state file shows of earlier incarnations of the gateway.
 
     Attributes:
-        last_commit_ms: When the file was last written.
-        restarts_ms: The restarts since, this one too.
-        is_believed: Whether the file is the latest one and the downtime it shows is plausible.
+        last_commit_ms: Time of the last write of the file, in milliseconds.
+        restarts_ms: Times of the restarts since then, including this one, in milliseconds.
+        is_trusted: Whether the file is the latest one and the downtime that it shows is plausible.
     """
 
     last_commit_ms: float = 0.0
     restarts_ms: tuple[float, ...] = ()
-    is_believed: bool = True
+    is_trusted: bool = True
 
     @classmethod
-    def of_file(cls, now: float, event: api.StateFileFound) -> RestartHistory:
-        """Judge a state file that was found."""
-        is_believed = event.is_latest and 0.0 <= now - event.last_commit_ms <= MAX_DOWNTIME_MS
-        return cls(event.last_commit_ms, event.restarts_ms, is_believed)
-
-    def age_customer(self, now: float, customer: Customer, written_ms: float) -> None:
-        """Set a restored customer's times so that it gains what the downtime surely brought."""
-        down_ms = now - self.last_commit_ms if self.is_believed else 0.0
-        filled_ms = min(customer.filled_at_ms, written_ms)
-        customer.filled_at_ms = now - max(0.0, self.last_commit_ms - filled_ms + down_ms - MAX_COMMIT_LAG_MS)
+    def from_state_file(cls, now: float, event: api.StateFileFound) -> RestartHistory:
+        """Return the history that a state file shows, and whether the file is trusted."""
+        is_trusted = event.is_latest and 0.0 <= now - event.last_commit_ms <= MAX_DOWNTIME_MS
+        return cls(event.last_commit_ms, event.restarts_ms, is_trusted)
+
+    def adjust_restored_customer(self, now: float, customer: Customer, written_ms: float) -> None:
+        """Set a restored customer's times so that it gains the units that the downtime certainly yielded.
+
+        Args:
+            now: The time in milliseconds.
+            customer: The customer.
+            written_ms: Time at which its record was written, in milliseconds.
+        """
+        down_ms = now - self.last_commit_ms if self.is_trusted else 0.0
+        last_filled_ms = min(customer.filled_at_ms, written_ms)
+        customer.filled_at_ms = now - max(
+            0.0, self.last_commit_ms - last_filled_ms + down_ms - MAX_COMMIT_LAG_MS
+        )
         customer.has_valid_reading = False
-        if self.is_believed:
+        if self.is_trusted:
             customer.lease_expires_ms = min(customer.lease_expires_ms, now + customer.idle_ttl_ms)
             customer.read_at_ms = min(customer.read_at_ms, now)
         else:
@@ -98,16 +113,22 @@
             customer.ceiling_tokens = min(customer.ceiling_tokens, 0.0)
 
     def limit_new_customer(self, now: float, customer: Customer, max_request_units: float) -> None:
-        """Take from a customer without a record one reserve for each incarnation that has just ended."""
+        """Take one reserve for each recent incarnation from a customer without a record.
+
+        Args:
+            now: The time in milliseconds.
+            customer: The customer.
+            max_request_units: The units of the largest request.
+        """
         plan = customer.plan
         burst_fill_ms = plan.burst_units / plan.rate_per_s * 1000 if plan.rate_per_s else 0.0
         window_ms = max(customer.idle_ttl_ms, burst_fill_ms)
-        restarts = sum(now - at < window_ms or not self.is_believed for at in self.restarts_ms)
-        if not restarts:
+        recent_restarts = sum(now - at < window_ms or not self.is_trusted for at in self.restarts_ms)
+        if not recent_restarts:
             return
-        taken = math.inf
-        if restarts < MAX_COUNTED_RESTARTS:
-            taken = restarts * reserved_at_once(customer, max_request_units)
-        customer.tokens = max(max_request_units, customer.tokens - taken)
+        taken_units = math.inf
+        if recent_restarts < MAX_COUNTED_RESTARTS:
+            taken_units = recent_restarts * reserve_size_units(customer, max_request_units)
+        customer.tokens = max(max_request_units, customer.tokens - taken_units)
         ceiling_burst = plan.ceiling_burst_units * customer.ceiling_share
-        customer.ceiling_tokens = max(0.0, min(ceiling_burst, customer.ceiling_tokens) - taken)
+        customer.ceiling_tokens = max(0.0, min(ceiling_burst, customer.ceiling_tokens) - taken_units)
--- a/switchline/policy/persistence/shared_state.py
+++ b/switchline/policy/persistence/shared_state.py
@@ -1,4 +1,4 @@
-"""The gateway's own state and its backends' as records, and how such records are merged."""
+"""State records of the gateway and its backends, and the merging of such records."""
 
 from __future__ import annotations
 
@@ -8,11 +8,12 @@
 from switchline.policy.quota.customers import MIN_EVEN_SHARE, CustomerTable
 from switchline.policy.requests.latency import LatencyEstimate
 
-GATEWAY_NAME = ""  # under which the gateway's own record stands among those of backends
+# Name of the gateway's own record among the records of backends, which are named by their numbers.
+GATEWAY_RECORD_NAME = ""
 
 
 class SharedState:
-    """Reads and writes records of what other owners hold; has no state of its own."""
+    """Reads and writes records of the state that other objects hold; it has no state of its own."""
 
     def __init__(self, customers: CustomerTable, backends: BackendTable, latency: LatencyEstimate) -> None:
         self._customers = customers
@@ -20,10 +21,10 @@
         self._latency = latency
 
     def records(self) -> dict[str, api.Record]:
-        """Give the records of the gateway itself and of each backend, by name."""
+        """Return the records of the gateway and of each backend that has outlier scores, by name."""
         latency = self._latency
         records: dict[str, api.Record] = {
-            GATEWAY_NAME: api.GatewayRecord(
+            GATEWAY_RECORD_NAME: api.GatewayRecord(
                 self._customers.gateway_created_ms,
                 latency.mean_ms,
                 latency.recent_ms,
@@ -41,16 +42,16 @@
         return records
 
     def merge(self, now: float, record: api.Record | None) -> Customer | None:
-        """Take over a record, from another process or from disk; gives the customer if it is of one.
+        """Apply a record from another process or from disk; return the customer if it is a customer's.
 
         Raises:
-            ValueError: The record can't be read, or is of a plan that this gateway does not know.
+            ValueError: The record can't be read, or names a plan that this gateway does not have.
         """
         match record:
             case api.GatewayRecord():
                 self._load_gateway(record)
             case api.BackendRecord(number, scores, started_ms):
-                # What was seen of another process of a backend says nothing of the present one.
+                # The scores of an earlier process of a backend say nothing of the present process.
                 backend = self._backends.by_id.get(number)
                 if backend and (started_ms is None or started_ms == backend.started_ms):
                     backend.scores = {
@@ -63,11 +64,13 @@
                 customer.restore(record)
                 return customer
             case _:
-                raise ValueError(f"no state of this program: {type(record).__name__}")
+                raise ValueError(
+                    f"expected a gateway, backend or customer of a known plan, got: {type(record).__name__}"
+                )
         return None
 
     def limit_times(self, now: float) -> None:
-        """Bound the times of a restored gateway record: none lies in the future."""
+        """Limit the times of a restored gateway record, so that none lies in the future."""
         customers, latency = self._customers, self._latency
         customers.gateway_created_ms = min(now, customers.gateway_created_ms)
         latency.recent_at_ms = min(now, latency.recent_at_ms)
