--- a/tests/policy/test_durable_state.py
+++ b/tests/policy/test_durable_state.py
@@ -1,4 +1,4 @@
-"""What the module reserves ahead of the disk, and what a restart gives: on clocks set by hand."""
+"""Tests of the reserves of customers and of restarts from the state on disk, with a hand-set clock."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 from helpers import BASIC, FIRM, World, counts, entry, refusals, sends, settings
 from hypothesis import given
-from hypothesis import settings as runs
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from switchline.policy import interface as api
@@ -18,90 +18,93 @@
     MAX_RECORD_AGE_MS,
     REFRESH_SPREAD_MS,
 )
-from switchline.policy.persistence.reserve import RESERVED_RATIO
+from switchline.policy.persistence.reserve import RESERVED_BURST_RATIO
 from switchline.policy.persistence.restore import MAX_COMMIT_LAG_MS, MAX_DOWNTIME_MS
 
-Told = tuple[str, str]
+RecordKey = tuple[str, str]
 
 
-class Disk:
-    """One gateway, the disk it keeps rows on, and its lives; real time goes on whatever its clock says."""
+class GatewayWithDisk:
+    """A gateway with the records on its disk, over several incarnations.
+
+    Real time advances independently of the gateway's clock, which may be set.
+    """
 
     def __init__(self, **changes: object) -> None:
         self.changes = {"uses_counter": False, **changes}
         self.seed = int(str(self.changes.pop("seed", 0)))
-        self.rows: dict[Told, tuple[list[object], float]] = {}
-        self.waiting: list[api.PersistRecord] = []
-        self.alive, self.starts = 0.0, list[float]()
-        self.real, self.offset = 0.0, 1.7e12
+        self.rows: dict[RecordKey, tuple[list[object], float]] = {}
+        self.uncommitted_records: list[api.PersistRecord] = []
+        self.last_commit_ms, self.starts_ms = 0.0, list[float]()
+        self.real_ms, self.clock_offset_ms = 0.0, 1.7e12
         self.spent: list[tuple[float, float]] = []
-        self.slack = 0.0  # of quotas, not of ceilings: a request for each life that left no row
+        self.allowed_excess_units = 0.0  # of quotas alone: one request for each crash without a record
         self.start()
 
     def start(self) -> None:
-        now = self.real + self.offset
-        seed = self.seed + len(self.starts) + 1
+        now = self.real_ms + self.clock_offset_ms
+        seed = self.seed + len(self.starts_ms) + 1
         self.world = World(seed=seed, now=now, **self.changes)  # type: ignore[arg-type]
-        self.waiting.clear()
+        self.uncommitted_records.clear()
         if self.rows:
-            restarts = (*self.starts[1:], self.world.now)
-            self.give(api.StateFileFound(self.alive, restarts[-8:]))
+            restarts = (*self.starts_ms[1:], self.world.now)
+            self.give(api.StateFileFound(self.last_commit_ms, restarts[-8:]))
             for kind in ("customer", "backend", "gateway"):
-                for said, at in [row for (k, _), row in self.rows.items() if k == kind]:
-                    self.give(api.RecordRestored(decode_record(json.loads(json.dumps(said))), at))
+                for values, at in [row for (k, _), row in self.rows.items() if k == kind]:
+                    self.give(api.RecordRestored(decode_record(json.loads(json.dumps(values))), at))
         self.give(api.PersistenceChanged(True))
-        self.starts.append(self.world.now)
+        self.starts_ms.append(self.world.now)
         self.rows.clear()
         self.commit()
 
     def give(self, event: api.Event) -> list[api.Action]:
-        return self.note(self.world.give(event))
+        return self.collect(self.world.give(event))
 
-    def note(self, actions: list[api.Action]) -> list[api.Action]:
-        self.waiting += [copy.deepcopy(a) for a in actions if isinstance(a, api.PersistRecord)]
+    def collect(self, actions: list[api.Action]) -> list[api.Action]:
+        self.uncommitted_records += [copy.deepcopy(a) for a in actions if isinstance(a, api.PersistRecord)]
         return actions
 
     def commit(self) -> None:
-        for keep in self.waiting:
-            record = encode_record(keep.record)
+        for action in self.uncommitted_records:
+            record = encode_record(action.record)
             if record[0] == "forget":
                 self.rows.pop((str(record[1]), str(record[2])), None)
             else:
                 name = "" if record[0] == "gateway" else str(record[1])
                 self.rows[str(record[0]), name] = record, self.world.now
-        self.alive = self.world.now
-        if self.waiting:
-            last = self.waiting[-1].serial
-            self.waiting = []
+        self.last_commit_ms = self.world.now
+        if self.uncommitted_records:
+            last = self.uncommitted_records[-1].serial
+            self.uncommitted_records = []
             self.give(api.RecordsPersisted(last))
 
     def ask(self, **given: object) -> bool:
-        made = sends(self.note(self.world.ask(**given)))  # type: ignore[arg-type]
-        for send in made:
-            self.spent.append((self.real, 1.0))
-            self.note(self.world.end(send))
-        return bool(made)
+        attempts = sends(self.collect(self.world.ask(**given)))  # type: ignore[arg-type]
+        for send in attempts:
+            self.spent.append((self.real_ms, 1.0))
+            self.collect(self.world.end(send))
+        return bool(attempts)
 
     def pass_time(self, milliseconds: float) -> None:
-        self.note(self.world.pass_time(milliseconds))
-        self.real += milliseconds
+        self.collect(self.world.pass_time(milliseconds))
+        self.real_ms += milliseconds
 
-    def crash(self, down: float = 0.0, jump: float = 0.0) -> None:
-        self.slack += ("customer", "c") not in self.rows
-        self.real, self.offset = self.real + down, self.offset + jump
+    def crash(self, down_ms: float = 0.0, jump_ms: float = 0.0) -> None:
+        self.allowed_excess_units += ("customer", "c") not in self.rows
+        self.real_ms, self.clock_offset_ms = self.real_ms + down_ms, self.clock_offset_ms + jump_ms
         self.start()
 
 
-def lowest(spent: list[tuple[float, float]], burst: float, rate: float) -> float:
-    """The least that a bucket which was full at first would have held."""
-    level, at, least = burst, 0.0, burst
+def lowest_bucket_level(spent: list[tuple[float, float]], burst_units: float, rate_per_s: float) -> float:
+    """Return the lowest level of a bucket that was full at first, in units."""
+    level, at, least = burst_units, 0.0, burst_units
     for now, units in spent:
-        level = min(burst, level + (now - at) / 1000 * rate) - units
+        level = min(burst_units, level + (now - at) / 1000 * rate_per_s) - units
         at, least = now, min(least, level)
     return least
 
 
-STEPS = st.lists(
+STEP_LISTS = st.lists(
     st.one_of(
         st.tuples(st.just("ask"), st.integers(1, 6)),
         st.tuples(st.just("wait"), st.sampled_from([1, 50, 400, 1_000, 4_000, 30_000])),
@@ -115,132 +118,149 @@
 
 
 @pytest.mark.parametrize("plan", [BASIC, FIRM])
-@runs(max_examples=150)
-@given(steps=STEPS)
-def test_no_order_of_crashes_gives_anything_twice(plan: api.Plan, steps: list[tuple[str, int]]) -> None:
-    disk, uncommitted = Disk(), 0.0
-    for what, number in steps:
-        if what == "ask":
+@hypothesis_settings(max_examples=150)
+@given(steps=STEP_LISTS)
+def test_random_crashes_never_let_units_be_spent_twice(plan: api.Plan, steps: list[tuple[str, int]]) -> None:
+    disk, uncommitted_ms = GatewayWithDisk(), 0.0
+    for step, number in steps:
+        if step == "ask":
             for _ in range(number):
                 disk.ask(plan=plan.name)
-        elif what == "wait":
-            for _ in range(20):  # a commit takes up to half of what the module reckons with
+        elif step == "wait":
+            for _ in range(20):  # a commit takes at most half of the lag that is allowed for
                 part = number / 20
-                uncommitted = uncommitted + part if disk.waiting else 0.0
-                if uncommitted > MAX_COMMIT_LAG_MS / 2:
+                uncommitted_ms = uncommitted_ms + part if disk.uncommitted_records else 0.0
+                if uncommitted_ms > MAX_COMMIT_LAG_MS / 2:
                     disk.commit()
-                    uncommitted = 0.0
+                    uncommitted_ms = 0.0
                 disk.pass_time(part)
-        elif what == "commit":
+        elif step == "commit":
             disk.commit()
         else:
-            jump = {"crash": 0, "back": -number, "ahead": number}[what]
-            disk.crash(number if what == "crash" else 10, jump)
-            uncommitted = 0.0
+            jump = {"crash": 0, "back": -number, "ahead": number}[step]
+            disk.crash(number if step == "crash" else 10, jump)
+            uncommitted_ms = 0.0
         if plan.rate_per_s:
-            assert lowest(disk.spent, plan.burst_units / 2, plan.rate_per_s / 2) > -1e-6 - disk.slack
+            assert (
+                lowest_bucket_level(disk.spent, plan.burst_units / 2, plan.rate_per_s / 2)
+                > -1e-6 - disk.allowed_excess_units
+            )
         if plan.ceiling_rate_per_s:
-            assert lowest(disk.spent, plan.ceiling_burst_units / 2, plan.ceiling_rate_per_s / 2) > -1e-6
+            assert (
+                lowest_bucket_level(disk.spent, plan.ceiling_burst_units / 2, plan.ceiling_rate_per_s / 2)
+                > -1e-6
+            )
 
 
-def test_without_reservation_a_crash_would_give_it_again() -> None:
-    """The same play with rows alone shows what the reserved part is for."""
-    disk = Disk()
+def test_after_a_crash_the_reserve_counts_as_spent() -> None:
+    """A gateway without the record would admit a request again that the record counts as spent."""
+    disk = GatewayWithDisk()
     while disk.ask():
         disk.commit()
-    had = len(disk.spent)
-    assert had >= 3
+    admitted = len(disk.spent)
+    assert admitted >= 3
     disk.crash(100)
     assert not disk.ask()
-    fresh = World(uses_counter=False)  # knows nothing
+    fresh = World(uses_counter=False)  # a gateway without the record
     assert sends(fresh.ask())
 
 
-def test_a_lagging_disk_leaves_the_even_share_without_a_burst() -> None:
-    disk = Disk()
-    let_in = sum(disk.ask() for _ in range(10))
-    assert let_in == max(1, BASIC.burst_units / 2 * RESERVED_RATIO)  # a first part, and nothing waits
+def test_while_commits_lag_a_customer_gets_its_even_share_without_a_burst() -> None:
+    disk = GatewayWithDisk()
+    admitted_requests = sum(disk.ask() for _ in range(10))
+    assert admitted_requests == max(
+        1, BASIC.burst_units / 2 * RESERVED_BURST_RATIO
+    )  # the first reserve; no request waits for a commit
     assert len(refusals(disk.world.ask())) == 1
     for _ in range(20):
         disk.pass_time(500)
-        let_in += disk.ask()
-    assert 9 <= let_in <= 11  # one a second
-    disk.commit()  # of a row that shows one part, and ten have been let in since
+        admitted_requests += disk.ask()
+    assert 9 <= admitted_requests <= 11  # one request per second
+    disk.commit()  # this record shows one reserve, and ten requests were admitted since
     disk.commit()
     assert disk.ask()
 
 
-CAP = api.Plan("cap", ceiling_rate_per_s=2, ceiling_burst_units=8)
+CEILING_PLAN = api.Plan("cap", ceiling_rate_per_s=2, ceiling_burst_units=8)
 
 
-def test_a_lagging_disk_leaves_the_even_share_of_a_ceiling() -> None:
-    disk = Disk(plans=(CAP,))
+def test_while_commits_lag_a_customer_gets_its_even_share_of_a_ceiling() -> None:
+    disk = GatewayWithDisk(plans=(CEILING_PLAN,))
     disk.pass_time(60_000)
-    let_in = sum(disk.ask(plan="cap") for _ in range(10))
-    assert let_in == 1
+    admitted_requests = sum(disk.ask(plan="cap") for _ in range(10))
+    assert admitted_requests == 1
     for _ in range(40):
         disk.pass_time(250)
-        let_in += disk.ask(plan="cap")
-    assert 9 <= let_in <= 11
+        admitted_requests += disk.ask(plan="cap")
+    assert 9 <= admitted_requests <= 11
 
 
-def test_what_went_unreserved_while_the_disk_lagged_is_not_paid_back() -> None:
+def test_units_spent_without_a_reserve_are_not_granted_again_after_a_crash() -> None:
     fast = api.Plan("fast", rate_per_s=40, burst_units=8)
-    disk = Disk(plans=(fast,))
+    disk = GatewayWithDisk(plans=(fast,))
     for _ in range(6):
         while disk.ask(plan="fast"):
             disk.commit()
-        for _ in range(70):  # less than a commit may take
+        for _ in range(70):  # shorter than the longest commit
             disk.pass_time(20)
             disk.ask(plan="fast")
         disk.crash(0)
-    assert lowest(disk.spent, fast.burst_units / 2, fast.rate_per_s / 2) > -1e-6
+    assert lowest_bucket_level(disk.spent, fast.burst_units / 2, fast.rate_per_s / 2) > -1e-6
 
 
-def test_first_parts_of_many_lives_stay_within_the_ceiling() -> None:
-    disk, lives = Disk(), 12
+def test_first_reserves_of_many_restarts_stay_within_the_ceiling() -> None:
+    disk, crashes = GatewayWithDisk(), 12
     disk.pass_time(60_000)
     disk.commit()
-    for _ in range(lives):
+    for _ in range(crashes):
         while disk.ask(plan="firm"):
             pass
-        disk.crash(10)  # before its first row is committed
-    assert lowest(disk.spent, FIRM.ceiling_burst_units / 2, FIRM.ceiling_rate_per_s / 2) > -1e-6
+        disk.crash(10)  # before the first record is committed
+    assert lowest_bucket_level(disk.spent, FIRM.ceiling_burst_units / 2, FIRM.ceiling_rate_per_s / 2) > -1e-6
     assert (
-        lowest(disk.spent, FIRM.burst_units / 2, FIRM.rate_per_s / 2) >= -lives
-    )  # the slack: one request a crash
+        lowest_bucket_level(disk.spent, FIRM.burst_units / 2, FIRM.rate_per_s / 2) >= -crashes
+    )  # one request of excess for each crash
 
 
-def test_a_part_is_spent_from_memory_once_its_row_is_committed() -> None:
-    disk = Disk()
+def test_a_reserve_may_be_spent_once_its_record_is_committed() -> None:
+    disk = GatewayWithDisk()
     assert disk.ask() and not disk.ask()
     assert ("customer", "c") not in disk.rows
     disk.commit()
-    said, _ = disk.rows["customer", "c"]
-    tokens = said[4][2]  # type: ignore[index]
-    assert tokens == disk.world.gateway.customers.by_key["c"].tokens - 1  # a part shows as spent
+    values, _ = disk.rows["customer", "c"]
+    tokens = values[4][2]  # type: ignore[index]
+    assert (
+        tokens == disk.world.gateway.customers.by_key["c"].tokens - 1
+    )  # the record counts the reserve as spent
     assert disk.ask() and not disk.ask()
 
 
-def test_downtime_fills_the_buckets_as_far_as_it_is_plausible() -> None:
-    for down, jump, most in ((20_000, 0, 3), (10, -3_600_000, 0), (10, int(MAX_DOWNTIME_MS) * 2, 0)):
-        disk = Disk()
+def test_only_a_plausible_downtime_fills_the_buckets() -> None:
+    for down_ms, jump_ms, min_admitted in (
+        (20_000, 0, 3),
+        (10, -3_600_000, 0),
+        (10, int(MAX_DOWNTIME_MS) * 2, 0),
+    ):
+        disk = GatewayWithDisk()
         while disk.ask():
             disk.commit()
-        disk.crash(down, jump)
-        assert any(isinstance(a, api.LogMessage) for _, a in disk.world.log) is not bool(most)
-        let_in = 0
+        disk.crash(down_ms, jump_ms)
+        assert any(isinstance(a, api.LogMessage) for _, a in disk.world.log) is not bool(min_admitted)
+        admitted_requests = 0
         while disk.ask():
             disk.commit()
-            let_in += 1
-        assert (let_in == 0) if not most else let_in >= most, (down, jump)
+            admitted_requests += 1
+        assert (admitted_requests == 0) if not min_admitted else admitted_requests >= min_admitted, (
+            down_ms,
+            jump_ms,
+        )
 
 
-def test_a_planned_end_keeps_all_that_is_left() -> None:
+def test_a_planned_end_stores_all_remaining_units() -> None:
     fast = api.Plan("fast", rate_per_s=1, burst_units=80)
     left = []
     for planned in (False, True):
-        disk = Disk(plans=(fast,))
+        disk = GatewayWithDisk(plans=(fast,))
         for _ in range(5):
             assert disk.ask(plan="fast")
             disk.commit()
@@ -252,8 +272,8 @@
     assert left[1] == 35 and left[0] < 30
 
 
-def test_a_lease_that_ended_meanwhile_reverts() -> None:
-    disk = Disk(uses_counter=True)
+def test_a_lease_that_expires_while_down_reverts_to_the_even_share() -> None:
+    disk = GatewayWithDisk(uses_counter=True)
     disk.ask()
     disk.commit()
     disk.world.gateway.customers.by_key["c"].quota_share = 0.9
@@ -267,23 +287,23 @@
     assert disk.world.gateway.customers.by_key["c"].quota_share == 0.5
 
 
-def test_a_ceiling_need_not_start_empty_after_a_restart_and_is_never_given_twice() -> None:
-    disk = Disk()
+def test_the_ceiling_of_a_new_customer_is_not_empty_after_a_restart() -> None:
+    disk = GatewayWithDisk()
     disk.pass_time(60_000)
     disk.commit()
     disk.crash(100)
     first = disk.world.ask(plan="firm", customer="new")
-    assert sends(first)  # a process that knows nothing would refuse it
+    assert sends(first)  # a gateway without restored state would reject it
     assert not sends(World(uses_counter=False).ask(plan="firm", customer="new"))
 
 
-def test_marks_age_and_pace_come_back_but_not_those_of_another_process_of_a_backend() -> None:
-    disk = Disk(entries=[entry(1), entry(2)])
+def test_scores_age_and_latency_are_restored_but_not_scores_of_an_earlier_backend_process() -> None:
+    disk = GatewayWithDisk(entries=[entry(1), entry(2)])
     for _ in range(30):
-        made = sends(disk.note(disk.world.ask(plan="bonus", customer="x")))
-        for send in made:
+        attempts = sends(disk.collect(disk.world.ask(plan="bonus", customer="x")))
+        for send in attempts:
             outcome = api.Outcome.CONNECT_FAILED if send.backend == 1 else api.Outcome.OK
-            disk.note(disk.world.end(send, outcome, finished=True))
+            disk.collect(disk.world.end(send, outcome, finished=True))
         disk.pass_time(100)
     disk.commit()
     before = disk.world.gateway
@@ -300,15 +320,15 @@
     assert not disk.world.gateway.backends.by_id[1].scores
 
 
-def test_a_fleet_that_is_back_does_not_ask_the_counter_at_once() -> None:
+def test_restarted_gateways_spread_their_counter_calls() -> None:
     asked: list[float] = []
     for index in range(40):
-        disk = Disk(uses_counter=True, seed=100 * index)
+        disk = GatewayWithDisk(uses_counter=True, seed=100 * index)
         disk.ask()
         disk.commit()
         disk.crash(1_000)
         start = disk.world.now
-        while not counts(disk.note(disk.world.ask())):
+        while not counts(disk.collect(disk.world.ask())):
             disk.pass_time(100)
         asked.append(disk.world.now - start)
     assert (
@@ -317,23 +337,23 @@
     )
 
 
-def test_rows_have_a_bound_and_an_end() -> None:
-    disk = Disk()
+def test_the_number_of_customer_records_is_limited_and_idle_ones_are_deleted() -> None:
+    disk = GatewayWithDisk()
     for number in range(MAX_CUSTOMER_RECORDS + 50):
         disk.ask(customer=f"c{number}")
-    keeping = disk.world.gateway.durable_state
-    assert keeping.customer_records == MAX_CUSTOMER_RECORDS
+    durable_state = disk.world.gateway.durable_state
+    assert durable_state.customer_records == MAX_CUSTOMER_RECORDS
     disk.commit()
     assert len(disk.rows) <= MAX_CUSTOMER_RECORDS + 10
     disk.pass_time(1_000_000)
     disk.ask(customer="last")
     disk.pass_time(MAX_RECORD_AGE_MS)
     disk.commit()
-    assert len(keeping.reserves) == 1 and keeping.customer_records == 1 and len(disk.rows) <= 10
+    assert len(durable_state.reserves) == 1 and durable_state.customer_records == 1 and len(disk.rows) <= 10
 
 
 @pytest.mark.parametrize(
-    "said",
+    "values",
     [
         ["customer", "d", "gone", 0, [0.5] * 18],
         ["customer", "d", "basic", 0, [0.5] * 17],
@@ -347,15 +367,15 @@
         [],
     ],
 )
-def test_a_row_out_of_range_is_left_out(said: list[object]) -> None:
+def test_an_invalid_record_is_refused(values: list[object]) -> None:
     world = World()
     world.give(api.StateFileFound(world.now, (world.now,)))
     with pytest.raises((ValueError, TypeError)):
-        world.give(api.RecordRestored(decode_record(said), world.now))
+        world.give(api.RecordRestored(decode_record(values), world.now))
     assert not world.gateway.customers.by_key
 
 
-def test_off_it_keeps_nothing() -> None:
+def test_without_persistence_nothing_is_stored() -> None:
     world = World()
     for _ in range(20):
         world.ask()
@@ -364,22 +384,22 @@
     assert not world.gateway.durable_state.reserves
 
 
-def test_what_another_process_lets_in_is_reserved_too() -> None:
-    disk = Disk()
+def test_units_spent_by_the_peer_process_are_taken_from_the_reserve() -> None:
+    disk = GatewayWithDisk()
     disk.ask()
     disk.commit()
-    ahead = disk.world.gateway.durable_state.reserves["c"].units
+    units_before = disk.world.gateway.durable_state.reserves["c"].units
     disk.give(api.PeerProcessMessage(decode_record(["spent", "c", "basic", 0.5, 0, 1, 1, 1, 0])))
-    assert disk.world.gateway.durable_state.reserves["c"].units == ahead - 1
+    assert disk.world.gateway.durable_state.reserves["c"].units == units_before - 1
 
 
-def test_true_units_are_spent_whatever_was_reserved() -> None:
-    disk = Disk()
+def test_actual_units_beyond_the_estimate_are_taken_from_the_reserve() -> None:
+    disk = GatewayWithDisk()
     disk.ask()
     disk.commit()
     reserve = disk.world.gateway.durable_state.reserves["c"]
-    (send,) = sends(disk.note(disk.world.ask()))
-    disk.note(
+    (send,) = sends(disk.collect(disk.world.ask()))
+    disk.collect(
         disk.give(
             api.AttemptEnded(send.request, 0, send.backend, api.Outcome.OK, 1.0, True, actual_units=3.0)
         )
@@ -387,7 +407,7 @@
     assert reserve.units < 0
     disk.commit()
     disk.commit()
-    held = disk.world.gateway.customers.by_key["c"].tokens
-    said, _ = disk.rows["customer", "c"]
-    assert said[4][2] <= held  # type: ignore[index]
+    tokens_left = disk.world.gateway.customers.by_key["c"].tokens
+    values, _ = disk.rows["customer", "c"]
+    assert values[4][2] <= tokens_left  # type: ignore[index]
     assert settings().max_request_units == 1.0
--- a/tests/recordings/test_recorded_decisions.py
+++ b/tests/recordings/test_recorded_decisions.py
@@ -1,8 +1,8 @@
-"""The decision module gives the same actions for the same events as it did at commit 2f3358c.
+"""The policy gives the same actions for the same events as it did at commit 2f3358c.
 
 Each recording in `tests/recorded/` is a scene of one or more gateway processes on a hand-set clock: a line
 for the start of a process with its settings and seed, a line for each event with all its actions, and a line
-for the end of a process; some hold a status, as staff and other gateways are shown it. The names in them are
+for the end of a process; some hold a status, as operators and other gateways see it. The names in them are
 mapped to the present program by `tests/neutral_form.py` alone.
 """
 
@@ -24,9 +24,9 @@
 
 RECORDED = Path(__file__).parents[1] / "recorded"
 SCENES = ["zones", "quotas", "durable_state", "upgrade", "power_loss", "streamed_requests", "large_fleet"]
-# Records of `tests/recorded/stored/`, given to a new gateway.
+# Scenes in which a new gateway gets the records of `tests/recorded/stored/`.
 STORED_SCENES = ["stored_state_after_drain", "stored_state_after_kill", "stored_handover"]
-# What the driver expects of the module for a record that no such program wrote.
+# Errors by which the policy refuses a record that is not valid; the driver handles them.
 REFUSAL = (ValueError, TypeError, OverflowError)
 
 
@@ -36,26 +36,27 @@
             yield json.loads(text)
 
 
-def forgets_backend(action: Neutral) -> bool:
+def deletes_backend_record(action: Neutral) -> bool:
     return action["action"] == "persist_record" and action["record"][:2] == ["forget", "backend"]
 
 
 def comparable(outcome: Neutral) -> str:
-    """An outcome as text: 1 differs from 1.0, and every bit of a float counts.
+    """Return an outcome as text in which 1 differs from 1.0 and every bit of a float counts.
 
-    Records of several backends that are forgotten at once come in the order of a set of strings, which
-    differs from one interpreter to the next: they alone are sorted, and their serials stay where they were.
+    Records that delete several backends at once come in the order of a set of strings, which differs between
+    runs of the interpreter. Only these records are sorted; their serial numbers keep their places.
     """
     actions = outcome.get("actions", [])
-    records = iter(sorted(action["record"] for action in actions if forgets_backend(action)))
+    records = iter(sorted(action["record"] for action in actions if deletes_backend_record(action)))
     ordered = [
-        {**action, "record": next(records)} if forgets_backend(action) else action for action in actions
+        {**action, "record": next(records)} if deletes_backend_record(action) else action
+        for action in actions
     ]
     return neutral_form.line({**outcome, "actions": ordered})
 
 
-def answer(gateway: Gateway, line: Neutral) -> Neutral:
-    """Give a gateway the event of a line; what came of it, as the line records it."""
+def handle_line(gateway: Gateway, line: Neutral) -> Neutral:
+    """Pass the event of a line to a gateway, and return the outcome in the form of the recording."""
     event = neutral_form.decode_event(line["event"])
     try:
         actions = gateway.handle(line["at_ms"], event)
@@ -78,8 +79,8 @@
             assert neutral_form.line(status) == neutral_form.line(line["status"]), f"{scene}, line {number}"
         else:
             recorded = {name: line[name] for name in ("actions", "refused") if name in line}
-            given = answer(gateways[process], line)
-            assert comparable(given) == comparable(recorded), f"{scene}, line {number}: {line}"
+            replayed = handle_line(gateways[process], line)
+            assert comparable(replayed) == comparable(recorded), f"{scene}, line {number}: {line}"
 
 
 def test_the_recordings_hold_every_event_and_action() -> None:
--- a/tests/recordings/test_recorded_gossip.py
+++ b/tests/recordings/test_recorded_gossip.py
@@ -1,9 +1,9 @@
 """Gateways that gossip send the same bytes at the same times as they did at commit 2f3358c.
 
-One scene on a hand-set clock: nine gateways in three zones, of which one falls silent and returns; then a
-tenth of the messages is lost, one process is paused, one is gone, and another is cut off. The recording holds
-a hash of each frame, and for one gateway each event of its decision module with all actions, among them the
-directives of the fleet.
+One scene on a hand-set clock: nine gateways in three zones. The backends of one zone stop answering and
+return; then a tenth of the messages is lost and a tenth duplicated, one process is paused, one is removed,
+and another is cut off. The recording holds a hash of each frame, and for one gateway each event of its policy
+with all actions, among them the directives of the fleet.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class RecordingNet(Net):
-    """A network that notes each frame that is under way, and each exchange that begins."""
+    """A network that records each frame that is sent, and each exchange that begins."""
 
     frames: list[list[object]] = []
 
@@ -41,8 +41,8 @@
         super().exchange(source, node, to)
 
 
-def play(monkeypatch: pytest.MonkeyPatch) -> Iterator[str]:
-    """The scene, as lines of its recording: frames in their order, then what the first gateway decided."""
+def play_scene(monkeypatch: pytest.MonkeyPatch) -> Iterator[str]:
+    """Yield the scene as lines of its recording: all frames in order, then the first gateway's decisions."""
     monkeypatch.setattr(RecordingNet, "frames", [])
     monkeypatch.setattr(linked_fleet, "Net", RecordingNet)
     fleet = linked_fleet.LinkedFleet({"a": 4, "b": 4, "c": 4}, 9, own=lambda index: "abc"[index % 3], seed=7)
@@ -60,8 +60,10 @@
     for frame in fleet.net.frames:  # type: ignore[attr-defined]
         yield neutral_form.line(frame)
     for at_ms, event, actions in fleet.events:
-        given = [neutral_form.encode_action(action) for action in actions]
-        yield neutral_form.line({"at_ms": at_ms, "event": neutral_form.encode_event(event), "actions": given})
+        encoded_actions = [neutral_form.encode_action(action) for action in actions]
+        yield neutral_form.line(
+            {"at_ms": at_ms, "event": neutral_form.encode_event(event), "actions": encoded_actions}
+        )
 
 
 def test_a_fleet_sends_the_recorded_frames_and_follows_the_recorded_directives(
@@ -69,7 +71,7 @@
 ) -> None:
     with lzma.open(RECORDING, "rt", encoding="utf-8") as recording:
         recorded = recording.read().splitlines()
-    played = list(play(monkeypatch))
+    played = list(play_scene(monkeypatch))
     for number, (line, before) in enumerate(zip(played, recorded, strict=False), 1):
         assert line == before, f"line {number}"
     assert len(played) == len(recorded) > 4_000
--- a/tests/recordings/test_stored_data.py
+++ b/tests/recordings/test_stored_data.py
@@ -1,9 +1,9 @@
-"""Data that the program at commit 2f3358c stored or sent is read as that program itself read it.
+"""Data that the program at commit 2f3358c stored or sent is read as that program read it.
 
 `tests/recorded/stored/` holds what one gateway of that program left: its state folder after a drain and after
 a kill, the files of what operators had disabled, its audit, and the bytes of one hand-over between two of its
-processes. `read_by_2f3358c.json` holds what the same program read there. What its decision module made of the
-records stands in the scenes `stored_*`, which `test_recorded_decisions.py` replays.
+processes. `read_by_2f3358c.json` holds what the same program read there. The decisions of its policy on the
+records are in the scenes `stored_*`, which `test_recorded_decisions.py` replays.
 """
 
 from __future__ import annotations
@@ -32,16 +32,16 @@
 
 STORED = RECORDED / "stored"
 READ: dict[str, Any] = json.loads((STORED / "read_by_2f3358c.json").read_text())
-NAME = "n0"  # of the gateway
+GATEWAY_NAME = "n0"
 STATE_FOLDERS = ["state_after_drain", "state_after_kill"]
 OVERRIDES = ["roadpulley-n0-bans.json", "roadpulley-n0-zones.json"]
 FLEET_OVERRIDES = ["roadpulley-n0-spare.json", "roadpulley-n0-floor.json"]
 HANDOVER = STORED / "handover"
 
 
-def unpack(which: str, folder: Path) -> Path:
+def unpack(state_folder: str, folder: Path) -> Path:
     folder.mkdir()
-    for packed in (STORED / which).glob("*.xz"):
+    for packed in (STORED / state_folder).glob("*.xz"):
         (folder / packed.stem).write_bytes(lzma.decompress(packed.read_bytes()))
     return folder
 
@@ -49,34 +49,43 @@
 # ---- state on disk ----
 
 
-@pytest.mark.parametrize("which", STATE_FOLDERS)
-def test_a_state_folder_is_read_complete(which: str, tmp_path: Path) -> None:
-    expected = READ[which]
-    storage = StateStorage(unpack(which, tmp_path / "state"), NAME, lambda: expected["read_at_ms"])
+@pytest.mark.parametrize("state_folder", STATE_FOLDERS)
+def test_a_state_folder_is_read_complete(state_folder: str, tmp_path: Path) -> None:
+    expected = READ[state_folder]
+    storage = StateStorage(
+        unpack(state_folder, tmp_path / "state"), GATEWAY_NAME, lambda: expected["read_at_ms"]
+    )
     try:
         storage.lock(0)
         saved = storage.open(fresh=False)
     finally:
         storage.close()
-    assert [[one.kind, one.name, one.at_ms, one.value] for one in saved.records] == expected["rows"]
+    assert [[record.kind, record.name, record.at_ms, record.value] for record in saved.records] == expected[
+        "rows"
+    ]
     assert len(saved.records) >= 13
     assert saved.last_alive_ms == expected["last_written_ms"]
     assert list(saved.restarts_ms) == expected["restarts_ms"]
     assert saved.dropped == expected["dropped"] == 0
 
 
-@pytest.mark.parametrize("which", STATE_FOLDERS)
-def test_the_replayed_scene_restores_the_records_of_the_folder(which: str) -> None:
+@pytest.mark.parametrize("state_folder", STATE_FOLDERS)
+def test_the_replayed_scene_restores_the_records_of_the_folder(state_folder: str) -> None:
     kinds = ("customer", "backend", "gateway")
-    stored = [[said, at] for kind in kinds for of, _, at, said in READ[which]["rows"] if of == kind]
-    events = [line["event"] for line in lines(f"stored_{which}") if "event" in line]
+    stored = [
+        [values, at]
+        for kind in kinds
+        for record_kind, _, at, values in READ[state_folder]["rows"]
+        if record_kind == kind
+    ]
+    events = [line["event"] for line in lines(f"stored_{state_folder}") if "event" in line]
     restored = [event for event in events if event["event"] == "record_restored"]
     assert [[event["record"], event["written_at_ms"]] for event in restored] == stored
-    assert all("refused" not in line for line in lines(f"stored_{which}"))
+    assert all("refused" not in line for line in lines(f"stored_{state_folder}"))
 
 
-class StartedLater(World):
-    """The gateway that left the folder, started on it with no list but the stored one."""
+class GatewayOnStoredState(World):
+    """The gateway that stored the folder, started on it with no endpoint list but the stored one."""
 
     def __init__(self, folder: Path, *backends: Backend) -> None:
         super().__init__(*backends)
@@ -86,19 +95,19 @@
         return {**super().config(), **READ["gateway"], "state": str(self.folder), "known": {}}
 
 
-@pytest.mark.parametrize("which", STATE_FOLDERS)
+@pytest.mark.parametrize("state_folder", STATE_FOLDERS)
 def test_a_gateway_starts_on_the_stored_files(
-    which: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    state_folder: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    expected = READ[which]
+    expected = READ[state_folder]
     later_ms = expected["read_at_ms"] - clock.now_ms()
     monkeypatch.setattr(clock, "_OFFSET_MS", clock._OFFSET_MS + later_ms)
     for name in OVERRIDES + FLEET_OVERRIDES:
         shutil.copy(STORED / "overrides" / name, tmp_path / name)
-    folder = unpack(which, tmp_path / "state")
+    folder = unpack(state_folder, tmp_path / "state")
 
     async def scenario() -> None:
-        async with running(StartedLater(folder, Backend(), Backend(), Backend())) as world:
+        async with running(GatewayOnStoredState(folder, Backend(), Backend(), Backend())) as world:
             figures = await stats(world)
             assert {name: figures[name] for name in expected["after_start"]} == expected["after_start"]
 
@@ -109,16 +118,16 @@
 
 
 @pytest.mark.parametrize("name", OVERRIDES + FLEET_OVERRIDES)
-def test_a_file_of_overrides_tells_the_same(name: str, tmp_path: Path) -> None:
-    told: list[list[object]] = []
+def test_a_stored_override_file_gives_the_recorded_overrides(name: str, tmp_path: Path) -> None:
+    changes: list[list[object]] = []
     shutil.copy(STORED / "overrides" / name, tmp_path / name)
 
     async def scenario() -> None:
         timers = clock.Timers(asyncio.get_running_loop())
-        OperatorOverrides(tmp_path / name, timers, lambda *change: told.append(list(change)))
+        OperatorOverrides(tmp_path / name, timers, lambda *change: changes.append(list(change)))
 
     in_loop(scenario)
-    assert told == READ["overrides"][name] != []
+    assert changes == READ["overrides"][name] != []
 
 
 # ---- the audit ----
@@ -128,11 +137,11 @@
     number, checksum = READ["audit"]["head"]
     folder = Path(shutil.copytree(STORED / "audit", tmp_path / "audit"))
     source = sources.read_folder(folder)
-    assert source.name == NAME and not source.findings
+    assert source.name == GATEWAY_NAME and not source.findings
     assert json.loads(msgspec.json.encode(source.records)) == READ["audit"]["records"]
     assert len(source.records) == number > 20
     before = segment_paths(folder)[0].read_bytes()
-    segments = Segments(folder, NAME)
+    segments = Segments(folder, GATEWAY_NAME)
     assert (segments.head.number, segments.head.digest, segments.bytes_cut) == (number, checksum, 0)
     segments.add(source.records[-1])
     segments.close()
@@ -143,8 +152,8 @@
 # ---- a hand-over between two processes ----
 
 
-class Recorder:
-    """Notes what a hand-over calls, in order."""
+class HandoverRecorder:
+    """Records the calls of a hand-over, in order."""
 
     def __init__(self, path: Path) -> None:
         self.messages: list[list[Any]] = []
@@ -165,13 +174,13 @@
 
 
 def records(messages: list[list[Any]]) -> list[list[Any]]:
-    """Those that are for the decision module."""
+    """Return the messages that hold records for the policy."""
     return [message for message in messages if message[0] not in ("told", "serving", "holds")]
 
 
 def test_the_bytes_of_an_old_process_are_taken_over(tmp_path: Path) -> None:
     path, messages = tmp_path / "beside.sock", sent("from_old_process.jsonl")
-    recorder = Recorder(path)
+    recorder = HandoverRecorder(path)
 
     async def old_process(_: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write((HANDOVER / "from_old_process.jsonl").read_bytes())
@@ -191,7 +200,7 @@
 
 def test_the_bytes_of_a_new_process_are_understood(tmp_path: Path) -> None:
     path, messages = tmp_path / "beside.sock", sent("from_new_process.jsonl")
-    recorder = Recorder(path)
+    recorder = HandoverRecorder(path)
     answered: list[bytes] = []
 
     async def scenario() -> None:
@@ -212,6 +221,6 @@
 def test_the_replayed_scene_gives_the_messages_of_both_processes() -> None:
     events = [line for line in lines("stored_handover") if "event" in line]
     for process, name in (("p0", "from_old_process.jsonl"), ("p1", "from_new_process.jsonl")):
-        given = [line["event"] for line in events if line["process"] == process]
-        replayed = [event["record"] for event in given if event["event"] == "peer_process_message"]
+        process_events = [line["event"] for line in events if line["process"] == process]
+        replayed = [event["record"] for event in process_events if event["event"] == "peer_process_message"]
         assert replayed == records(sent(name))
