--- a/switchline/state/folder.py
+++ b/switchline/state/folder.py
@@ -1,11 +1,11 @@
-"""The folder of the state: its lock, and the places of its files. Knows nothing of what is in them.
+"""The folder of the state: its lock, and the paths of its files. It does not read their contents.
 
 | file | what it is |
 | --- | --- |
 | `state.lock` | locked by the process that uses the folder |
 | `state.db`, with `-wal`, `-shm` | the database in use |
-| `previous.db` | the database before it, until the first commit of this one |
-| `aside-1.db` to `aside-3.db` | databases that could not be used, for staff to look at |
+| `previous.db` | the database that `state.db` replaces, until the first commit into `state.db` |
+| `aside-1.db` to `aside-3.db` | unusable databases, kept for operators to inspect |
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 LOCK_FILE = "state.lock"
 PREVIOUS_FILE = "previous.db"
 ASIDE_FILE = "aside-{}.db"
-MAX_ASIDE = 3  # a further one replaces the oldest
+MAX_ASIDE = 3  # a further file replaces the oldest
 WAL_SUFFIX = "-wal"
-LOG_SUFFIXES = (WAL_SUFFIX, "-shm", "-journal")  # of the files that SQLite keeps beside a database
+LOG_SUFFIXES = (WAL_SUFFIX, "-shm", "-journal")  # files that SQLite creates beside a database
 LOCK_RETRY_S = 0.02
-UNLOCKED = -1  # in place of a descriptor
+UNLOCKED = -1  # value of `lock_fd` while the folder is not locked
 
 
 class StateFolder:
-    """Owns the lock of a folder, and moves its files while it holds that lock.
+    """Owns the lock of a folder, and moves its files while it has that lock.
 
     Args:
         path: the folder; `lock` creates it if it is missing.
@@ -43,18 +43,18 @@
 
     @property
     def is_locked(self) -> bool:
-        """Whether this process holds the lock."""
+        """Whether this process has the lock."""
         return self.lock_fd != UNLOCKED
 
     def lock(self, wait_s: float) -> None:
-        """Take the lock, which the system releases when this process ends, however it ends.
+        """Take the lock, which the system releases when this process ends, even if it is killed.
 
         Args:
-            wait_s: how long to wait for another process of an upgrade to release it.
+            wait_s: how many seconds to wait for the peer process of an upgrade to release it.
 
         Raises:
-            FolderLockedError: another process still holds it.
-            OSError: the folder can't be made or written.
+            FolderLockedError: another process still has the lock.
+            OSError: the folder can't be created or written.
         """
         self.path.mkdir(mode=0o700, parents=True, exist_ok=True)
         self.lock_fd = os.open(self.path / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -70,13 +70,13 @@
                 return
 
     def unlock(self) -> None:
-        """Release the lock, if this process holds it."""
+        """Release the lock, if this process has it."""
         if self.lock_fd != UNLOCKED:
             os.close(self.lock_fd)
             self.lock_fd = UNLOCKED
 
     def sync(self) -> None:
-        """Make created, renamed and removed files durable."""
+        """Sync the folder, so that created, renamed and removed files survive a power loss."""
         folder = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(folder)
@@ -84,12 +84,12 @@
             os.close(folder)
 
     def remove(self, name: str) -> None:
-        """Remove a database, the file itself before its logs: a log alone is not taken for a database."""
+        """Remove a database file, and then its logs: logs without the file are not read as a database."""
         for suffix in ("", *LOG_SUFFIXES):
             (self.path / (name + suffix)).unlink(missing_ok=True)
 
     def retain_previous(self) -> None:
-        """Put the database aside as the previous one, so that a new one can be begun.
+        """Rename the database to the previous one, so that a new one can be created.
 
         A kill between any two steps is undone by `restore_previous` at the next start.
         """
@@ -100,10 +100,10 @@
         self.sync()
 
     def restore_previous(self, has_commit: Callable[[], bool]) -> None:
-        """Undo `retain_previous`, unless the new database has a commit: then the previous one is removed.
+        """Undo `retain_previous`; if the new database has a commit, remove the previous one instead.
 
         Args:
-            has_commit: tells whether `state.db` holds a commit.
+            has_commit: returns whether `state.db` has a commit.
         """
         previous = self.path / PREVIOUS_FILE
         previous_log = self.path / (PREVIOUS_FILE + WAL_SUFFIX)
@@ -118,20 +118,24 @@
             self.sync()
 
     def set_aside(self) -> None:
-        """Move the database where it is not taken for a good one; of those, the last few stay for staff.
+        """Rename the unusable database; the last `MAX_ASIDE` of these are kept for operators to inspect.
 
         Raises:
-            OSError: it could not be moved.
+            OSError: the database could not be renamed.
         """
-        places = [self.path / ASIDE_FILE.format(number) for number in range(1, MAX_ASIDE + 1)]
-        free = [place for place in places if not place.exists()]
-        place = free[0] if free else min(places, key=lambda place: place.stat().st_mtime)
-        self.database_path.rename(place)  # before its logs: a log alone is not taken for a database
-        os.utime(place)
+        aside_paths = [self.path / ASIDE_FILE.format(number) for number in range(1, MAX_ASIDE + 1)]
+        free_paths = [aside_path for aside_path in aside_paths if not aside_path.exists()]
+        aside_path = (
+            free_paths[0]
+            if free_paths
+            else min(aside_paths, key=lambda aside_path: aside_path.stat().st_mtime)
+        )
+        self.database_path.rename(aside_path)  # before its logs, which are not read as a database without it
+        os.utime(aside_path)
         for suffix in LOG_SUFFIXES:
-            log_place = place.with_name(place.name + suffix)
+            log_path = aside_path.with_name(aside_path.name + suffix)
             try:
-                (self.path / (DATABASE_FILE + suffix)).rename(log_place)
+                (self.path / (DATABASE_FILE + suffix)).rename(log_path)
             except FileNotFoundError:
-                log_place.unlink(missing_ok=True)
+                log_path.unlink(missing_ok=True)
         self.sync()
--- a/switchline/state/metrics.py
+++ b/switchline/state/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of the state on disk, over all stores of a process."""
+"""The metrics of the state on disk, summed over all stores of a process."""
 
 from __future__ import annotations
 
@@ -9,37 +9,39 @@
 
 
 class StateMetrics:
-    """Owns the counters, and measures for how long nothing was kept on disk."""
+    """Owns the counters, and measures for how long no state was stored on disk."""
 
     def __init__(self) -> None:
         self.failures = 0
-        self.restore_ms = 0  # by which the start took longer
-        self._past_commits = 0  # of stores that are over
-        self._outage_since_s: float | None = None  # by the monotonic clock
+        self.restore_ms = 0  # time that the restore added to the start
+        self._past_commits = 0  # of closed stores
+        self._outage_started_at_s: float | None = None  # by the monotonic clock; None outside an outage
         self._past_outages_s = 0.0
 
     def count_past_store(self, store: StateStore) -> None:
-        """Keep the counts of a store that is over."""
+        """Add the counts of a closed store."""
         self._past_commits += store.commits
 
     def begin_outage(self) -> None:
-        """Begin an outage, unless one goes on."""
-        if self._outage_since_s is None:
-            self._outage_since_s = time.monotonic()
+        """Begin an outage, unless one is under way."""
+        if self._outage_started_at_s is None:
+            self._outage_started_at_s = time.monotonic()
 
     def end_outage(self) -> float | None:
-        """End the outage; return how many seconds it took, None if there was none."""
-        if self._outage_since_s is None:
+        """End the outage; return its duration in seconds, None if there was none."""
+        if self._outage_started_at_s is None:
             return None
-        outage_s = time.monotonic() - self._outage_since_s
-        self._outage_since_s = None
+        outage_s = time.monotonic() - self._outage_started_at_s
+        self._outage_started_at_s = None
         self._past_outages_s += outage_s
         return outage_s
 
     def gauges(self, store: StateStore | None) -> dict[str, int]:
-        """Return the gauges by name, with the store in use."""
+        """Return the gauges by metric name; `store` is the store in use, if any."""
         age_s = time.monotonic() - store.committed_at_s if store is not None else 0.0
-        outage_s = time.monotonic() - self._outage_since_s if self._outage_since_s is not None else 0.0
+        outage_s = (
+            time.monotonic() - self._outage_started_at_s if self._outage_started_at_s is not None else 0.0
+        )
         return {
             "state.on": int(store is not None),
             "state.age_ms": round(age_s * 1000),
@@ -48,7 +50,7 @@
         }
 
     def counts(self, store: StateStore | None, restorer: StateRestorer) -> dict[str, int]:
-        """Return the counters by name, with the store in use."""
+        """Return the counters by metric name; `store` is the store in use, if any."""
         return {
             "state.commits": self._past_commits + (store.commits if store is not None else 0),
             "state.failures": self.failures,
--- a/switchline/state/persistence.py
+++ b/switchline/state/persistence.py
@@ -1,9 +1,9 @@
-"""Persistence of a gateway's state: from the restore at a start, through faults and upgrades, to the end.
+"""Persistence of a gateway's state: the restore at a start, faults of the disk, upgrades, and the end.
 
-When the disk fails, service goes on without state: `state.on` is 0, a crash then forgets what follows, and
-calls that change operators' overrides are refused with 503, as a loss of power would undo them. A second
-later a new database is begun beside the failed one, with all that the gateway knows; `state.on` is 1 once
-that succeeds.
+When the disk fails, the gateway keeps serving without storing its state: `state.on` is 0, and a crash loses
+later changes. Calls that change operators' overrides are refused with 503, because a power loss would undo
+them. One second later a new database with the gateway's current state is created beside the failed one;
+`state.on` is 1 once that succeeds.
 """
 
 from __future__ import annotations
@@ -39,26 +39,28 @@
 
 log = logging.getLogger(__name__)
 
-LOAD_TIMEOUT_S = 1.0  # for the files to be read, and again for the first commit: then a start goes on without
-OVERRIDE_COMMIT_TIMEOUT_S = 0.8  # the reply to an operator's call is due within 1 s
-RETRY_INTERVAL_S = 1.0  # after a fault, until a new database is tried
-LOCK_TIMEOUT_S = 1.0  # for the other process of an upgrade to release the folder
-LIST_VERSION_NAME = "seq"
-GATEWAY_NAME = ""  # there is one record of its kind
+LOAD_TIMEOUT_S = 1.0
+"""Limits reading the files, and also the first commit; after a timeout the gateway starts without state."""
+
+OVERRIDE_COMMIT_TIMEOUT_S = 0.8  # the reply to an operator's call must be sent within 1 s
+RETRY_INTERVAL_S = 1.0  # from a fault to the attempt to create a new database
+LOCK_TIMEOUT_S = 1.0  # limits the wait for the peer process of an upgrade to release the folder
+LIST_RECORD_NAME = "seq"
+GATEWAY_RECORD_NAME = ""  # empty, because there is only one record of this kind
 
 
 class StatePersistence:
     """Owns the store from the start to the end of the process.
 
-    At any time there is a store in use, or one that is being opened after a fault, or a timer until that, or
-    none of these, as another process has the folder.
+    At any time there is one of these: a store in use; a store that is being opened after a fault; a timer for
+    opening one; or none, because another process has the folder.
 
     Args:
-        folder: of the state; belongs to one gateway.
-        name: of the gateway.
-        driver: owner of the policy, whose records are kept.
-        discovery: whose endpoint list is kept.
-        overrides: operator overrides by the kind of their records.
+        folder: the folder of the state, which belongs to one gateway.
+        name: the gateway's name.
+        driver: owns the policy, whose records are stored.
+        discovery: the client whose endpoint list is stored.
+        overrides: the operator overrides, by the kind of their records.
     """
 
     def __init__(
@@ -79,35 +81,36 @@
         self.restorer = StateRestorer(driver, discovery, overrides, self.saved_list)
         self.loop = asyncio.get_running_loop()
         self.store: StateStore | None = None
-        self._saved: SavedState | None = None  # what was read, until it is restored
-        self._opening: StateStore | None = None  # a new database, after a fault
+        self._saved: SavedState | None = None  # the state read from disk, until it is restored
+        self._opening_store: StateStore | None = None  # for a new database after a fault
         self._retry_timer: asyncio.TimerHandle | None = None
-        self._first_commit_decided = asyncio.Event()  # it has come, or never will
+        self._first_commit_decided = asyncio.Event()  # set by the first commit or by a failure
         self._locked_by_other = False
-        self._had_folder = False  # a second gateway of a folder never has it, and never retries
+        # Remains false for a second gateway of a folder, which therefore does not retry.
+        self._ever_locked_folder = False
         self._metrics = StateMetrics()
         driver.persist = self.save_record
         discovery.persist = self.save_list
 
     @property
     def restored(self) -> int:
-        """How many records were restored at the start."""
+        """The number of records that were restored at the start."""
         return self.restorer.restored
 
     def downtime_s(self) -> float:
-        """Return how long this gateway was down, by its own clock; NaN if no earlier process is known."""
+        """Return the downtime before this start in seconds, by this machine's clock; NaN if unknown."""
         return downtime_s(self._saved)
 
     def saved_hosts(self) -> list[Host] | None:
-        """Return the saved endpoint list; None if it is not complete."""
-        return self.saved_list.complete()
+        """Return the hosts of the saved endpoint list; None if it is empty or not complete."""
+        return self.saved_list.hosts_if_complete()
 
     async def load(self) -> None:
-        """Read what an earlier process left; restore the endpoint list, overrides and zone decisions.
+        """Read the state of an earlier process; restore the endpoint list, overrides and zone decisions.
 
-        Takes `LOAD_TIMEOUT_S` at most; after a fault the start goes on without state.
+        Returns within `LOAD_TIMEOUT_S`. After a fault the gateway starts without state.
         """
-        started_s = time.monotonic()
+        started_at_s = time.monotonic()
         self._locked_by_other = False
         store = self._open_store(OpenOptions())
         self.store = store
@@ -115,38 +118,38 @@
             async with asyncio.timeout(LOAD_TIMEOUT_S):
                 self._saved = await asyncio.shield(store.loaded)
         except TimeoutError:
-            store.abandon(SlowDiskError("it takes too long to read"))
+            store.abandon(SlowDiskError("reading it takes too long"))
         except asyncio.CancelledError:
             if self.store is not None:
-                raise  # this task was cancelled, and not the store's future
+                raise  # this task was cancelled, not the store's future
         if self._saved is not None:
             self.restorer.restore_endpoint_list(self._saved)
             self.restorer.restore_overrides(self._saved)
             decisions = self.restorer.zone_decisions(self._saved)
             if decisions is not None:
                 self.zone_decisions = decisions
-        self._metrics.restore_ms += round((time.monotonic() - started_s) * 1000)
+        self._metrics.restore_ms += round((time.monotonic() - started_at_s) * 1000)
 
     async def restore(self, took_over: bool, disk_is_current: bool = True) -> None:
-        """Restore the policy's state and commit all state anew, before clients are accepted.
+        """Restore the policy's state and commit the whole state again, before clients are accepted.
 
-        Takes `LOAD_TIMEOUT_S` at most, and as long again if the folder was locked at `load`.
+        Returns within `LOAD_TIMEOUT_S`, or twice that if the folder was locked during `load`.
 
         Args:
-            took_over: an older process sent its state, which is newer than the disk's, and has the folder
-                yet.
-            disk_is_current: false if the other gateways tell that the disk holds an older copy.
+            took_over: whether an older process sent its state, which is newer than that on disk. That process
+                still has the folder.
+            disk_is_current: false if the other gateways report that the state on disk is stale.
         """
-        started_s = time.monotonic()
+        started_at_s = time.monotonic()
         if self._locked_by_other and not took_over:
-            await self.load()  # the process that had the folder may have died before it sent its state
+            await self.load()  # the process that had locked the folder may have died before it sent its state
         if self._saved is not None and not took_over:
             self.restorer.restore_policy(self._saved, disk_is_current)
         self._saved = None
         if self.store is not None:
             self._begin(self.store)
             await self._wait_for_first_commit()
-        self._metrics.restore_ms += round((time.monotonic() - started_s) * 1000)
+        self._metrics.restore_ms += round((time.monotonic() - started_at_s) * 1000)
 
     async def _wait_for_first_commit(self) -> None:
         try:
@@ -161,14 +164,14 @@
         return StateStore(self.folder, self.name, now_ms, events, options)
 
     def _begin(self, store: StateStore) -> None:
-        """Use a store: all that this gateway knows replaces whatever its files hold."""
+        """Use a store: the whole state of this gateway replaces the records in its files."""
         self.store = store
-        self._had_folder = True
-        log.info("state is kept in %s", self.folder)
+        self._ever_locked_folder = True
+        log.info("state is stored in %s", self.folder)
         for name, host in self.saved_list.hosts.items():
             store.put(KIND_HOST, name, host)
         if self.discovery.version is not None:
-            store.put(KIND_LIST, LIST_VERSION_NAME, self.saved_list.version_record(self.discovery.version))
+            store.put(KIND_LIST, LIST_RECORD_NAME, self.saved_list.version_record(self.discovery.version))
         for kind, overrides in self.overrides.items():
             for name, change in overrides.changes():
                 store.put(kind, name, encode_override(change))
@@ -181,7 +184,7 @@
         self._first_commit_decided.set()
         outage_s = self._metrics.end_outage()
         if outage_s is not None:
-            log.warning("state is kept again, after %.1f s in which it was not", outage_s)
+            log.warning("state is stored on disk again, after an outage of %.1f s", outage_s)
         self.driver.give(api.RecordsPersisted(serial))
 
     def _on_failed(self, error: StateError) -> None:
@@ -191,71 +194,75 @@
         self._metrics.failures += not self._locked_by_other
         self._first_commit_decided.set()
         self.driver.give(api.PersistenceChanged(False))
-        if self._had_folder or not self._locked_by_other:
+        if self._ever_locked_folder or not self._locked_by_other:
             self._retry_timer = self.loop.call_later(RETRY_INTERVAL_S, self._retry)
 
     def _retry(self) -> None:
-        """Open a new database; it is used once the folder lets it be made."""
+        """Open a new database, and use it once it is created."""
         self._retry_timer = None
         store = self._open_store(OpenOptions(fresh=True))
-        self._opening = store
+        self._opening_store = store
 
         def on_loaded(loaded: asyncio.Future[SavedState]) -> None:
-            self._opening = None
-            if not loaded.cancelled() and not store.over:
-                log.info("state on disk is begun anew")
+            self._opening_store = None
+            if not loaded.cancelled() and not store.closed:
+                log.info("a new database of the state on disk is created")
                 self._begin(store)
 
         store.loaded.add_done_callback(on_loaded)
 
     def _retire_store(self) -> None:
-        if self._opening is not None:
-            self._opening.close()
-            self._opening = None
+        if self._opening_store is not None:
+            self._opening_store.close()
+            self._opening_store = None
         if self.store is not None:
             self._metrics.count_past_store(self.store)
             self.store = None
 
     def save_record(self, serial: int, record: list[Any]) -> None:
-        """Save a record of the policy; `RecordsPersisted` answers its serial number."""
+        """Save a record of the policy; `RecordsPersisted` notifies the policy of the commit of `serial`."""
         if self.store is None:
             return
         match record:
             case ["forget", kind, name]:
                 self.store.put(kind, name, None, serial)
             case ["gateway", *_]:
-                self.store.put(KIND_GATEWAY, GATEWAY_NAME, record, serial)
+                self.store.put(KIND_GATEWAY, GATEWAY_RECORD_NAME, record, serial)
             case [kind, name, *_]:
                 self.store.put(kind, str(name), record, serial)
 
     def save_list(self, raw: dict[str, Any]) -> None:
-        """Save an endpoint list, or a change of one, as discovery sent it; its version comes last."""
+        """Save a full or partial endpoint list as discovery sent it; its version is saved after its hosts."""
         for change in self.saved_list.update(raw):
             if self.store is not None:
                 self.store.put(KIND_HOST, change.name, change.host)
         if self.store is not None:
             version_record = self.saved_list.version_record(int(raw["seq"]))
-            self.store.put(KIND_LIST, LIST_VERSION_NAME, version_record)
+            self.store.put(KIND_LIST, LIST_RECORD_NAME, version_record)
 
     def save_zone_decision(self, name: str, decision: ZoneDecisionRow) -> None:
-        """Save a decision of the fleet on a zone."""
+        """Save a decision of the fleet on the zone `name`."""
         if name in self.zone_decisions or len(self.zone_decisions) < MAX_ZONE_DECISIONS:
             self.zone_decisions[name] = decision
             if self.store is not None:
                 self.store.put(KIND_ZONE_DECISION, name, decision)
 
     def save_override(self, kind: str, name: str, active: bool, at_ms: float) -> int:
-        """Save an operator's call; return the store's serial number of it."""
+        """Save an override that an operator set at `at_ms` (Unix milliseconds).
+
+        Returns:
+            The store's serial number of the record; `NOT_STORED` without a store.
+        """
         if self.store is None:
             return NOT_STORED
         return self.store.put(kind, name, encode_override(OverrideChange(active, at_ms)))
 
     async def commit_override(self, kind: str, name: str, active: bool) -> bool:
-        """Save an operator's call, and wait for its commit.
+        """Save an override that an operator sets, and wait for its commit.
 
         Returns:
-            Whether the call may be carried out: it is on disk, or another process has the folder. If it may
-            not, the disk has the override as it was, or will with the next commit.
+            Whether the call may be carried out: it is on disk, or another process has the folder. If false,
+            the earlier override is on disk, or will be with the next commit.
         """
         store = self.store
         if store is None:
@@ -269,11 +276,11 @@
             return False
 
     def revert_override(self, kind: str, name: str) -> None:
-        """Save an override as it is in force, after a call that was not carried out."""
+        """Save the override that is in force, after a call that was not carried out."""
         self.save_override(kind, name, name in self.overrides[kind].active, now_ms())
 
     def release_folder(self) -> None:
-        """Release the folder: another process serves from now on, and is to have it."""
+        """Release the folder for the peer process of an upgrade, which serves from now on."""
         if self._retry_timer is not None:
             self._retry_timer.cancel()
             self._retry_timer = None
@@ -283,16 +290,16 @@
         self.driver.give(api.PersistenceChanged(False))
 
     def acquire_folder(self) -> None:
-        """Take the folder: the other process releases it, or is gone."""
-        if self.store is None and self._retry_timer is None and self._opening is None:
+        """Lock and use the folder, after the peer process of an upgrade releases it or has ended."""
+        if self.store is None and self._retry_timer is None and self._opening_store is None:
             self._begin(self._open_store(OpenOptions(lock_wait_s=LOCK_TIMEOUT_S)))
 
     def close(self) -> None:
-        """Commit what waits, with all that is left of quotas, and release the folder."""
+        """Commit the pending records, with the remaining units of all quotas, and release the folder."""
         if self._retry_timer is not None:
             self._retry_timer.cancel()
-        if self._opening is not None:
-            self._opening.close()
+        if self._opening_store is not None:
+            self._opening_store.close()
         if self.store is not None:
             store = self.store
             self.driver.give(api.PersistenceChanged(False, final=True))
--- a/switchline/state/records.py
+++ b/switchline/state/records.py
@@ -1,10 +1,10 @@
-"""The records of the state on disk, between its modules."""
+"""The types of records that the modules of the state on disk exchange."""
 
 from __future__ import annotations
 
 from typing import Any, NamedTuple
 
-MAX_RECORDS = 16_384  # of all kinds
+MAX_RECORDS = 16_384  # of all kinds together
 MAX_BODY_CHARS = 16 * 1024
 MAX_NAME_BYTES = 256
 
@@ -20,8 +20,8 @@
     """A record to be written.
 
     Attributes:
-        at_ms: when it was saved, by the gateway's clock.
-        body: JSON; None deletes the record.
+        at_ms: the time at which it was saved, in Unix milliseconds by the gateway's clock.
+        body: its value as JSON; None deletes the record.
     """
 
     at_ms: float
@@ -29,13 +29,13 @@
 
 
 class StoredRecord(NamedTuple):
-    """A record read from a file whose checksum was right.
+    """A record read from a file, with a correct checksum.
 
     Attributes:
-        kind: what it is of.
-        name: of that kind.
-        at_ms: when it was saved, by the clock of the gateway that saved it.
-        value: decoded from JSON.
+        kind: the kind of the record, such as "customer" or "host".
+        name: identifies the record among those of its kind.
+        at_ms: the time at which it was saved, in Unix milliseconds by the clock of the gateway that saved it.
+        value: the value, decoded from JSON.
     """
 
     kind: str
@@ -45,18 +45,18 @@
 
 
 class SavedState(NamedTuple):
-    """What a file holds of earlier processes.
+    """The state of earlier processes, as read from a file. Times are in Unix milliseconds.
 
     Attributes:
-        records: those that are sound.
-        last_alive_ms: time of the last commit.
-        restarts_ms: times of the last starts, with this one; empty if there was no file that could be used.
-        dropped: records left out, as their checksum was wrong or they were malformed.
+        records: the valid records.
+        last_alive_ms: the time of the last commit.
+        start_times_ms: the times of the last starts, including this one; empty without a usable file.
+        dropped: the number of records dropped for a wrong checksum or a malformed value.
     """
 
     records: list[StoredRecord]
     last_alive_ms: float
-    restarts_ms: tuple[float, ...]
+    start_times_ms: tuple[float, ...]
     dropped: int
 
     @classmethod
@@ -65,12 +65,12 @@
         return cls([], 0.0, (), 0)
 
     def of_kind(self, kind: str) -> list[StoredRecord]:
-        """Return the records of a kind, in the file's order."""
+        """Return the records of a kind, in the order of the file."""
         return [record for record in self.records if record.kind == kind]
 
 
 def is_storable(name: str, body: str | None) -> bool:
-    """Return whether a record is short enough, and its name is text that can be encoded."""
+    """Return whether a record's name and body are short enough, and the name can be encoded as UTF-8."""
     try:
         return len(name.encode()) <= MAX_NAME_BYTES and len(body or "") <= MAX_BODY_CHARS
     except UnicodeEncodeError:
--- a/switchline/state/restore.py
+++ b/switchline/state/restore.py
@@ -1,6 +1,6 @@
-"""The restore at a start: gives what an earlier process left on disk to its owners.
+"""The restore at a start: passes the records that an earlier process stored on disk to their owners.
 
-A record that its owner can't use is dropped and counted; the others are restored all the same.
+A record that its owner can't use is dropped and counted; the other records are still restored.
 """
 
 from __future__ import annotations
@@ -24,21 +24,22 @@
 KIND_LIST = "list"
 KIND_HOST = "host"
 KIND_GATEWAY = "gateway"
-# Customers first: where one is missing, the age of the gateway would promise it too much.
+# Customers come first: for a missing customer, the age in the gateway's record would grant too many units.
 POLICY_KINDS = ("customer", "backend", KIND_GATEWAY)
 
 KIND_ZONE_DECISION = "zone-act"
 MAX_ZONE_DECISIONS = 256
 ZONE_DECISION_FIELDS = 6
 ZONE_DECISION_TIME_FIELD = 4  # Unix milliseconds
-ZONE_DECISION_LIFETIME_MS = 86_400_000.0  # as for the fact that gossip carries
-MAX_DOWNTIME_FOR_ZONES_S = 600.0  # after which the fleet's decisions may be long over
+ZONE_DECISION_LIFETIME_MS = 86_400_000.0  # equal to the lifetime of the fact in gossip
+MAX_DOWNTIME_FOR_ZONES_S = 600.0  # after a longer downtime the fleet's decisions may be out of date
 
-ZoneDecisionRow = list[Any]  # the fields of a fact, as `switchline.zones` encodes them
+ZoneDecisionRow = list[Any]
+"""The fields of a fact on a zone, as `switchline.zones` encodes them."""
 
 
 def is_valid_zone_decision(value: Any) -> bool:
-    """Return whether a record is one of a zone decision that has not expired."""
+    """Return whether a record's value is a zone decision that has not expired."""
     if not isinstance(value, list) or len(value) != ZONE_DECISION_FIELDS:
         return False
     try:
@@ -48,30 +49,34 @@
 
 
 def downtime_s(saved: SavedState | None) -> float:
-    """Return how long the gateway was down, by its own clock; NaN if no earlier process is known."""
-    if saved is None or not saved.restarts_ms:
+    """Return the seconds since the last commit, by this machine's clock; NaN without an earlier process."""
+    if saved is None or not saved.start_times_ms:
         return math.nan
     return max(0.0, now_ms() - saved.last_alive_ms) / 1000
 
 
 def encode_override(change: OverrideChange) -> dict[str, Any]:
-    """Return the record of an operator's call."""
+    """Return an operator override as a record's value."""
     return {"out": change.active, "at": change.at_ms}
 
 
 def decode_override(value: Any) -> OverrideChange:
-    """Return the operator's call of a record; raises KeyError, TypeError or ValueError for any other."""
+    """Return the operator override of a record's value.
+
+    Raises:
+        KeyError, TypeError, ValueError: the value is not an operator override.
+    """
     return OverrideChange(bool(value["out"]), float(value["at"]))
 
 
 class StateRestorer:
-    """Gives the parts of a saved state to their owners, and counts them.
+    """Passes the records of a saved state to their owners, and counts restored and dropped records.
 
     Args:
         driver: receives the policy's records and the endpoint list.
-        discovery: goes on from the list's version.
-        overrides: operator overrides by the kind of their records.
-        saved_list: the list as it is saved.
+        discovery: asks for changes after the restored list's version.
+        overrides: the operator overrides, by the kind of their records.
+        saved_list: the saved copy of the endpoint list.
     """
 
     def __init__(
@@ -89,7 +94,7 @@
         self.dropped = 0
 
     def restore_endpoint_list(self, saved: SavedState) -> None:
-        """Restore the list if it is complete, and newer than the one that is known."""
+        """Restore the endpoint list if it is complete, and newer than the list in use."""
         versions = saved.of_kind(KIND_LIST)
         if not versions:
             return
@@ -97,20 +102,21 @@
         try:
             version = versions[-1].value
             if len(hosts) != version["hosts"]:
-                raise DiscoveryError("it is not whole")  # discovery would not send the missing host again
-            known = read_list({"seq": version["seq"], "whole": True, "hosts": hosts})
+                # Discovery sends only changes after this version, and not the missing hosts again.
+                raise DiscoveryError("some of its host records are missing")
+            stored_list = read_list({"seq": version["seq"], "whole": True, "hosts": hosts})
         except (DiscoveryError, KeyError, TypeError) as error:
             self.dropped += 1
-            log.info("the list on disk is left out: %s", error)
+            log.info("the endpoint list on disk is not restored: %s", error)
             return
-        if self.discovery.version is None or known.version > self.discovery.version:
-            self.driver.apply_list(api.ListScope.SAVED, known.members)
-            self.discovery.version = known.version
+        if self.discovery.version is None or stored_list.version > self.discovery.version:
+            self.driver.apply_list(api.ListScope.SAVED, stored_list.members)
+            self.discovery.version = stored_list.version
             self.saved_list.replace(hosts)
             self.restored += len(hosts)
 
     def restore_overrides(self, saved: SavedState) -> None:
-        """Merge operator overrides: the file in `$TMPDIR` may be gone."""
+        """Merge the operator overrides on disk into those in use, as their file in `$TMPDIR` may be gone."""
         for kind, overrides in self.overrides.items():
             changes = self._override_changes(saved, kind)
             if not changes:
@@ -119,7 +125,8 @@
             try:
                 overrides.merge(changes)
             except OSError as error:
-                log.warning("operator overrides can't be written: error=%s", error)  # they hold all the same
+                # They are in force although their file can't be written.
+                log.warning("operator overrides can't be written to their file: error=%s", error)
 
     def _override_changes(self, saved: SavedState, kind: str) -> dict[str, OverrideChange]:
         changes: dict[str, OverrideChange] = {}
@@ -131,22 +138,22 @@
         return changes
 
     def zone_decisions(self, saved: SavedState) -> dict[str, ZoneDecisionRow] | None:
-        """Return the fleet's decisions on zones by name; None after a downtime that is long, or unknown."""
-        if not downtime_s(saved) <= MAX_DOWNTIME_FOR_ZONES_S:  # NaN is an unknown one
+        """Return the fleet's decisions by zone; None if the downtime is unknown or too long."""
+        if not downtime_s(saved) <= MAX_DOWNTIME_FOR_ZONES_S:  # NaN: the downtime is unknown
             return None
-        valid = [one for one in saved.of_kind(KIND_ZONE_DECISION) if is_valid_zone_decision(one.value)]
+        valid = [row for row in saved.of_kind(KIND_ZONE_DECISION) if is_valid_zone_decision(row.value)]
         return {record.name: record.value for record in valid[:MAX_ZONE_DECISIONS]}
 
     def restore_policy(self, saved: SavedState, disk_is_current: bool) -> None:
         """Restore customers, backends and the gateway's own record.
 
         Args:
-            saved: what was read.
-            disk_is_current: false if the other gateways tell that the disk holds an older copy.
+            saved: the state read from disk.
+            disk_is_current: false if the other gateways report that the state on disk is stale.
         """
-        if not saved.restarts_ms:
+        if not saved.start_times_ms:
             return
-        self.driver.give(api.StateFileFound(saved.last_alive_ms, saved.restarts_ms, disk_is_current))
+        self.driver.give(api.StateFileFound(saved.last_alive_ms, saved.start_times_ms, disk_is_current))
         self.dropped += saved.dropped
         for kind in POLICY_KINDS:
             for record in saved.of_kind(kind):
@@ -156,4 +163,4 @@
                     self.restored += 1
                 else:
                     self.dropped += 1
-        log.info("%d rows of state restored, %d dropped", self.restored, self.dropped)
+        log.info("%d records of the state on disk restored, %d dropped", self.restored, self.dropped)
--- a/switchline/state/storage.py
+++ b/switchline/state/storage.py
@@ -1,4 +1,4 @@
-"""The files of the state as one: opens what an earlier process left, and begins a new database beside it."""
+"""The files of the state: opens the database of an earlier process, or creates a new one beside it."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
     """Owns the folder and the database in it. All methods may wait for the disk.
 
     Args:
-        folder: of the state.
-        gateway: its name.
-        clock: gives Unix milliseconds.
+        folder: the folder of the state.
+        gateway: the gateway's name.
+        clock: returns the time in Unix milliseconds.
     """
 
     def __init__(self, folder: Path, gateway: str, clock: Callable[[], float]) -> None:
@@ -29,21 +29,25 @@
         self.database = StateDatabase(self.folder.database_path, gateway, clock)
 
     def lock(self, wait_s: float) -> None:
-        """Take the folder's lock; raises FolderLockedError and OSError as `StateFolder.lock`."""
+        """Take the folder's lock within `wait_s` seconds.
+
+        Raises:
+            FolderLockedError, OSError: as `StateFolder.lock`.
+        """
         self.folder.lock(wait_s)
 
     def open(self, fresh: bool) -> SavedState:
-        """Read what an earlier process left, or begin an empty database; no record is written yet.
+        """Read the database of an earlier process, or create an empty one; no record is written yet.
 
-        A database that can't be used is set aside.
+        An unusable database is set aside.
 
         Args:
-            fresh: this process's own database failed: begin a new one. The last commit of the old one stands
-                until the first commit of the new one.
+            fresh: create a new database because this process's own one failed. The last commit of the old one
+                stays valid until the first commit of the new one.
 
         Raises:
-            OSError: the files can't be moved.
-            sqlite3.Error: no database can be begun.
+            OSError: the files can't be renamed.
+            sqlite3.Error: no database can be created.
         """
         saved = SavedState.empty()
         self.folder.restore_previous(self.database.has_commit)
@@ -52,7 +56,7 @@
         if self.folder.database_path.exists():
             saved = self._read_or_set_aside()
         if self.database.connection is None:
-            self.folder.remove(DATABASE_FILE)  # logs of one that is gone
+            self.folder.remove(DATABASE_FILE)  # SQLite's logs of a database that is missing
             self.database.create()
             self.folder.sync()
         self.database.remember_file()
@@ -67,20 +71,28 @@
             return SavedState.empty()
 
     def set_aside(self) -> None:
-        """Close the database and move it aside; raises OSError if it can't be moved."""
+        """Close the database and set its file aside.
+
+        Raises:
+            OSError: the file can't be renamed.
+        """
         self.database.close()
         self.folder.set_aside()
 
     def record_start(self) -> None:
-        """Count this process's start; the first commit writes it."""
+        """Add the time of this process's start; the first commit writes it."""
         self.database.record_start()
 
     def commit(self, records: Mapping[RecordKey, PendingRecord], replace_all: bool) -> None:
-        """Write records in one transaction; raises as `StateDatabase.commit`.
+        """Write records in one transaction.
 
         Args:
-            records: those without a body are deleted.
-            replace_all: the first commit of this process: nothing else stays, and the previous database goes.
+            records: the records by key; those without a body are deleted.
+            replace_all: true for the first commit of this process, which deletes all other records and the
+                previous database.
+
+        Raises:
+            UnsoundFileError, sqlite3.Error, OSError: as `StateDatabase.commit`.
         """
         self.database.commit(records, replace_all)
         if replace_all:
--- a/switchline/state/store.py
+++ b/switchline/state/store.py
@@ -1,6 +1,6 @@
-"""The event loop's side of the state on disk: takes records, and reports what was read, committed, or failed.
+"""The part of the state on disk that runs in the event loop: queues records and reports commits and failures.
 
-Nothing here waits for the disk. A store that fails is over: `persistence` begins another one.
+Nothing here waits for the disk. A store that fails is closed, and `persistence` opens another one.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 
 log = logging.getLogger(__name__)
 
-COMMIT_TIMEOUT_S = 1.5  # a slower disk is of no use; the policy reckons with twice as long
+COMMIT_TIMEOUT_S = 1.5  # the policy assumes at most twice as long
 WATCH_INTERVAL_S = 0.1
 DEFAULT_OPTIONS = OpenOptions()
-NOT_STORED = 0  # in place of a serial number
+NOT_STORED = 0  # returned in place of a serial number
 
 
 @dataclass(frozen=True, slots=True)
 class StoreEvents:
-    """What the store calls, in the event loop.
+    """Callbacks of the store, called in the event loop.
 
     Attributes:
-        committed: all records of the policy up to this one of its serial numbers are on disk.
-        failed: the store is over.
+        committed: called with a serial number of the policy: all its records up to that number are on disk.
+        failed: called with the error that closed the store.
     """
 
     committed: Callable[[int], None]
@@ -41,13 +41,13 @@
 
 
 class StateStore:
-    """Owns one writer thread and what is known of its commits.
+    """Owns one writer thread, and the waiters and serial numbers for its commits.
 
     Args:
-        folder: of the state.
-        gateway: its name.
-        clock: gives Unix milliseconds.
-        events: what is called on the way.
+        folder: the folder of the state.
+        gateway: the gateway's name.
+        clock: returns the time in Unix milliseconds.
+        events: the callbacks for commits and for a failure.
         options: how the folder is opened.
     """
 
@@ -63,18 +63,18 @@
         self.clock = clock
         self.events = events
         self.loaded: asyncio.Future[SavedState] = self.loop.create_future()  # cancelled if the store fails
-        self.over = False  # closed or failed: no event is called any more
+        self.closed = False  # by `close` or after a failure; no callback is called any more
         self.committed_at_s = time.monotonic()
         self.commits = 0
-        self._policy_serials: dict[int, int] = {}  # the policy's serial number of a record, by the store's
-        self._waiters: dict[int, asyncio.Future[bool]] = {}  # for a record's commit, by the store's serial
+        self._policy_serials: dict[int, int] = {}  # the policy's serial numbers by the store's
+        self._waiters: dict[int, asyncio.Future[bool]] = {}  # for commits, by the store's serial numbers
         self._pending = PendingRecords()
         self._watch_timer = self.loop.call_later(HEARTBEAT_S, self._watch)
         storage = StateStorage(folder, gateway, clock)
         self.writer = WriterThread(storage, self._pending, options, self._writer_events())
         try:
             self.writer.start()
-        except RuntimeError as error:  # the system gives no thread
+        except RuntimeError as error:  # the system can't start a thread
             self.loop.call_soon(self.abandon, StateError(str(error)))
 
     def _writer_events(self) -> WriterEvents:
@@ -88,64 +88,67 @@
         try:
             self.loop.call_soon_threadsafe(function, argument)
         except RuntimeError:
-            log.debug("the writer of the state outlived the event loop")
+            log.debug("the writer of the state reported an event after the event loop was closed")
 
     def put(self, kind: str, name: str, value: Any, policy_serial: int = NOT_STORED) -> int:
-        """Have a record written with the next commit.
+        """Queue a record for the next commit.
 
         Args:
-            kind: of the record.
-            name: of that kind; a later record of the same kind and name replaces it.
-            value: encoded as JSON; None deletes the record.
-            policy_serial: the policy's serial number of it, for `StoreEvents.committed`.
+            kind: the kind of the record.
+            name: identifies the record in its kind; a later record of the same kind and name replaces it.
+            value: a value that JSON can encode; None deletes the record.
+            policy_serial: the policy's serial number of the record, for `StoreEvents.committed`.
 
         Returns:
-            The store's serial number, for `wait_committed`; `NOT_STORED` if the store is over.
+            The store's serial number, for `wait_committed`; `NOT_STORED` if the store is closed.
         """
-        if self.over:
+        if self.closed:
             return NOT_STORED
         body = None if value is None else json.dumps(value, separators=(",", ":"), allow_nan=False)
         record = None
         if is_storable(name, body):
             record = PendingRecord(self.clock(), body)
         else:
-            log.warning("a row of the state can't be kept: %.80r", name)
+            log.warning(
+                "a record of the state can't be stored, its name or value is invalid: %.80r",
+                name,
+            )
         serial = self._pending.put(RecordKey(kind, name), record)
         if policy_serial:
             self._policy_serials[serial] = policy_serial
         if len(self._pending) > MAX_RECORDS:
-            self.abandon(BacklogError("too much waits for it"))
+            self.abandon(BacklogError("too many records wait for a commit"))
         return serial
 
     def begin(self) -> None:
-        """Start to commit: the records put so far replace whatever the file holds."""
+        """Start to commit: the first commit replaces all records in the file by those put so far."""
         self._pending.start()
 
     async def wait_committed(self, serial: int) -> bool:
-        """Wait for a record's commit; return whether it is on disk."""
-        if self.over:
+        """Wait for the commit of the record with this serial number; return whether it is on disk."""
+        if self.closed:
             return False
         return await self._waiters.setdefault(serial, self.loop.create_future())
 
     def abandon(self, error: StateError) -> None:
-        """Give up: from now on more may be admitted than the files know of."""
-        if self.over:
+        """Close the store after an error, without another commit: later spending is not recorded on disk."""
+        if self.closed:
             return
         self._end(abandon=True)
         log.warning("the state on disk is off: %s", error)
         self.events.failed(error)
 
     def close(self) -> None:
-        """Have the writer commit what waits and release the files; returns at once."""
-        if not self.over:
+        """Tell the writer to commit the pending records and release the files, without waiting for it."""
+        if not self.closed:
             self._end(abandon=False)
 
     def join(self) -> None:
-        """Wait for the writer's end, as long as a commit may take; the event loop stands still meanwhile."""
+        """Wait up to `COMMIT_TIMEOUT_S` for the end of the writer; this blocks the event loop."""
         self.writer.join(COMMIT_TIMEOUT_S)
 
     def _end(self, abandon: bool) -> None:
-        self.over = True
+        self.closed = True
         self._watch_timer.cancel()
         self._pending.close(abandon)
         for waiter in self._waiters.values():
@@ -156,8 +159,8 @@
             self.loaded.cancel()
 
     def _watch(self) -> None:
-        if time.monotonic() - self._pending.oldest_s() > COMMIT_TIMEOUT_S:
-            self.abandon(SlowDiskError("the disk lags"))
+        if time.monotonic() - self._pending.oldest_at_s() > COMMIT_TIMEOUT_S:
+            self.abandon(SlowDiskError("a commit takes too long"))
             return
         self._watch_timer = self.loop.call_later(WATCH_INTERVAL_S, self._watch)
 
@@ -166,19 +169,19 @@
             self.loaded.set_result(saved)
 
     def _on_committed(self, serial: int) -> None:
-        if self.over:
+        if self.closed:
             return
         self.commits += 1
         self.committed_at_s = time.monotonic()
-        own_serials = [own for own in self._policy_serials if own <= serial]
-        policy_serials = [self._policy_serials.pop(own) for own in own_serials]
-        for waited in [waited for waited in self._waiters if waited <= serial]:
-            resolve(self._waiters.pop(waited), True)
+        store_serials = [store_serial for store_serial in self._policy_serials if store_serial <= serial]
+        policy_serials = [self._policy_serials.pop(store_serial) for store_serial in store_serials]
+        for waited_serial in [waited_serial for waited_serial in self._waiters if waited_serial <= serial]:
+            resolve(self._waiters.pop(waited_serial), True)
         if policy_serials:
             self.events.committed(max(policy_serials))
 
 
 def resolve(waiter: asyncio.Future[bool], committed: bool) -> None:
-    """Give a waiter its answer, unless it has stopped waiting."""
+    """Set the result of a waiter, unless it is done or cancelled."""
     if not waiter.done():
         waiter.set_result(committed)
--- a/switchline/state/writer.py
+++ b/switchline/state/writer.py
@@ -1,7 +1,8 @@
-"""The writer of the state: the thread that alone touches the disk, and the records that wait for it.
+"""The writer of the state: the only thread that accesses the disk, and the queue of records for it.
 
-A commit follows the one before after 20 ms, so that it takes what was saved meanwhile, and comes at least
-every 0.5 s even if nothing changed: its time tells the next process when this one was last alive.
+The writer waits 20 ms after each commit, so that the next one includes all records saved in that time. It
+commits at least every 0.5 s even without changes, because the next process takes the time of the last commit
+as the time at which this process was last alive.
 """
 
 from __future__ import annotations
@@ -20,8 +21,8 @@
 
 log = logging.getLogger(__name__)
 
-COMMIT_PAUSE_S = 0.02  # between commits
-HEARTBEAT_S = 0.5  # the longest time between commits
+COMMIT_PAUSE_S = 0.02  # from the end of a commit to the next one
+HEARTBEAT_S = 0.5  # the longest time without a commit
 
 
 @dataclass(slots=True)
@@ -29,8 +30,8 @@
     """Records for one commit.
 
     Attributes:
-        records: the last one of each key.
-        serial: of the last record saved before the commit.
+        records: the last record of each key.
+        serial: the serial number of the last record saved before the commit.
     """
 
     records: dict[RecordKey, PendingRecord] = field(default_factory=dict)
@@ -38,64 +39,67 @@
 
 
 class PendingRecords:
-    """Owns the records that wait for a commit; used by the event loop and by the writer's thread.
+    """Owns the queue of records for the next commit; used by the event loop and by the writer's thread.
 
-    Only the last record of each key waits, so its size is bounded by that of the state.
+    Only the last record of each key is queued, so its size is bounded by that of the state.
     """
 
     def __init__(self) -> None:
         self._changed = threading.Condition()
         self._batch = Batch()
-        self._started = False  # commits may begin
+        self._started = False  # whether commits are allowed
         self._closed = False
         self._abandoned = False
-        self._oldest_waiting_s = math.inf  # by the monotonic clock
-        self._oldest_in_commit_s = math.inf
+        self._oldest_waiting_at_s = math.inf  # monotonic time; infinity for none
+        self._oldest_in_commit_at_s = math.inf
 
     def __len__(self) -> int:
         return len(self._batch.records)
 
     def put(self, key: RecordKey, record: PendingRecord | None) -> int:
-        """Add a record, None for one that can't be stored; return its serial number."""
+        """Queue a record and return its serial number; None, for an invalid record, is not queued."""
         with self._changed:
             self._batch.serial += 1
             if record is not None:
                 self._batch.records[key] = record
-                self._oldest_waiting_s = min(self._oldest_waiting_s, time.monotonic())
+                self._oldest_waiting_at_s = min(self._oldest_waiting_at_s, time.monotonic())
             if self._started:
                 self._changed.notify()
             return self._batch.serial
 
     def start(self) -> None:
-        """Let commits begin: all records of this process's start have been added."""
+        """Allow commits, after all records of this process's start were queued."""
         with self._changed:
             self._started = True
-            self._oldest_waiting_s = time.monotonic()
+            self._oldest_waiting_at_s = time.monotonic()
             self._changed.notify()
 
     def close(self, abandon: bool) -> None:
-        """Have the writer end: after a last commit, or at once if it is abandoned."""
+        """End the writer: at once if `abandon` is true, otherwise after a last commit."""
         with self._changed:
             self._closed = True
             self._abandoned = abandon
             self._changed.notify()
 
-    def oldest_s(self) -> float:
-        """Return since when (monotonic) the oldest record waits or is being written; infinity for none."""
+    def oldest_at_s(self) -> float:
+        """Return the monotonic time in seconds at which the oldest uncommitted record was queued.
+
+        Infinity if there is none, or commits are not allowed yet.
+        """
         with self._changed:
-            return min(self._oldest_waiting_s, self._oldest_in_commit_s) if self._started else math.inf
+            return min(self._oldest_waiting_at_s, self._oldest_in_commit_at_s) if self._started else math.inf
 
     def take_batch(self) -> Batch | None:
-        """Wait for records, at most `HEARTBEAT_S` once started; None if closed and nothing is left.
+        """Wait for records, at most `HEARTBEAT_S` once commits are allowed; None if closed and empty.
 
         Raises:
-            AbandonedError: the event loop has given up.
+            AbandonedError: the event loop has abandoned the writer.
         """
         while True:
             with self._changed:
                 self._changed.wait_for(lambda: self._closed or self._has_work(), HEARTBEAT_S)
                 if self._abandoned:
-                    raise AbandonedError("abandoned")
+                    raise AbandonedError("the event loop has abandoned the writer")
                 if self._closed and not self._has_work():
                     return None
                 if self._started:
@@ -107,24 +111,24 @@
     def _take(self) -> Batch:
         batch = self._batch
         self._batch = Batch(serial=batch.serial)
-        self._oldest_in_commit_s = self._oldest_waiting_s
-        self._oldest_waiting_s = math.inf
+        self._oldest_in_commit_at_s = self._oldest_waiting_at_s
+        self._oldest_waiting_at_s = math.inf
         return batch
 
     def on_committed(self) -> None:
-        """Note that the batch taken last is on disk."""
+        """Note that the last batch taken is on disk."""
         with self._changed:
-            self._oldest_in_commit_s = math.inf
+            self._oldest_in_commit_at_s = math.inf
 
 
 @dataclass(frozen=True, slots=True)
 class WriterEvents:
-    """What the writer calls, in its own thread.
+    """Callbacks of the writer, called in its own thread.
 
     Attributes:
-        loaded: what an earlier process left has been read.
-        committed: all records up to this serial number are on disk.
-        failed: the writer has ended.
+        loaded: called with the state of earlier processes, once it has been read.
+        committed: called with a serial number: all records up to it are on disk.
+        failed: called with the error that ended the writer.
     """
 
     loaded: Callable[[SavedState], None]
@@ -137,8 +141,8 @@
     """How a folder is opened.
 
     Attributes:
-        fresh: this process's own database failed: begin a new one beside it.
-        lock_wait_s: how long to wait for another process to release the folder.
+        fresh: create a new database beside that of this process, which failed.
+        lock_wait_s: how many seconds to wait for another process to release the folder.
     """
 
     fresh: bool = False
@@ -146,13 +150,13 @@
 
 
 class WriterThread:
-    """Owns the thread: opens the storage, commits batches until the end, and closes it.
+    """Owns the thread that opens the storage, commits batches until the end, and closes the storage.
 
     Args:
-        storage: used by the thread alone.
-        pending: where it takes batches from.
+        storage: used only by this thread.
+        pending: the queue that it takes batches from.
         options: how the folder is opened.
-        events: what is called on the way.
+        events: the callbacks for loading, commits and a failure.
     """
 
     def __init__(
@@ -165,11 +169,15 @@
         self.thread = threading.Thread(target=self._run, name="state", daemon=True)
 
     def start(self) -> None:
-        """Start the thread; raises RuntimeError if the system gives none."""
+        """Start the thread.
+
+        Raises:
+            RuntimeError: the system can't start a thread.
+        """
         self.thread.start()
 
     def join(self, timeout_s: float) -> None:
-        """Wait for the thread's end."""
+        """Wait for the end of the thread, at most `timeout_s` seconds."""
         if self.thread.ident is not None:
             self.thread.join(timeout_s)
 
@@ -185,7 +193,7 @@
             self.storage.close()
 
     def _commit_batches(self) -> None:
-        replace_all = True  # the first commit has all records of this process's start
+        replace_all = True  # the first commit contains the whole state
         while (batch := self.pending.take_batch()) is not None:
             self.storage.commit(batch.records, replace_all)
             replace_all = False
@@ -194,14 +202,15 @@
             time.sleep(COMMIT_PAUSE_S)
 
     def _fail(self, error: Exception) -> None:
-        """End after an error: a file that is not sound, or not this gateway's, is set aside.
+        """Report an error that ends the writer; set aside a file that is damaged or of another gateway.
 
-        One whose write failed is not written again, whatever a second attempt would say: its last commit
-        stands, and a next start reads it, unless this process has begun a new file by then.
+        A file whose write failed is not set aside, and not written again even if a second attempt would
+        succeed: its last commit stays valid, and the next start reads it unless this process has created a
+        new file by then.
         """
         failure = as_state_error(error)
-        file_stands = isinstance(failure, WriteError | AbandonedError | FolderLockedError)
-        if self.storage.folder.is_locked and not file_stands:
+        is_file_sound = isinstance(failure, WriteError | AbandonedError | FolderLockedError)
+        if self.storage.folder.is_locked and not is_file_sound:
             try:
                 self.storage.set_aside()
             except OSError as set_aside_error:
@@ -210,7 +219,7 @@
 
 
 def as_state_error(error: Exception) -> StateError:
-    """Return an error of the system or of SQLite as one of the project's, its text in one line."""
+    """Return an error of the system or of SQLite as a `StateError` with its text in one line."""
     if isinstance(error, StateError):
         return error
     text = " ".join(str(error).split())
--- a/tests/recordings/test_stored_data.py
+++ b/tests/recordings/test_stored_data.py
@@ -61,7 +61,7 @@
     assert [[one.kind, one.name, one.at_ms, one.value] for one in saved.records] == expected["rows"]
     assert len(saved.records) >= 13
     assert saved.last_alive_ms == expected["last_written_ms"]
-    assert list(saved.restarts_ms) == expected["restarts_ms"]
+    assert list(saved.start_times_ms) == expected["restarts_ms"]
     assert saved.dropped == expected["dropped"] == 0
 
 
--- a/tests/state/test_storage.py
+++ b/tests/state/test_storage.py
@@ -17,7 +17,7 @@
 from saved_state import MANY, NAME, read_saved, save, values_of
 
 from switchline.state import database as database_module
-from switchline.state.database import MAX_STARTS
+from switchline.state.database import MAX_STORED_STARTS
 from switchline.state.errors import FolderLockedError
 from switchline.state.folder import DATABASE_FILE, MAX_ASIDE
 from switchline.state.records import PendingRecord, RecordKey, SavedState
@@ -29,12 +29,12 @@
 def test_what_is_written_is_read_with_its_time_and_the_last_starts(tmp_path: Path) -> None:
     assert save(tmp_path, MANY, now=1.0) == SavedState([], 0.0, (), 0)
     found = save(tmp_path, {("host", "h"): {"x": 1}}, now=2.0)
-    assert values_of(found) == MANY and found.last_alive_ms == 1.0 and found.restarts_ms == (2.0,)
+    assert values_of(found) == MANY and found.last_alive_ms == 1.0 and found.start_times_ms == (2.0,)
     found = read_saved(tmp_path, now=3.0)
-    assert values_of(found) == {("host", "h"): {"x": 1}} and found.restarts_ms == (2.0, 3.0)
+    assert values_of(found) == {("host", "h"): {"x": 1}} and found.start_times_ms == (2.0, 3.0)
     for number in range(20):
         save(tmp_path, {}, now=4.0 + number)
-    assert len(read_saved(tmp_path).restarts_ms) == MAX_STARTS - 1
+    assert len(read_saved(tmp_path).start_times_ms) == MAX_STORED_STARTS - 1
 
 
 def test_a_second_process_is_locked_out_until_the_first_has_closed(tmp_path: Path) -> None:
--- a/tests/state/test_store.py
+++ b/tests/state/test_store.py
@@ -180,7 +180,7 @@
     async def scenario(observed: ObservedStore) -> None:
         observed.store.put("customer", "c", [1], 1)
         await until(lambda: observed.faults)
-        assert observed.faults == ["the disk lags"] and not observed.committed
+        assert observed.faults == ["a commit takes too long"] and not observed.committed
         go_on.set()
         await asyncio.to_thread(observed.store.writer.thread.join)
 
--- a/tests/testbed/test_testbed_plays.py
+++ b/tests/testbed/test_testbed_plays.py
@@ -69,7 +69,7 @@
     failed = (played.folder / "gateways" / "g0" / "failed-calls").read_text().split()[1::3]
     assert set(failed) <= set(errors)
     log = (played.folder / "gateways" / "g1" / "life-1.log").read_text()
-    assert "the state on disk is off" in log and "state is kept again" in log
+    assert "the state on disk is off" in log and "state is stored on disk again" in log
 
 
 def test_the_soak_draws_the_same_scenario_from_a_seed_and_each_can_be_played() -> None:
