--- a/switchline/upgrade/__init__.py
+++ b/switchline/upgrade/__init__.py
@@ -1,1 +1,1 @@
-"""The hand-over from an old process of a gateway to the new one that replaces it."""
+"""The hand-over from an old process of a gateway to the new process that replaces it."""
--- a/switchline/upgrade/connection.py
+++ b/switchline/upgrade/connection.py
@@ -16,12 +16,12 @@
 
 
 class HandoverConnection(asyncio.Protocol):
-    """Sends and receives messages; closes itself when the peer sends what is no message.
+    """Sends and receives messages; closes itself when the peer sends an invalid message.
 
     Args:
-        on_open: called once the connection stands.
+        on_open: called with this connection once it is established.
         on_message: called for each message; a ValueError that it raises closes the connection.
-        on_lost: called once the connection has ended, whichever side closed it.
+        on_lost: called with this connection once it has ended, whichever side closed it.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Handle the event of asyncio."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
         self.on_open(self)
 
     def data_received(self, data: bytes) -> None:
@@ -49,9 +49,9 @@
             for line in lines:
                 self.on_message(decode(line))
             if len(self.incomplete_line) > MAX_LINE_BYTES:
-                raise MessageError("an endless line")
+                raise MessageError("a line is too long")
         except (ValueError, RecursionError) as error:
-            log.warning("the peer process of the upgrade sent what is no message: %s", error)
+            log.warning("the peer process of the upgrade sent an invalid message: %s", error)
             self.close()
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -72,17 +72,18 @@
             self.transport.write(lines)
 
     def close(self) -> None:
-        """Close the connection after what was written."""
+        """Close the connection after the written data has been sent."""
         if self.transport is not None:
             self.transport.close()
 
 
 @contextmanager
 def short_socket_path(path: Path) -> Iterator[str]:
-    """Give a short name for a socket's path: its limit is 107 bytes, however long `$TMPDIR` is.
+    """Yield a short path for a socket: the system's limit is 107 bytes, and `$TMPDIR` may be longer.
 
     Raises:
-        OSError: the folder can't be opened; FileNotFoundError where there is none.
+        FileNotFoundError: the folder of the socket does not exist.
+        OSError: the folder can't be opened.
     """
     directory = os.open(path.parent, os.O_PATH | os.O_DIRECTORY)
     try:
--- a/switchline/upgrade/handover.py
+++ b/switchline/upgrade/handover.py
@@ -1,9 +1,9 @@
 """The hand-over of a gateway from an old process to a new one, which the platform started to replace it.
 
-The new process connects to the old one's Unix socket. The old one sends all its state, ending with
-`StateSent`; from then on both share buckets and ceilings by messages. Once the new one accepts clients it
-sends `Serving`: the old one finishes its open requests, reports how many descriptors it still uses, and ends.
-If the new process is lost before that, the old one goes on as if nothing had happened.
+The new process connects to the old one's Unix socket. The old process sends its whole state, ending with
+`StateSent`; from then on both replicate their spending from buckets and ceilings to each other. Once the new
+process accepts clients it sends `Serving`: the old process finishes its requests in flight, reports how many
+descriptors it still uses, and ends. If the new process is lost before that, the old one continues unchanged.
 """
 
 from __future__ import annotations
@@ -22,19 +22,20 @@
 
 log = logging.getLogger(__name__)
 
-STATE_TIMEOUT_S = 1.0  # for the old process to send its state; without it this one starts from disk or empty
+STATE_TIMEOUT_S = 1.0
+"""Limits the wait for the old process's state; after it this process starts from disk or without state."""
 
 
 @dataclass(frozen=True, slots=True)
 class HandoverEvents:
-    """What the hand-over calls for events of the peer process.
+    """Callbacks of the hand-over for events of the peer process.
 
     Attributes:
         peer_joined: a new process has connected; the policy then sends it all its state.
-        record_received: a record for the policy; raises ValueError for a malformed one.
+        record_received: called with a record for the policy; raises ValueError if it is malformed.
         peer_serving: the new process accepts clients.
         peer_left: the connection to the peer process has ended.
-        descriptors_reported: how many descriptors the old process has open.
+        descriptors_reported: called with the number of descriptors that the old process has open.
     """
 
     peer_joined: Callable[[], None]
@@ -45,18 +46,18 @@
 
 
 class UpgradeHandover:
-    """Owns the socket for the next process and the connection to the peer process, one at a time.
+    """Owns the socket for the next process, and the connection to the peer process (at most one).
 
     Args:
-        path: the socket, alike for all processes of one gateway.
-        events: the receiver of the peer's events.
+        path: the path of the socket, the same for all processes of one gateway.
+        events: the callbacks for events of the peer process.
     """
 
     def __init__(self, path: Path, events: HandoverEvents) -> None:
         self.path = path
         self.events = events
         self.peer: HandoverConnection | None = None
-        self.state_received = asyncio.Event()  # this process took over from an older one
+        self.state_received = asyncio.Event()  # set if this process took over from an older one
         self.listener: asyncio.Server | None = None
 
     def send(self, record: list[Any]) -> None:
@@ -64,11 +65,11 @@
         self._send(PolicyRecord(record))
 
     def notify_serving(self) -> None:
-        """Let the old process know that this one accepts clients."""
+        """Notify the old process that this one accepts clients."""
         self._send(Serving())
 
     def report_descriptors(self, count: int) -> None:
-        """Let the new process know how many descriptors this one still has open."""
+        """Notify the new process of the number of descriptors that this one still has open."""
         self._send(DescriptorsInUse(count))
 
     def _send(self, message: Message) -> None:
@@ -78,7 +79,7 @@
     async def take_over(self) -> None:
         """Receive the state of an older process of this gateway, if there is one.
 
-        Returns within `STATE_TIMEOUT_S`; `state_received` is set if all of it came.
+        Returns within `STATE_TIMEOUT_S`; `state_received` is set if the whole state was received.
         """
         try:
             async with asyncio.timeout(STATE_TIMEOUT_S):
@@ -87,44 +88,45 @@
             log.info("this process takes over from another")
         except FileNotFoundError:
             pass  # no process of this gateway has listened yet
-        except OSError as error:  # time-outs are among these
+        except OSError as error:  # TimeoutError is a subclass
             log.info("nothing is taken over: %s", " ".join(str(error).split()) or type(error).__name__)
             if self.peer is not None:
                 self.peer.close()
 
     async def _connect(self) -> None:
         with short_socket_path(self.path) as address:
-            connection = HandoverConnection(self._connected, self._on_message, self._on_lost)
+            connection = HandoverConnection(self._on_connected, self._on_message, self._on_lost)
             await asyncio.get_running_loop().create_unix_connection(lambda: connection, address)
 
     async def listen(self) -> None:
-        """Listen for the next process; a failure is logged, and the next process then starts from disk."""
+        """Listen for the next process; after a failure, which is logged, that process starts from disk."""
         try:
             await self._listen()
         except OSError as error:
-            log.warning("the next process will not find this one: %s", error)
+            log.warning("can't listen for the next process of an upgrade, it will start from disk: %s", error)
 
     async def _listen(self) -> None:
-        listening = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+        server_socket = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             with short_socket_path(self.path) as address:
                 self.path.unlink(missing_ok=True)
-                listening.bind(address)
+                server_socket.bind(address)
             self.listener = await asyncio.get_running_loop().create_unix_server(
-                lambda: HandoverConnection(self._accepted, self._on_message, self._on_lost), sock=listening
+                lambda: HandoverConnection(self._on_accepted, self._on_message, self._on_lost),
+                sock=server_socket,
             )
         except OSError:
-            close_socket(listening)
+            close_socket(server_socket)
             raise
 
-    def _connected(self, connection: HandoverConnection) -> None:
+    def _on_connected(self, connection: HandoverConnection) -> None:
         self.peer = connection
 
-    def _accepted(self, connection: HandoverConnection) -> None:
+    def _on_accepted(self, connection: HandoverConnection) -> None:
         if self.peer is not None:
             connection.close()
             return
-        log.info("another process asks to take over")
+        log.info("a new process has connected to take over")
         self.peer = connection
         self.events.peer_joined()
         connection.send(StateSent())
--- a/switchline/upgrade/messages.py
+++ b/switchline/upgrade/messages.py
@@ -1,7 +1,7 @@
-"""Messages between the two processes of an upgrade: one JSON array a line, both ways.
+"""Messages between the two processes of an upgrade: one JSON array in each line, in both directions.
 
-Three kinds are for the hand-over itself; all others are records of the policy and pass through as they are.
-The words on the wire are fixed: the two processes may be of different releases.
+Three kinds of messages are for the hand-over itself; all others are records of the policy and are passed on
+unchanged. The tags on the wire are fixed, because the two processes may be of different releases.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-MAX_LINE_BYTES = 64 * 1024  # the longest line describes one customer or backend
+MAX_LINE_BYTES = 64 * 1024  # the longest lines describe one customer or one backend
 
 STATE_SENT_TAG = "told"
 SERVING_TAG = "serving"
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateSent:
-    """The old process has sent all its state."""
+    """The old process has sent its whole state."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,14 +29,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DescriptorsInUse:
-    """How many descriptors the old process still has open."""
+    """The number of descriptors that the old process still has open."""
 
     count: int
 
 
 @dataclass(frozen=True, slots=True)
 class PolicyRecord:
-    """A record for the policy of the other process."""
+    """A record for the policy of the peer process."""
 
     fields: list[Any]
 
@@ -45,11 +45,11 @@
 
 
 class MessageError(ValueError):
-    """The peer process sent what is no message."""
+    """The peer process sent an invalid message."""
 
 
 def encode(message: Message) -> bytes:
-    """Return a message as a line."""
+    """Return a message as a line, with its line feed."""
     fields: list[Any]
     match message:
         case StateSent():
@@ -64,15 +64,15 @@
 
 
 def decode(line: bytes) -> Message:
-    """Return the message of a line without its end.
+    """Return the message of a line without its line feed.
 
     Raises:
-        ValueError: not JSON (`json.JSONDecodeError`), or no message (`MessageError`).
-        RecursionError: nested too deeply.
+        ValueError: the line is not JSON (`json.JSONDecodeError`), or not a message (`MessageError`).
+        RecursionError: the JSON is nested too deeply.
     """
     fields = json.loads(line)
     if not isinstance(fields, list) or not fields:
-        raise MessageError("not a list")
+        raise MessageError("expected a JSON array that is not empty")
     tag = fields[0]
     if tag == STATE_SENT_TAG:
         return StateSent()
