--- a/switchline/audit/chain.py
+++ b/switchline/audit/chain.py
@@ -1,8 +1,9 @@
-"""Records of an audit as a hash chain: each line has the hash of the one before it. Pure.
+"""The hash chain of an audit's records: the hash of each line covers the hash of the line before it. No I/O.
 
-A line is the record in JSON, a tab, and its hash (BLAKE2b) over the hash before and the JSON. A line that is
-changed, cut, swapped or dropped so shows at the next one. What follows the last line is not known here:
-gateways publish the numbers and hashes of their last records (`Head`).
+A line is the record in JSON, a tab, and a BLAKE2b hash over the previous line's hash and the JSON. A line
+that was changed, cut, swapped or dropped is therefore detected at the next line. Lines dropped at the end
+can't be detected from the chain alone, so gateways publish the numbers and hashes of their last records
+(`Head`).
 """
 
 from __future__ import annotations
@@ -15,12 +16,14 @@
 
 from switchline.fleet.messages import Count, HybridTimestamp, Incarnation
 
-FIRST_DIGEST = ""  # before the first record
+FIRST_DIGEST = ""  # the previous hash of the first record
 DIGEST_BYTES = 12
-MAX_LINE_CHARS = 8_192  # of a record with its hash
-MAX_TEXT_CHARS = 400  # of a cause, a name or a version
+MAX_LINE_CHARS = 8_192  # including the hash
+MAX_TEXT_CHARS = 400  # limits a cause, a name or a version
 MAX_COUNTS = 16
-GAP_KIND = "gap"  # kind of a record after others were lost; its counts say how many
+GAP_KIND = "gap"
+"""The kind of a record that stands for lost records; its counts have their number."""
+
 SEPARATOR = "\t"
 
 Text = Annotated[str, msgspec.Meta(max_length=MAX_TEXT_CHARS)]
@@ -34,25 +37,25 @@
     "subject": "of",
     "version_before": "before",
 }
-"""By field of a record: its key in the files, and in what operators are shown."""
+"""The keys of a record's fields in the files and in replies to operators."""
 
 
 class Record(msgspec.Struct, frozen=True, omit_defaults=True, rename=STORED_NAMES):
-    """One change of a version, or one act that follows from one.
+    """One change of a version, or one action that follows from such a change.
 
     Attributes:
-        number: Of the record within the audit, from 1.
-        name: Of the gateway.
-        incarnation: Of its process.
-        timestamp: Its place in the fleet's order, of a hybrid logical clock.
-        wall_ms: Milliseconds of wall time.
-        uptime_s: Seconds since the process began.
-        kind: What it is about, such as "list" or "zone".
-        subject: The zone, or the backend.
-        version: The version from now on.
-        version_before: The version until now.
-        cause: Why.
-        counts: Outcomes of requests under the version that ends here.
+        number: The number of the record in the audit, from 1.
+        name: The name of the gateway.
+        incarnation: The incarnation of its process.
+        timestamp: The time of a hybrid logical clock, which orders the records of all gateways.
+        wall_ms: The wall time in Unix milliseconds.
+        uptime_s: Seconds since the start of the process.
+        kind: The kind of the version or action, such as "list" or "zone".
+        subject: The zone or backend that the record is about.
+        version: The new version; empty for an action.
+        version_before: The previous version.
+        cause: The cause of the change, for operators.
+        counts: The outcomes of requests under the previous version, by name.
     """
 
     number: Count
@@ -70,14 +73,14 @@
 
 
 class Head(NamedTuple):
-    """The last record of a gateway: its number and hash."""
+    """The number and hash of the last record of a gateway."""
 
     number: int
     digest: str
 
 
 class Finding(NamedTuple):
-    """What is wrong with a chain, and at which line of which segment."""
+    """A fault of a chain, and the segment and line at which it was found."""
 
     segment: str
     line: int
@@ -85,27 +88,27 @@
 
 
 class DecodedLine(NamedTuple):
-    """A line of an audit: its record, the record's JSON, and the hash at its end."""
+    """A line of an audit: the record, its JSON, and the hash at the end of the line."""
 
     record: Record
     body: str
     digest: str
 
 
-def chain_digest(before: str, body: str) -> str:
+def chain_digest(previous_digest: str, body: str) -> str:
     """Return the hash of a record's JSON, given the hash of the record before it."""
-    return hashlib.blake2b(f"{before}\n{body}".encode(), digest_size=DIGEST_BYTES).hexdigest()
+    return hashlib.blake2b(f"{previous_digest}\n{body}".encode(), digest_size=DIGEST_BYTES).hexdigest()
 
 
-def encode_line(record: Record, before: str) -> tuple[str, str]:
-    """Return a record as a line, and its hash, given the hash of the record before it."""
+def encode_line(record: Record, previous_digest: str) -> tuple[str, str]:
+    """Return the line of a record and its hash, given the hash of the record before it."""
     body = msgspec.json.encode(record).decode()
-    digest = chain_digest(before, body)
+    digest = chain_digest(previous_digest, body)
     return f"{body}{SEPARATOR}{digest}\n", digest
 
 
 def decode_line(line: str) -> DecodedLine | None:
-    """Return what a line holds; None for what is no line of an audit."""
+    """Return the parts of a line; None if it is not a line of an audit."""
     body, separator, digest = line.rstrip("\n").rpartition(SEPARATOR)
     if not separator or len(line) > MAX_LINE_CHARS:
         return None
@@ -116,7 +119,7 @@
 
 
 class ChainVerifier:
-    """Checks lines in their order, and collects the records that are sound."""
+    """Checks lines in order, and collects the valid records."""
 
     def __init__(self) -> None:
         self.records: list[Record] = []
@@ -124,10 +127,10 @@
         self.last: Head | None = None
 
     def add(self, segment: str, number: int, line: str) -> None:
-        """Check the next line; `number` is its own within the segment, from 1."""
+        """Check the next line; `number` is its line number in the segment, from 1."""
         decoded = decode_line(line) if line.endswith("\n") else None
         if decoded is None:
-            self.findings.append(Finding(segment, number, "not a whole record"))
+            self.findings.append(Finding(segment, number, "not a complete record"))
             return
         problem = self._problem_of(decoded)
         if problem is None:
@@ -137,31 +140,31 @@
         self.last = Head(decoded.record.number, decoded.digest)
 
     def _problem_of(self, decoded: DecodedLine) -> str | None:
-        """Return what is wrong with a record after the last one; None for nothing."""
+        """Return what is wrong with the record that follows the last one; None if it is valid."""
         number = decoded.record.number
-        before = self.last.digest if self.last is not None else FIRST_DIGEST
-        is_checkable = self.last is not None or number <= 1  # the oldest records may have been removed
-        if is_checkable and decoded.digest != chain_digest(before, decoded.body):
-            return f"record {number}: not as it was written, or out of place"
+        previous_digest = self.last.digest if self.last is not None else FIRST_DIGEST
+        is_checkable = self.last is not None or number <= 1  # the oldest segments may have been removed
+        if is_checkable and decoded.digest != chain_digest(previous_digest, decoded.body):
+            return f"record {number}: not as it was written, or out of order"
         if self.last is not None and number != self.last.number + 1:
-            return f"record {number} after {self.last.number}"
+            return f"record {number} follows record {self.last.number}"
         return None
 
 
 def verify_chain(
     segments: Iterable[tuple[str, Iterable[str]]], head: Head | None = None
 ) -> tuple[list[Record], list[Finding], Head | None]:
-    """Check segments in their order.
+    """Check segments in order.
 
-    The first segment may begin anywhere, as the oldest are removed in time; its first record's hash can't be
-    checked then.
+    The chain may begin with any record number, because the oldest segments are removed in time; the hash of
+    the first record can't be checked then.
 
     Args:
-        segments: The name and the lines of each.
-        head: What the gateway published as its last record; if it is not there, it was dropped.
+        segments: The name and the lines of each segment.
+        head: The last record that the gateway published; a finding is added if it is missing.
 
     Returns:
-        The records that are sound, what is wrong, and the last record.
+        The valid records, the faults of the chain, and the last record.
     """
     verifier = ChainVerifier()
     is_head_seen = head is None
@@ -170,6 +173,6 @@
             verifier.add(name, number, line)
             is_head_seen = is_head_seen or verifier.last == head
     if not is_head_seen and head is not None:
-        problem = f"record {head.number}, as others were told of it, is not there"
+        problem = f"record {head.number}, which the gateway published, is missing"
         verifier.findings.append(Finding("", 0, problem))
     return verifier.records, verifier.findings, verifier.last
--- a/switchline/audit/ctl.py
+++ b/switchline/audit/ctl.py
@@ -1,11 +1,12 @@
-"""For staff: questions to the audits of a fleet.
+"""Commands for operators: queries over the audits of a fleet.
 
     python -m switchline.ctl audit COMMAND SOURCE...
 
-A SOURCE is an operator address (host:port: what the gateway has in memory) or the folder of an audit (all
-that is on disk). What could not be reached is named. Exit codes: 0 all sources were read and nothing is
-amiss, 1 some were not read, a gateway is behind (`who`), or a chain is broken, has a gap, or ends before a
-record that others were told of (`verify`), 2 none was read.
+A SOURCE is an operator address (host:port), which gives the records that the gateway has in memory, or the
+folder of an audit, which gives all records on disk. Sources that could not be read are listed. Exit codes:
+0 all sources were read without a problem; 1 some sources were not read, a gateway has a stale version
+(`who`), or a chain is broken, has a gap, or ends before a record that its gateway published (`verify`); 2 no
+source was read.
 """
 
 from __future__ import annotations
@@ -24,69 +25,70 @@
 
 from switchline.audit import queries
 from switchline.audit.chain import GAP_KIND, Head, Record
-from switchline.audit.sources import Readings, Source, audits_by_gateway, missing_end, read_all
+from switchline.audit.sources import Source, SourceResults, audits_by_gateway, missing_head_findings, read_all
 
 KINDS = ("list", "config", "program", "ban", "zone ban", "zone", "quota", "format", "stage", "ready")
-EXIT_FINE = 0
-EXIT_AMISS = 1
+EXIT_OK = 0
+EXIT_PROBLEM = 1
 EXIT_NONE_READ = 2
-MAX_LEGEND_GATEWAYS = 20  # in a plot
+MAX_LEGEND_GATEWAYS = 20  # a plot of more gateways has no legend
 
-Row = dict[str, Any]  # of a table, by column
+Row = dict[str, Any]
+"""A row of a table: the cells by column."""
 
 
 def format_wall(wall_ms: float) -> str:
-    """Return wall time in the local zone, to the millisecond."""
+    """Return a wall time, given in Unix milliseconds, as text in the local time zone."""
     return datetime.fromtimestamp(wall_ms / 1000).strftime("%Y-%m-%d %H:%M:%S.%f")[:-3]
 
 
 def parse_wall(text: str) -> float:
-    """Return wall time in milliseconds, from ISO 8601 or seconds since 1970.
+    """Return the Unix milliseconds of a wall time, given in ISO 8601 or in seconds since 1970.
 
     Raises:
-        click.BadParameter: it is neither.
+        click.BadParameter: the text is in neither form.
     """
     try:
         if text.replace(".", "", 1).isdigit():
             return float(text) * 1000
         return datetime.fromisoformat(text).timestamp() * 1000
     except ValueError as error:
-        raise click.BadParameter(f"{text!r}: no time") from error
+        raise click.BadParameter(f"{text!r}: not a time, expected ISO 8601 or seconds since 1970") from error
 
 
-def report(rows: list[Row], readings: Readings, as_json: bool, fine: bool = True) -> NoReturn:
-    """Show rows as a table or as JSON, name what was not read, and exit.
+def report(rows: list[Row], results: SourceResults, as_json: bool, is_ok: bool = True) -> NoReturn:
+    """Print rows as a table or as JSON, list the sources that were not read, and exit.
 
     Args:
-        rows: all with the same columns.
-        readings: what was read, and why the rest was not.
+        rows: the rows, all with the same columns.
+        results: the audits that were read, and the errors of the other sources.
         as_json: print JSON.
-        fine: what was asked found nothing amiss.
+        is_ok: whether the query found no problem.
     """
     if as_json:
-        click.echo(json.dumps({"rows": rows, "others": readings.failures}, indent=1))
+        click.echo(json.dumps({"rows": rows, "others": results.failures}, indent=1))
     else:
-        print_table(rows, readings.failures)
-    if not readings.found:
+        print_table(rows, results.failures)
+    if not results.audits_by_source:
         sys.exit(EXIT_NONE_READ)
-    sys.exit(EXIT_FINE if fine and not readings.failures else EXIT_AMISS)
+    sys.exit(EXIT_OK if is_ok and not results.failures else EXIT_PROBLEM)
 
 
 def print_table(rows: list[Row], failures: Mapping[str, str]) -> None:
-    """Print rows as a table, and what was not read."""
+    """Print rows as a table, and the sources that were not read."""
     console = Console(highlight=False)
     if rows:
         table = Table(*rows[0])
         for row in rows:
             table.add_row(*(str(cell) for cell in row.values()))
         console.print(table)
-    for source, why in failures.items():
-        console.print(f"{source}: {why}", style="red", markup=False)
+    for source, reason in failures.items():
+        console.print(f"{source}: {reason}", style="red", markup=False)
 
 
 @click.group()
 def audit() -> None:
-    """Who acted on which version."""
+    """Show which gateway acted on which version."""
 
 
 SOURCES = click.argument("sources", nargs=-1, required=True)
@@ -99,20 +101,24 @@
 @SOURCES
 @AS_JSON
 def who(kind: str, sources: tuple[str, ...], as_json: bool) -> None:
-    """Who holds which version now, and who is behind most, by how long."""
-    readings = read_all(sources)
-    holdings = queries.holdings(audits_by_gateway(readings.found), kind, time.time() * 1000)
+    """Show which gateway acts on which version now, and for how long stale gateways have been stale."""
+    results = read_all(sources)
+    current_versions = queries.current_versions(
+        audits_by_gateway(results.audits_by_source), kind, time.time() * 1000
+    )
     rows = [
         {
-            "gateway": holding.name,
-            "of": holding.of,
-            "version": holding.version,
-            "since": format_wall(holding.since),
-            "behind": "" if holding.behind_s is None else f"{holding.behind_s:.1f} s",
+            "gateway": current_version.name,
+            "of": current_version.subject,
+            "version": current_version.version,
+            "since": format_wall(current_version.since_ms),
+            "behind": "" if current_version.stale_s is None else f"{current_version.stale_s:.1f} s",
         }
-        for holding in holdings
+        for current_version in current_versions
     ]
-    report(rows, readings, as_json, all(holding.behind_s is None for holding in holdings))
+    report(
+        rows, results, as_json, all(current_version.stale_s is None for current_version in current_versions)
+    )
 
 
 @audit.command()
@@ -121,14 +127,14 @@
 @SOURCES
 @AS_JSON
 def when(kind: str, version: str, sources: tuple[str, ...], as_json: bool) -> None:
-    """When each gateway took a version, from the first to the last."""
-    readings = read_all(sources)
-    audits = audits_by_gateway(readings.found)
+    """Show when each gateway adopted a version, from the first to the last."""
+    results = read_all(sources)
+    audits = audits_by_gateway(results.audits_by_source)
     adoptions = queries.adoptions(audits, kind, version)
     rows = [
         {
             "gateway": adoption.name,
-            "at": format_wall(adoption.wall),
+            "at": format_wall(adoption.at_ms),
             "after": f"{adoption.after_s:.3f} s",
             "cause": adoption.cause,
         }
@@ -136,7 +142,7 @@
     ]
     takers = {adoption.name for adoption in adoptions}
     never = {name: "never took it" for name in audits.keys() - takers}
-    report(rows, readings._replace(failures=readings.failures | never), as_json)
+    report(rows, results._replace(failures=results.failures | never), as_json)
 
 
 @audit.command()
@@ -144,9 +150,9 @@
 @SOURCES
 @AS_JSON
 def acts(at: str, sources: tuple[str, ...], as_json: bool) -> None:
-    """What each gateway acted on at a moment."""
-    wall = parse_wall(at)
-    readings = read_all(sources)
+    """Show the versions that each gateway acted on at a wall time."""
+    wall_ms = parse_wall(at)
+    results = read_all(sources)
     rows = [
         {
             "gateway": name,
@@ -155,10 +161,10 @@
             "version": record.version,
             "since": format_wall(record.wall_ms),
         }
-        for name, records in sorted(audits_by_gateway(readings.found).items())
-        for subject, record in sorted(queries.versions_at(records, wall).items())
+        for name, records in sorted(audits_by_gateway(results.audits_by_source).items())
+        for subject, record in sorted(queries.versions_at(records, wall_ms).items())
     ]
-    report(rows, readings, as_json)
+    report(rows, results, as_json)
 
 
 @audit.command()
@@ -166,8 +172,8 @@
 @SOURCES
 @AS_JSON
 def trace(name: str, sources: tuple[str, ...], as_json: bool) -> None:
-    """The story of a backend or a zone over all gateways, in an order that respects cause."""
-    readings = read_all(sources)
+    """Show the records of all gateways about a backend or a zone, in causal order."""
+    results = read_all(sources)
     rows = [
         {
             "at": format_wall(record.wall_ms),
@@ -177,31 +183,31 @@
             "version": record.version,
             "cause": record.cause,
         }
-        for record in queries.trace(audits_by_gateway(readings.found), name)
+        for record in queries.trace(audits_by_gateway(results.audits_by_source), name)
     ]
-    report(rows, readings, as_json)
+    report(rows, results, as_json)
 
 
 @audit.command("verify")
 @SOURCES
 @AS_JSON
 def verify_chains(sources: tuple[str, ...], as_json: bool) -> None:
-    """Whether the chains are whole: folders, held against what the addresses among the sources were told."""
-    readings = read_all(sources, with_heads=True)
+    """Check the chains in folders, also against the last records published to addresses among the sources."""
+    results = read_all(sources, with_heads=True)
     heads: dict[str, Head] = {}
-    for source in readings.found.values():
+    for source in results.audits_by_source.values():
         for name, head in source.heads.items():
             heads[name] = max(head, heads.get(name, head))
     rows = []
-    for path, source in readings.found.items():
+    for path, source in results.audits_by_source.items():
         if Path(path).is_dir():
             rows += finding_rows(source, heads)
-    report(rows, readings, as_json, not rows)
+    report(rows, results, as_json, not rows)
 
 
 def finding_rows(source: Source, heads: Mapping[str, Head]) -> list[Row]:
-    """Return a row for each fault of a folder's chain, and for each gap."""
-    findings = source.findings + missing_end(source, heads)
+    """Return a row for each fault in the chain of a folder, and for each gap."""
+    findings = source.findings + missing_head_findings(source, heads)
     texts = [f"{finding.segment}:{finding.line}: {finding.problem}" for finding in findings]
     gaps = [record for record in source.records if record.kind == GAP_KIND]
     texts += [
@@ -215,14 +221,14 @@
 @click.option("--out", required=True, type=click.Path(dir_okay=False))
 @SOURCES
 def plot(kind: str, out: str, sources: tuple[str, ...]) -> None:
-    """Versions over time, a line for each gateway (needs matplotlib)."""
-    readings = read_all(sources)
-    save_plot(audits_by_gateway(readings.found), kind, out)
-    report([], readings, as_json=False)
+    """Plot the versions over time, with a line for each gateway (needs matplotlib)."""
+    results = read_all(sources)
+    save_plot(audits_by_gateway(results.audits_by_source), kind, out)
+    report([], results, as_json=False)
 
 
 def save_plot(audits: Mapping[str, list[Record]], kind: str, out: str) -> None:
-    """Write a plot of the versions of a kind over time, in seconds since the first record."""
+    """Write a plot of the versions of a kind over time, in seconds since the first record, to a file."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/switchline/audit/segments.py
+++ b/switchline/audit/segments.py
@@ -1,7 +1,7 @@
 """The audit's files: segments of records in a folder that belongs to one gateway.
 
-A power loss takes at most the records since the last `sync`; a record that it tore is cut off at the next
-start.
+A power loss loses at most the records since the last `sync`; a record that was written only in part is cut
+off at the next start.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 SEGMENT_FILE = "audit-{:08d}.log"
 SEGMENT_GLOB = "audit-*.log"
 MAX_SEGMENT_BYTES = 1024 * 1024
-MAX_SEGMENTS = 16  # a further one replaces the oldest
+MAX_SEGMENTS = 16  # a further segment replaces the oldest
 FIRST_SEGMENT = 1
-CLOSED = -1  # in place of a descriptor
+CLOSED = -1  # value of a descriptor that is not open
 
 
 class AuditError(Exception):
-    """The audit's folder can't be used: it is locked, of another gateway, or holds other files."""
+    """The audit's folder can't be used: it is locked, belongs to another gateway, or contains other files."""
 
 
 def segment_paths(folder: Path) -> list[Path]:
@@ -34,33 +34,33 @@
 
 
 def raw_lines(path: Path) -> Iterator[bytes]:
-    """Yield the lines of a segment with their ends; an endless one is cut into pieces."""
+    """Yield the lines of a segment with their line feeds; lines that are too long are cut into pieces."""
     with path.open("rb") as file:
         while line := file.readline(MAX_LINE_CHARS + 1):
             yield line
 
 
 def text_lines(path: Path) -> Iterator[str]:
-    """Yield the lines of a segment as text; bytes that are none are replaced, and fail the chain's check."""
+    """Yield the lines of a segment as text; invalid UTF-8 is replaced, and fails the check of the chain."""
     return (line.decode(errors="replace") for line in raw_lines(path))
 
 
 class Segments:
-    """Owns the folder, under its lock, and the open segment. All methods may wait for the disk.
+    """Owns the folder with its lock, and the open segment. All methods may wait for the disk.
 
     Args:
-        folder: is created if it is missing.
-        name: of the gateway.
+        folder: the folder of the audit, which is created if it is missing.
+        name: the name of the gateway.
 
     Raises:
-        AuditError: another process has the lock, or the folder is not this gateway's.
+        AuditError: another process has the lock, or the folder belongs to another gateway.
         OSError: the folder can't be read or written.
     """
 
     def __init__(self, folder: Path, name: str) -> None:
         self.folder = folder
         self.head = Head(0, FIRST_DIGEST)
-        self.bytes_cut = 0  # of a torn record at the end
+        self.bytes_cut = 0  # the size of an incomplete record at the end, which was cut off
         folder.mkdir(parents=True, exist_ok=True)
         self.lock_fd = os.open(folder / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         self.segment_fd = CLOSED
@@ -76,7 +76,7 @@
             raise
 
     def _recover(self, name: str) -> int:
-        """Find the last record, and cut off what a power loss tore; return the number of the last segment."""
+        """Find the last record, and cut off an incomplete one after it; return the last segment's number."""
         paths = segment_paths(self.folder)
         for path in reversed(paths):
             sound_bytes = self._scan(path, name)
@@ -87,18 +87,18 @@
         try:
             return int(paths[-1].stem.partition("-")[2]) if paths else FIRST_SEGMENT
         except ValueError as error:
-            raise AuditError(f"not a segment: {paths[-1].name}") from error
+            raise AuditError(f"not a segment of an audit: {paths[-1].name}") from error
 
     def _scan(self, path: Path, name: str) -> int:
         """Set the head to the last record of a segment; return the bytes up to its end, 0 for none."""
         sound_bytes = 0
         size = 0
         for raw in raw_lines(path):
-            size += len(raw)  # counted in bytes: replaced ones would be longer as text
+            size += len(raw)  # in bytes, because replaced characters change the length of the text
             line = raw.decode(errors="replace")
-            if not line.endswith("\n") or (found := decode_line(line)) is None:
+            if not line.endswith("\n") or (decoded := decode_line(line)) is None:
                 continue
-            record, _, digest = found
+            record, _, digest = decoded
             if record.name != name:
                 raise AuditError(f"the folder holds the audit of {record.name!r}")
             sound_bytes = size
@@ -120,7 +120,7 @@
         """Append a record, numbered and chained to the one before it; `sync` makes it durable.
 
         Raises:
-            OSError: it could not be written whole; the segment ends as before.
+            OSError: the record could not be written completely; the segment is cut back to its end before.
         """
         if self.size >= MAX_SEGMENT_BYTES:
             self._rotate()
@@ -129,7 +129,7 @@
         data = line.encode()
         if os.write(self.segment_fd, data) != len(data):
             os.ftruncate(self.segment_fd, self.size)
-            raise OSError("not written whole")
+            raise OSError("the record was not written completely")
         self.size += len(data)
         self.head = Head(number, digest)
 
@@ -143,10 +143,10 @@
             oldest.unlink()
 
     def sync(self) -> None:
-        """Make all records durable.
+        """Sync the segment, so that all records survive a power loss.
 
         Raises:
-            OSError: they may not be on disk.
+            OSError: the records may not be on disk.
         """
         os.fsync(self.segment_fd)
 
--- a/switchline/audit/sources.py
+++ b/switchline/audit/sources.py
@@ -1,4 +1,4 @@
-"""Where staff's commands read audits: the folders of gateways, and the addresses of running ones."""
+"""The sources from which operators' commands read audits: folders, and addresses of running gateways."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 from switchline.audit.segments import segment_paths, text_lines
 from switchline.fleet.messages import HybridTimestamp, Incarnation
 
-REPLY_TIMEOUT_S = 2.0  # of a gateway
+REPLY_TIMEOUT_S = 2.0  # for a call to a gateway
 MAX_PARALLEL_READS = 64
-HEAD_FACT = "audit"  # kind of the facts by which gateways tell each other their last records
+HEAD_FACT = "audit"  # the kind of the facts by which gateways publish their last records
 
 
 class Source(NamedTuple):
-    """The audit of one gateway, as one source has it.
+    """The audit of one gateway, read from one source.
 
     Attributes:
-        name: of the gateway.
-        records: those that are sound.
-        findings: what is wrong with the chain of a folder.
-        heads: of other gateways by name, the last records that this one was told of.
-        last: the last record of a folder's chain.
+        name: the gateway.
+        records: the valid records.
+        findings: the faults in the chain of a folder.
+        heads: the last records that other gateways published to this one, by gateway.
+        last: the last record in the chain of a folder; None for an address.
     """
 
     name: str
@@ -40,81 +40,83 @@
     last: Head | None = None
 
 
-class Readings(NamedTuple):
-    """The audits by source, and why there is none of the others."""
+class SourceResults(NamedTuple):
+    """The audits by source, and the error by source for those that could not be read."""
 
-    found: dict[str, Source]
+    audits_by_source: dict[str, Source]
     failures: dict[str, str]
 
 
 class RecordIdentity(NamedTuple):
-    """Identifies a record of a gateway that several sources have."""
+    """Identifies a record of a gateway, to find it in several sources."""
 
     incarnation: Incarnation
-    stamp: HybridTimestamp
+    timestamp: HybridTimestamp
     kind: str
     subject: str
 
 
 def fetch(address: str, call: str) -> Any:
-    """Return the JSON that a gateway replies to `GET /ops/CALL`.
+    """Return the decoded JSON reply of a gateway to `GET /ops/CALL`; `address` is host:port.
 
     Raises:
-        OSError: it can't be reached, or the status is an error.
-        ValueError: the reply is no JSON.
+        OSError: the gateway can't be reached, or replies with an error status.
+        ValueError: the reply is not JSON.
     """
     with urllib.request.urlopen(f"http://{address}/ops/{call}", timeout=REPLY_TIMEOUT_S) as reply:
         return json.loads(reply.read())
 
 
 def read_folder(folder: Path, heads: Mapping[str, Head] | None = None) -> Source:
-    """Read a folder; `heads` are the last records that others were told of, by gateway.
+    """Read the audit in a folder; `heads` are the last records that gateways published, by gateway.
 
     Raises:
-        OSError: it can't be read.
+        OSError: the folder can't be read.
     """
     segments = ((path.name, text_lines(path)) for path in segment_paths(folder))
     records, findings, last = verify_chain(segments)
     source = Source(records[0].name if records else folder.name, records, findings, {}, last)
-    findings += missing_end(source, heads or {})
+    findings += missing_head_findings(source, heads or {})
     return source
 
 
-def missing_end(source: Source, heads: Mapping[str, Head]) -> list[Finding]:
-    """Return a finding if a chain lacks the last record that others were told of."""
+def missing_head_findings(source: Source, heads: Mapping[str, Head]) -> list[Finding]:
+    """Return a finding if a chain lacks the last record that its gateway published."""
     head = heads.get(source.name)
     last = source.last
     if head is None or (last is not None and (head == last or head.number < last.number)):
         return []
-    return [Finding("", 0, f"record {head.number}, as others were told of it, is not there")]
+    return [Finding("", 0, f"record {head.number}, which the gateway published, is missing")]
 
 
 def read_address(address: str, with_heads: bool = False) -> Source:
-    """Read what a running gateway has in memory.
+    """Read the records that a running gateway has in memory.
 
     Args:
-        address: of its operators, host:port.
-        with_heads: also what it was told of others' chains, which is much.
+        address: its operator address, host:port.
+        with_heads: also read the heads that other gateways published to it, which is a large reply.
 
     Raises:
-        OSError: it can't be reached; ValueError, KeyError and msgspec.MsgspecError: it replied something
-            else.
+        OSError: the gateway can't be reached.
+        ValueError, KeyError, msgspec.MsgspecError: its reply is malformed.
     """
     reply = fetch(address, "audit")
     recent = msgspec.convert(reply["records"], list[Record])
     current = msgspec.convert(reply["versions"], list[Record])
-    known = {(record.kind, record.subject, record.timestamp) for record in recent}
-    older = [record for record in current if (record.kind, record.subject, record.timestamp) not in known]
+    recent_keys = {(record.kind, record.subject, record.timestamp) for record in recent}
+    older = [
+        record for record in current if (record.kind, record.subject, record.timestamp) not in recent_keys
+    ]
     heads = fetch_heads(address) if with_heads else {}
     return Source(str(reply["name"]), sorted([*older, *recent], key=causal_order_key), [], heads)
 
 
 def fetch_heads(address: str) -> dict[str, Head]:
-    """Return, by gateway, the last record that it told the one at an address of."""
+    """Return the last records that gateways published to the one at an address, by gateway."""
     try:
         facts = fetch(address, "fleet")["facts"]
     except (OSError, ValueError, KeyError):
-        return {}  # a gateway without a fleet has none
+        return {}  # a gateway without a fleet receives no heads
     heads = {}
     for fact in facts:
         number, _, digest = str(fact["value"] or "").partition(" ")
@@ -123,8 +125,8 @@
     return heads
 
 
-def read(source: str, with_heads: bool = False) -> Source | str:
-    """Return the audit of a folder or an address, or why there is none."""
+def read_source(source: str, with_heads: bool = False) -> Source | str:
+    """Return the audit of a folder or an address, or the text of the error."""
     try:
         if Path(source).is_dir():
             return read_folder(Path(source))
@@ -133,19 +135,21 @@
         return str(error) or type(error).__name__
 
 
-def read_all(sources: tuple[str, ...], with_heads: bool = False) -> Readings:
-    """Read sources side by side."""
+def read_all(sources: tuple[str, ...], with_heads: bool = False) -> SourceResults:
+    """Read sources in parallel."""
     with ThreadPoolExecutor(min(MAX_PARALLEL_READS, len(sources))) as pool:
-        results = pool.map(partial(read, with_heads=with_heads), sources)
+        results = pool.map(partial(read_source, with_heads=with_heads), sources)
         by_source = dict(zip(sources, results, strict=True))
-    found = {source: result for source, result in by_source.items() if isinstance(result, Source)}
-    return Readings(found, {source: why for source, why in by_source.items() if isinstance(why, str)})
+    audits_by_source = {source: result for source, result in by_source.items() if isinstance(result, Source)}
+    return SourceResults(
+        audits_by_source, {source: reason for source, reason in by_source.items() if isinstance(reason, str)}
+    )
 
 
-def audits_by_gateway(found: Mapping[str, Source]) -> dict[str, list[Record]]:
-    """Return the records by gateway in causal order, from all its sources, each record once."""
+def audits_by_gateway(audits_by_source: Mapping[str, Source]) -> dict[str, list[Record]]:
+    """Return the records of each gateway from all its sources, in causal order, without duplicates."""
     merged: dict[str, dict[RecordIdentity, Record]] = {}
-    for source in found.values():
+    for source in audits_by_source.values():
         for record in source.records:
             identity = RecordIdentity(record.incarnation, record.timestamp, record.kind, record.subject)
             merged.setdefault(source.name, {}).setdefault(identity, record)
--- a/switchline/audit/writer.py
+++ b/switchline/audit/writer.py
@@ -1,7 +1,8 @@
-"""The thread that writes the audit. It never delays service: what can't be written is counted and lost.
+"""The thread that writes the audit. It never delays requests: records that can't be written are dropped.
 
-Records wait in a queue and are written and synced twice a second. While the folder can't be used, the newest
-`MAX_WAITING` records wait; once it can be, a `gap` record tells how many were lost and why.
+Records wait in a queue, and are written and synced twice a second. While the folder can't be used, the newest
+`MAX_WAITING_RECORDS` records wait; once it can be used, a `gap` record has the number of lost records and the
+cause.
 """
 
 from __future__ import annotations
@@ -18,19 +19,19 @@
 
 log = logging.getLogger(__name__)
 
-SYNC_INTERVAL_S = 0.5  # what a power loss may take
-RETRY_INTERVAL_S = 2.0  # of a folder that can't be used
-CLOSE_TIMEOUT_S = 1.0  # for the last records at the end of the process
-MAX_WAITING = 4_096  # records, in the queue and again in the thread
+SYNC_INTERVAL_S = 0.5  # a power loss loses the records of at most this time
+RETRY_INTERVAL_S = 2.0  # between attempts to open an unusable folder
+CLOSE_TIMEOUT_S = 1.0  # limits writing the last records at the end of the process
+MAX_WAITING_RECORDS = 4_096  # applies to the queue and separately to the thread's list
 
 
 class AuditWriter:
-    """Owns the thread, which alone touches the folder.
+    """Owns the thread, which is the only one that accesses the folder.
 
     Args:
-        folder: of the audit.
-        name: of the gateway.
-        gap_record: called in the thread: makes the record that stands for so many lost ones, with the cause.
+        folder: the folder of the audit.
+        name: the name of the gateway.
+        gap_record: called in the thread with the cause and number of lost records; returns a `gap` record.
         on_progress: called in the thread after each sync or fault, with the last record on disk and whether
             the folder can be written.
     """
@@ -46,11 +47,13 @@
         self.name = name
         self.gap_record = gap_record
         self.on_progress = on_progress
-        self.queue: queue.SimpleQueue[Record | None] = queue.SimpleQueue()  # None: the process ends
-        self.lost = 0  # not yet told by a gap record; written by the thread alone
-        self.overflowed = 0  # lost as the queue was full, since the start; written by the event loop alone
+        self.queue: queue.SimpleQueue[Record | None] = queue.SimpleQueue()  # None ends the thread
+        # Lost records without a gap record yet; only the thread writes this.
+        self.lost = 0
+        # Records lost since the start because the queue was full; only the event loop writes this.
+        self.overflowed = 0
         self.faults = 0
-        self._overflowed_before = 0  # of `overflowed`, what gap records have told
+        self._overflowed_recorded = 0  # the part of `overflowed` that gap records include
         self._cause = ""
         self._segments: Segments | None = None
         self._retry_at_s = 0.0
@@ -59,18 +62,18 @@
         self.thread = threading.Thread(target=self._run, name="audit", daemon=True)
         try:
             self.thread.start()
-        except RuntimeError as error:  # the system gives no thread: records are kept in memory alone
+        except RuntimeError as error:  # the system can't start a thread: records stay in memory only
             log.warning("the audit can't be written: %s", error)
 
     def add(self, record: Record) -> None:
-        """Have a record written; called in the event loop, and never waits."""
-        if self.queue.qsize() >= MAX_WAITING:
+        """Queue a record to be written; called in the event loop, and never waits."""
+        if self.queue.qsize() >= MAX_WAITING_RECORDS:
             self.overflowed += 1
         else:
             self.queue.put(record)
 
     def close(self) -> None:
-        """Write what waits, as far as the disk allows in `CLOSE_TIMEOUT_S`, and end the thread."""
+        """Write the waiting records, for at most `CLOSE_TIMEOUT_S`, and end the thread."""
         self.queue.put(None)
         if self.thread.ident is not None:
             self.thread.join(CLOSE_TIMEOUT_S)
@@ -85,7 +88,7 @@
             if self._segments is not None:
                 self._write_pending(self._segments)
             else:
-                self._drop_oldest(len(self._pending) - (0 if ended else MAX_WAITING))
+                self._drop_oldest(len(self._pending) - (0 if ended else MAX_WAITING_RECORDS))
         if self._segments is not None:
             self._segments.close()
 
@@ -102,7 +105,7 @@
         return segments
 
     def _gather(self) -> bool:
-        """Take records until the next sync is due; return whether the last one has come."""
+        """Take records from the queue until the next sync is due; return whether the thread is to end."""
         deadline = time.monotonic() + SYNC_INTERVAL_S
         while (remaining := deadline - time.monotonic()) > 0:
             try:
@@ -115,7 +118,7 @@
         return False
 
     def _write_pending(self, segments: Segments) -> None:
-        """Write and sync what was gathered; after a fault the folder is closed until the next retry."""
+        """Write and sync the records gathered; after a fault the folder is closed until the next retry."""
         try:
             self._write_gap(segments)
             while self._pending:
@@ -133,8 +136,8 @@
 
     def _write_gap(self, segments: Segments) -> None:
         overflowed = self.overflowed
-        lost = self.lost + overflowed - self._overflowed_before
-        self._overflowed_before = overflowed
+        lost = self.lost + overflowed - self._overflowed_recorded
+        self._overflowed_recorded = overflowed
         if lost:
             segments.add(self.gap_record(self._cause or "too many waited", lost))
             self.lost = 0
--- a/switchline/fleet_runtime/own_facts.py
+++ b/switchline/fleet_runtime/own_facts.py
@@ -33,7 +33,7 @@
         yield PublishedFact("ready", "", "yes" if self.parts.clients.takes_clients else "no")
         yield PublishedFact("index", "", str(settings.index))
         audit = self.trail.audit
-        if audit is not None and audit.writing:
+        if audit is not None and audit.is_writable:
             yield PublishedFact("audit", "", f"{audit.head.number} {audit.head.digest}")
 
     def about_overrides(self) -> Iterator[PublishedFact]:
--- a/tests/audit/test_audit_writer.py
+++ b/tests/audit/test_audit_writer.py
@@ -33,7 +33,7 @@
     def gap(why: str, lost: int) -> Record:
         return record(0, kind=GAP_KIND, version="", cause=why, counts={"lost": lost})
 
-    monkeypatch.setattr("switchline.audit.writer.MAX_WAITING", 5)
+    monkeypatch.setattr("switchline.audit.writer.MAX_WAITING_RECORDS", 5)
     writer = AuditWriter(folder, "g0", gap, lambda head, on: heads.append((head, on)))
     for n in range(20):
         writer.add(record(n))
--- a/tests/audit/test_queries.py
+++ b/tests/audit/test_queries.py
@@ -9,7 +9,7 @@
 
 def test_who_is_behind_when_each_took_it_and_what_each_acted_on() -> None:
     audits = three_gateways()
-    held = {one.name: one.behind_s for one in audit_queries.holdings(audits, "list", 12_500.0)}
+    held = {one.name: one.stale_s for one in audit_queries.current_versions(audits, "list", 12_500.0)}
     assert held == {"g0": None, "g1": None, "g2": 10.0}
     took = audit_queries.adoptions(audits, "list", "2")
     assert [(one.name, one.after_s) for one in took] == [("g0", 0.0), ("g1", 0.5)]
