--- a/tests/audit/test_audit.py
+++ b/tests/audit/test_audit.py
@@ -1,4 +1,4 @@
-"""The audits of a fleet of processes against what the test bed saw of it."""
+"""The audits of a fleet of gateway processes, compared with the events that the test bed recorded."""
 
 from __future__ import annotations
 
@@ -13,8 +13,11 @@
 
 
 @pytest.mark.timeout(120)
-def test_what_the_audits_say_is_what_the_lab_saw(lab: Plays) -> None:
-    """A stuck agent, lost messages, a one-way cut; lists, a call for the fleet, a kill: record by record."""
+def test_the_audits_match_the_events_of_a_play(lab: Plays) -> None:
+    """Compares records with events in a play of list changes, an operator's call for the fleet and a kill.
+
+    The play has a stuck discovery agent, lost messages, and a link that is cut in one direction.
+    """
     links: dict[str, Any] = {"kind": "link", "at_s": 0.1, "for_s": 8.8}
     called = {"kind": "operators", "gateways": ["g2"], "call": "backends/down", "id": "b2", "fleet": True}
     played = lab(
@@ -44,7 +47,7 @@
         assert told <= took, (name, told, took)
     lists = [e["seq"] for e in played.of("list", b="b1", health="draining")]
     took_it = {one.name: one.after_s for one in audit_queries.adoptions(audits, "list", str(lists[0]))}
-    assert {"g0", "g1", "g2", "g5"} <= took_it.keys() and took_it.get("g3", 9.0) > 5.0  # healed
+    assert {"g0", "g1", "g2", "g5"} <= took_it.keys() and took_it.get("g3", 9.0) > 5.0  # repaired
     kinds = [r.kind for r in audits["g3"]]
     assert "behind" in kinds and "brought up" in kinds
     banned = {name for name, ones in audits.items() for r in ones if (r.kind, r.subject) == ("ban", "b2")}
@@ -53,7 +56,7 @@
         len({r.incarnation for r in audits["g4"]}) >= 2
         and len([r for r in audits["g4"] if r.kind == "program"]) == 2
     )
-    # The one that was called comes before all others in the order: they heard of it from there.
+    # The gateway that was called comes first in causal order, as the others heard of the call from it.
     order = [r.name for r in audit_queries.trace(audits, "b2") if r.kind == "ban"]
     assert order[0] == "g2"
     for one, other in itertools.pairwise(audit_queries.in_causal_order({"g1": audits["g1"]})):
--- a/tests/state/test_storage.py
+++ b/tests/state/test_storage.py
@@ -1,4 +1,4 @@
-"""The files of the state on disk: what is checked, and what a kill or a damaged byte leaves."""
+"""The files of the state on disk: the checks at a start, also after a kill or with damaged bytes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 import pytest
-from saved_state import MANY, NAME, read_saved, save, values_of
+from saved_state import MANY_CUSTOMERS, NAME, read_saved, save, values_of
 
 from switchline.state import database as database_module
 from switchline.state.database import MAX_STORED_STARTS
@@ -26,33 +26,38 @@
 PAGE = 4096
 
 
-def test_what_is_written_is_read_with_its_time_and_the_last_starts(tmp_path: Path) -> None:
-    assert save(tmp_path, MANY, now=1.0) == SavedState([], 0.0, (), 0)
-    found = save(tmp_path, {("host", "h"): {"x": 1}}, now=2.0)
-    assert values_of(found) == MANY and found.last_alive_ms == 1.0 and found.start_times_ms == (2.0,)
-    found = read_saved(tmp_path, now=3.0)
-    assert values_of(found) == {("host", "h"): {"x": 1}} and found.start_times_ms == (2.0, 3.0)
+def test_committed_records_are_read_with_the_times_of_commit_and_starts(tmp_path: Path) -> None:
+    assert save(tmp_path, MANY_CUSTOMERS, now_ms=1.0) == SavedState([], 0.0, (), 0)
+    saved = save(tmp_path, {("host", "h"): {"x": 1}}, now_ms=2.0)
+    assert (
+        values_of(saved) == MANY_CUSTOMERS and saved.last_alive_ms == 1.0 and saved.start_times_ms == (2.0,)
+    )
+    saved = read_saved(tmp_path, now_ms=3.0)
+    assert values_of(saved) == {("host", "h"): {"x": 1}} and saved.start_times_ms == (2.0, 3.0)
     for number in range(20):
-        save(tmp_path, {}, now=4.0 + number)
+        save(tmp_path, {}, now_ms=4.0 + number)
     assert len(read_saved(tmp_path).start_times_ms) == MAX_STORED_STARTS - 1
 
 
 def test_a_second_process_is_locked_out_until_the_first_has_closed(tmp_path: Path) -> None:
-    one, two = StateStorage(tmp_path, NAME, lambda: 1.0), StateStorage(tmp_path, NAME, lambda: 1.0)
-    one.lock(0)
+    first_storage, second_storage = (
+        StateStorage(tmp_path, NAME, lambda: 1.0),
+        StateStorage(tmp_path, NAME, lambda: 1.0),
+    )
+    first_storage.lock(0)
     with pytest.raises(FolderLockedError):
-        two.lock(0)
-    two.close()
-    one.close()
-    two.lock(0)
-    two.close()
+        second_storage.lock(0)
+    second_storage.close()
+    first_storage.close()
+    second_storage.lock(0)
+    second_storage.close()
 
 
-SPOILT = ["random", "empty", "version", "table", "other", "large", "folder", "nobody"]
+UNUSABLE_KINDS = ["random", "empty", "version", "table", "other", "large", "folder", "nobody"]
 
 
-@pytest.mark.parametrize("kind", SPOILT)
-def test_files_that_are_none_of_ours_are_set_aside(tmp_path: Path, kind: str) -> None:
+@pytest.mark.parametrize("kind", UNUSABLE_KINDS)
+def test_unusable_databases_are_set_aside(tmp_path: Path, kind: str) -> None:
     path = tmp_path / DATABASE_FILE
     if kind == "random":
         path.write_bytes(random.Random(1).randbytes(3 * PAGE))
@@ -64,102 +69,116 @@
     elif kind == "folder":
         path.mkdir()
     elif kind == "other":
-        save(tmp_path, MANY)
+        save(tmp_path, MANY_CUSTOMERS)
     else:
-        save(tmp_path, MANY)
+        save(tmp_path, MANY_CUSTOMERS)
         with sqlite3.connect(path) as database:
             change = {"version": "PRAGMA user_version=2", "table": "DROP TABLE rows"}
             database.execute(change.get(kind, "DELETE FROM rows WHERE kind='meta'"))
         database.close()
-    found = read_saved(tmp_path, "n1" if kind == "other" else NAME)
-    assert found == SavedState([], 0.0, (), 0)
-    assert [place.name for place in tmp_path.glob("aside-*.db")] == ["aside-1.db"]
+    saved = read_saved(tmp_path, "n1" if kind == "other" else NAME)
+    assert saved == SavedState([], 0.0, (), 0)
+    assert [path.name for path in tmp_path.glob("aside-*.db")] == ["aside-1.db"]
 
 
-def test_a_bounded_number_is_set_aside(tmp_path: Path) -> None:
+def test_at_most_max_aside_databases_are_kept(tmp_path: Path) -> None:
     for number in range(MAX_ASIDE + 3):
         (tmp_path / DATABASE_FILE).write_bytes(b"%d" % number * 100)
         (tmp_path / (DATABASE_FILE + "-wal")).write_bytes(b"w")
         read_saved(tmp_path)
     aside = list(tmp_path.glob("aside-*.db"))
     assert len(aside) == MAX_ASIDE
-    assert any(place.read_bytes()[:1] == b"%d" % (MAX_ASIDE + 2) for place in aside)
+    assert any(path.read_bytes()[:1] == b"%d" % (MAX_ASIDE + 2) for path in aside)
 
 
 def test_only_records_with_a_wrong_checksum_are_dropped(tmp_path: Path) -> None:
-    save(tmp_path, MANY)
+    save(tmp_path, MANY_CUSTOMERS)
     with sqlite3.connect(tmp_path / DATABASE_FILE) as database:
         database.execute("UPDATE rows SET body=replace(body, '5.5', '9.5') WHERE name=?", (f"{5:016x}",))
         database.execute("UPDATE rows SET at=0 WHERE name=?", (f"{6:016x}",))
         database.execute("UPDATE rows SET body=NULL WHERE name=?", (f"{7:016x}",))
         database.execute("UPDATE rows SET sum=x'00' WHERE name=?", (f"{8:016x}",))
     database.close()
-    found = read_saved(tmp_path)
-    assert found.dropped == 4 and len(found.records) == len(MANY) - 4
-    assert all(MANY[key] == body for key, body in values_of(found).items())
+    saved = read_saved(tmp_path)
+    assert saved.dropped == 4 and len(saved.records) == len(MANY_CUSTOMERS) - 4
+    assert all(MANY_CUSTOMERS[key] == body for key, body in values_of(saved).items())
 
 
-def sound(folder: Path, *saved: dict[tuple[str, str], object]) -> bool:
-    """Whether what is found is as one process left it, record by record; it never ends in an error."""
-    found = read_saved(folder)
-    whole = [rows for rows in saved if values_of(found) == rows]
-    each = all(any(rows.get(key) == body for rows in saved) for key, body in values_of(found).items())
-    return bool(whole) or not found.records or (each and found.dropped > 0)
+def is_consistent(folder: Path, *expected: dict[tuple[str, str], object]) -> bool:
+    """Return whether the folder is read without an error as one of the expected states.
 
+    An empty state is valid too, and so is one with dropped records if all others are as expected.
+    """
+    saved = read_saved(folder)
+    complete = [rows for rows in expected if values_of(saved) == rows]
+    each = all(any(rows.get(key) == body for rows in expected) for key, body in values_of(saved).items())
+    return bool(complete) or not saved.records or (each and saved.dropped > 0)
 
-def spoil(folder: Path, copy: Path, file: str, change: Callable[[Path, int], None], place: int) -> Path:
+
+def copy_and_corrupt(
+    folder: Path, copy: Path, file: str, change: Callable[[Path, int], None], offset: int
+) -> Path:
     shutil.rmtree(copy, ignore_errors=True)
     shutil.copytree(folder, copy)
-    change(copy / file, place)
+    change(copy / file, offset)
     return copy
 
 
-def flip(path: Path, place: int) -> None:
+def flip_byte(path: Path, offset: int) -> None:
     data = bytearray(path.read_bytes())
-    data[place] ^= 0xFF
+    data[offset] ^= 0xFF
     path.write_bytes(data)
 
 
-def test_a_database_cut_or_flipped_anywhere_never_harms_a_start(tmp_path: Path) -> None:
+def test_a_database_truncated_or_corrupted_at_any_offset_gives_no_wrong_record(tmp_path: Path) -> None:
     folder, copy = tmp_path / "state", tmp_path / "copy"
-    save(folder, MANY)
-    size = (folder / DATABASE_FILE).stat().st_size
-    assert size > 10 * PAGE
-    chance = random.Random(7)
-    for place in (*range(0, size, PAGE), *(chance.randrange(size) for _ in range(60))):
-        for change in (flip, os.truncate):
-            assert sound(spoil(folder, copy, DATABASE_FILE, change, place), MANY), (place, change)
-
-
-def log_of(folder: Path) -> dict[tuple[str, str], object]:
-    """A folder as a loss of power leaves it: two commits in the log, and none of it in the database."""
+    save(folder, MANY_CUSTOMERS)
+    byte_count = (folder / DATABASE_FILE).stat().st_size
+    assert byte_count > 10 * PAGE
+    rng = random.Random(7)
+    for offset in (*range(0, byte_count, PAGE), *(rng.randrange(byte_count) for _ in range(60))):
+        for change in (flip_byte, os.truncate):
+            assert is_consistent(
+                copy_and_corrupt(folder, copy, DATABASE_FILE, change, offset), MANY_CUSTOMERS
+            ), (offset, change)
+
+
+def write_log_without_checkpoint(folder: Path) -> dict[tuple[str, str], object]:
+    """Create a folder as after a power loss, with two commits in the log and none in the database file.
+
+    Returns:
+        The values of the first commit.
+    """
     work = folder.with_name("work")
     storage = StateStorage(work, NAME, lambda: 1.0)
     storage.lock(0)
     storage.open(fresh=False)
     storage.record_start()
-    rows = {RecordKey(*key): PendingRecord(1.0, json.dumps(body)) for key, body in MANY.items()}
+    rows = {RecordKey(*key): PendingRecord(1.0, json.dumps(body)) for key, body in MANY_CUSTOMERS.items()}
     storage.commit(dict(list(rows.items())[:100]), replace_all=True)
     storage.commit(rows, replace_all=False)
     shutil.copytree(work, folder)
     storage.close()
     (folder / (DATABASE_FILE + "-shm")).unlink(missing_ok=True)
-    return dict(list(MANY.items())[:100])
+    return dict(list(MANY_CUSTOMERS.items())[:100])
 
 
-def test_a_log_cut_or_garbled_at_any_place_leaves_a_complete_commit(tmp_path: Path) -> None:
+def test_a_log_truncated_or_corrupted_at_any_offset_gives_a_complete_commit(tmp_path: Path) -> None:
     folder, copy = tmp_path / "state", tmp_path / "copy"
-    first = log_of(folder)
-    size = (folder / (DATABASE_FILE + "-wal")).stat().st_size
-    assert values_of(read_saved(spoil(folder, copy, DATABASE_FILE, lambda *_: None, 0))) == MANY
-    chance, seen = random.Random(8), set[int]()
-    frames = *range(0, size, PAGE + 24), *range(32, size, PAGE + 24)
-    for place in (*frames, *(chance.randrange(size) for _ in range(60))):
-        for change in (os.truncate, flip):
-            found = read_saved(spoil(folder, copy, DATABASE_FILE + "-wal", change, place))
-            assert found.dropped == 0 and values_of(found) in ({}, first, MANY), (place, change)
-            seen.add(len(found.records))
-    assert seen == {0, len(first)}  # whatever the place, the last commit is not whole
+    first = write_log_without_checkpoint(folder)
+    byte_count = (folder / (DATABASE_FILE + "-wal")).stat().st_size
+    assert (
+        values_of(read_saved(copy_and_corrupt(folder, copy, DATABASE_FILE, lambda *_: None, 0)))
+        == MANY_CUSTOMERS
+    )
+    rng, seen = random.Random(8), set[int]()
+    frames = *range(0, byte_count, PAGE + 24), *range(32, byte_count, PAGE + 24)
+    for offset in (*frames, *(rng.randrange(byte_count) for _ in range(60))):
+        for change in (os.truncate, flip_byte):
+            saved = read_saved(copy_and_corrupt(folder, copy, DATABASE_FILE + "-wal", change, offset))
+            assert saved.dropped == 0 and values_of(saved) in ({}, first, MANY_CUSTOMERS), (offset, change)
+            seen.add(len(saved.records))
+    assert seen == {0, len(first)}  # at each offset the last commit is incomplete
 
 
 CHILD = """
@@ -205,8 +224,9 @@
 """
 
 
-def test_a_kill_between_any_two_steps_leaves_what_was_committed(tmp_path: Path) -> None:
-    # The first process, some of the second, and the third, which begins a new file beside that of the second.
+def test_a_kill_between_any_two_steps_loses_no_committed_record(tmp_path: Path) -> None:
+    # The limits cover the first process, a part of the second, and the third, which creates a new database
+    # beside that of the second.
     ended, limits = 0, [*range(1, 60), *range(60, 190, 10), *range(190, 290)]
     running: list[tuple[int, Path, subprocess.Popen[str]]] = []
     for limit in limits:
@@ -228,13 +248,14 @@
 
 
 def check_after_kill(folder: Path, reported: list[tuple[int, ...]], limit: int) -> None:
-    found = read_saved(folder)
-    batches = {tuple(row.value) for row in found.records}
+    saved = read_saved(folder)
+    batches = {tuple(row.value) for row in saved.records}
     start, batch = reported[-1] if reported else (0, -1)
-    if start == 1 and batch == 3:  # the next process begins a new file: one of the two stands at any moment
+    # The third process creates a new database: one of the two is valid at any time.
+    if start == 1 and batch == 3:
         assert batches >= {(1, 3)} or batches == {(2, 0)}, (limit, batches)
-    elif reported:  # all that was reported, and at most the batch after it
+    elif reported:  # all reported batches, and at most the one after them
         following = (start, batch + 1) if batch < 3 else (start + 1, 0)
         expected = {(start, n) for n in range(batch + 1)}
         assert batches in (expected, expected | {following}, {following}), (limit, batches)
-    assert found.dropped == 0 and len(found.records) == 20 * len(batches)
+    assert saved.dropped == 0 and len(saved.records) == 20 * len(batches)
--- a/tests/support/upgrade_site.py
+++ b/tests/support/upgrade_site.py
@@ -1,4 +1,4 @@
-"""A gateway whose processes replace one another."""
+"""A gateway whose processes replace each other in upgrades."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 ROOT = Path(__file__).parents[2]
 
 
-class Site:
-    """The platform's side of an upgrade: the listening socket, the files, and the processes."""
+class UpgradeSite:
+    """Plays the platform's part in an upgrade: owns the listening socket, the files and the processes."""
 
     def __init__(self, world: World, directory: Path) -> None:
         self.world = world
@@ -34,9 +34,9 @@
         self.config.write_text(json.dumps({**world.config(), "listen": f"{LOCAL}:{self.port}"}))
 
     async def start(self) -> asyncio.subprocess.Process:
-        """Start one more process; it has said yes when this returns."""
+        """Start another process, and return it once it is ready."""
         self.world.operator = claimed_port()
-        given = {
+        environment = {
             "LB_CONFIG": os.fspath(self.config),
             "LB_OPERATOR": f"{LOCAL}:{self.world.operator}",
             "LB_INHERITED_FD": str(self.listener.fileno()),
@@ -47,7 +47,7 @@
             "-m",
             "switchline",
             cwd=ROOT,
-            env={**os.environ, **given},
+            env={**os.environ, **environment},
             pass_fds=[self.listener.fileno()],
             stderr=asyncio.subprocess.DEVNULL,
         )
@@ -65,19 +65,19 @@
 
 
 @asynccontextmanager
-async def site(directory: Path, *backends: Backend) -> AsyncIterator[Site]:
+async def running_site(directory: Path, *backends: Backend) -> AsyncIterator[UpgradeSite]:
     world = World(*backends)
     servers = [*backends, world.counter, world.discovery]
     for server in servers:
         await server.start()
-    made = Site(world, directory)
+    site = UpgradeSite(world, directory)
     try:
-        yield made
+        yield site
     finally:
-        for process in made.processes:
+        for process in site.processes:
             if process.returncode is None:
                 process.kill()
             await process.wait()
-        made.listener.close()
+        site.listener.close()
         for server in servers:
             await server.stop()
--- a/tests/upgrade/test_upgrade.py
+++ b/tests/upgrade/test_upgrade.py
@@ -1,4 +1,4 @@
-"""A new process takes over from an old one: on one socket, and counted as one gateway."""
+"""An upgrade: a new process takes over from an old one, on the same socket and as the same gateway."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from pathlib import Path
 
 import pytest
-from helpers import World as Decisions
+from helpers import World as PolicyWorld
 from helpers import counts, entry, refusals, sends
 from operator_calls import call
-from upgrade_site import Site, site
+from upgrade_site import UpgradeSite, running_site
 
 from switchline.operators.overrides import private_file
 from switchline.policy import interface as api
@@ -24,16 +24,18 @@
 from testbed.stand_ins.single_gateway import in_loop, request
 
 
-async def send_requests(made: Site, client: int, answers: list[object], over: asyncio.Event) -> None:
-    """A client that keeps its connection, and sends a request a second time if a close crossed it."""
-    peer = await made.client()
+async def send_requests(
+    site: UpgradeSite, client: int, answers: list[object], stopped: asyncio.Event
+) -> None:
+    """Send requests on one connection; if it closes before the reply, send the request again on a new one."""
+    peer = await site.client()
     number = 0
-    while not over.is_set():
+    while not stopped.is_set():
         number += 1
         peer.send(*request(b"c%dn%d" % (client, number), name=b"wipe"))
         answer = await peer.receive()
         if answer is None:
-            peer = await made.client()
+            peer = await site.client()
             peer.send(*request(b"c%dn%d" % (client, number), name=b"wipe"))
             answer = await peer.receive()
         answers.append(answer)
@@ -41,161 +43,162 @@
     peer.close()
 
 
-def test_no_request_is_lost_and_the_old_process_leaves(tmp_path: Path) -> None:
+def test_an_upgrade_loses_no_request_and_the_old_process_ends(tmp_path: Path) -> None:
     async def scenario() -> None:
         answers: list[object] = []
-        over = asyncio.Event()
+        stopped = asyncio.Event()
 
-        async with site(tmp_path, Backend(), Backend()) as made:
-            old = await made.start()
-            clients = [asyncio.create_task(send_requests(made, n, answers, over)) for n in range(5)]
+        async with running_site(tmp_path, Backend(), Backend()) as site:
+            old = await site.start()
+            clients = [asyncio.create_task(send_requests(site, n, answers, stopped)) for n in range(5)]
             await until(lambda: len(answers) > 50)
-            idle = await made.client()
+            idle = await site.client()
             idle.send(b"PING")
             assert await idle.receive() == b"PONG"
-            await made.start()
+            await site.start()
             idle.send(b"PING")  # the gateway is not drained
             assert await idle.receive() == b"PONG"
-            assert await old.wait() == 0  # by itself: nothing is left to do for it
+            assert await old.wait() == 0  # it ends by itself, as it has no client or request any more
             seen = len(answers)
             await until(lambda: len(answers) > seen + 50)
-            over.set()
+            stopped.set()
             await asyncio.gather(*clients)
             assert set(answers) == {b"value"}
 
     in_loop(scenario)
 
 
-def test_requests_open_at_the_old_process_are_answered_by_it(tmp_path: Path) -> None:
+def test_the_old_process_answers_its_requests_in_flight(tmp_path: Path) -> None:
     async def scenario() -> None:
-        go_on = asyncio.Event()
+        release_reply = asyncio.Event()
 
         async def script(command: list[bytes]) -> Reply:
             if command[2] == b"r1":
-                await go_on.wait()
+                await release_reply.wait()
             return b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
         backend = Backend(script)
-        async with site(tmp_path, backend) as made:
-            old = await made.start()
-            peer = await made.client()
+        async with running_site(tmp_path, backend) as site:
+            old = await site.start()
+            peer = await site.client()
             peer.send(*request(b"r1", name=b"wipe"))
             await until(lambda: backend.got)
-            await made.start()
+            await site.start()
             old.send_signal(signal.SIGTERM)
-            late = await made.client()
-            late.send(*request(b"r2", name=b"wipe"))
-            assert await late.receive() == b"value"
-            go_on.set()
+            late_client = await site.client()
+            late_client.send(*request(b"r2", name=b"wipe"))
+            assert await late_client.receive() == b"value"
+            release_reply.set()
             assert [await peer.receive(), await peer.receive()] == [b"value", None]
             assert await old.wait() == 0
 
     in_loop(scenario)
 
 
-def test_quotas_and_overrides_pass_over(tmp_path: Path) -> None:
+def test_spent_quotas_and_overrides_are_handed_over(tmp_path: Path) -> None:
     async def scenario() -> None:
         backends = Backend(), Backend()
-        async with site(tmp_path, *backends) as made:
-            given = json.loads(made.config.read_text())
-            given["settings"]["packages"][1]["rate"] = 0.01  # nothing comes back while the test runs
-            given["settings"]["familyInfo"]["mayCount"] = False  # only what the old process tells counts
-            made.config.write_text(json.dumps(given))
-            await made.start()
-            peer = await made.client()
+        async with running_site(tmp_path, *backends) as site:
+            config = json.loads(site.config.read_text())
+            # The rate is so low that no unit is refilled during the test, and the counter is not read.
+            config["settings"]["packages"][1]["rate"] = 0.01
+            config["settings"]["familyInfo"]["mayCount"] = False
+            site.config.write_text(json.dumps(config))
+            await site.start()
+            peer = await site.client()
             number = 0
-            while await made.world.ask(peer, id=b"a%d" % number, plan=b"basic", name=b"wipe") == b"value":
+            while await site.world.ask(peer, id=b"a%d" % number, plan=b"basic", name=b"wipe") == b"value":
                 number += 1  # until the burst is spent
             assert number >= 2
-            assert (await call(made.world, "POST", "/ops/backends/down", b'{"id": "h0"}'))[0] == 200
-            await made.start()
-            late = await made.client()
-            assert "BUSY" in str(await made.world.ask(late, id=b"b1", plan=b"basic"))
+            assert (await call(site.world, "POST", "/ops/backends/down", b'{"id": "h0"}'))[0] == 200
+            await site.start()
+            late_client = await site.client()
+            assert "BUSY" in str(await site.world.ask(late_client, id=b"b1", plan=b"basic"))
             before = len(backends[0].got)
             for number in range(20):
                 verb, _, *rest = request(b"d%d" % number, name=b"wipe")
-                late.send(verb, b"%016x" % number, *rest)  # other customers, with quotas of their own
-                assert await late.receive() == b"value"
+                late_client.send(verb, b"%016x" % number, *rest)  # other customers, with quotas of their own
+                assert await late_client.receive() == b"value"
             assert len(backends[0].got) == before
 
     in_loop(scenario)
 
 
 @pytest.mark.parametrize("kind", ["file", "dead", "garbage", "silent"])
-def test_nothing_in_the_old_process_s_place_harms_a_start(
+def test_a_start_succeeds_with_a_broken_or_silent_peer_socket(
     kind: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        place = private_file("n0", "beside.sock")
-        found: asyncio.Server | None = None
+        socket_path = private_file("n0", "beside.sock")
+        server: asyncio.Server | None = None
 
-        async def speak(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def reply_as_old_process(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             if kind == "garbage":
                 writer.write(b'["gateway", "x"]\n["customer", 1]\n["spent"]\n[]\n{\n')
 
         if kind == "file":
-            place.write_text("what")
+            socket_path.write_text("what")
         elif kind == "dead":
             with socket.socket(socket.AF_UNIX) as dead:
-                dead.bind(os.fspath(place))
+                dead.bind(os.fspath(socket_path))
         else:
-            found = await asyncio.start_unix_server(speak, place)
-        async with site(tmp_path, Backend()) as made:
-            await made.start()
-            assert await made.world.ask(await made.client(), name=b"wipe") == b"value"
-            if found is not None:
-                found.close()
-            await made.start()
-            assert await made.world.ask(await made.client(), name=b"wipe") == b"value"
+            server = await asyncio.start_unix_server(reply_as_old_process, socket_path)
+        async with running_site(tmp_path, Backend()) as site:
+            await site.start()
+            assert await site.world.ask(await site.client(), name=b"wipe") == b"value"
+            if server is not None:
+                server.close()
+            await site.start()
+            assert await site.world.ask(await site.client(), name=b"wipe") == b"value"
 
     in_loop(scenario)
 
 
-def join(old: Decisions, new: Decisions) -> None:
-    """Let the new gateway take over; `pass_on` carries what they tell each other."""
+def hand_over_state(old: PolicyWorld, new: PolicyWorld) -> None:
+    """Replicate the state of the old gateway to the new one."""
     old.give(api.PeerProcessJoined())
-    pass_on(old, new)
+    exchange_messages(old, new)
 
 
-def pass_on(one: Decisions, other: Decisions) -> None:
-    for source, target in ((one, other), (other, one)):
-        told = [a for _, a in source.log if isinstance(a, api.Replicate)]
+def exchange_messages(first: PolicyWorld, second: PolicyWorld) -> None:
+    for source, target in ((first, second), (second, first)):
+        replicated = [a for _, a in source.log if isinstance(a, api.Replicate)]
         source.log.clear()
-        for tell in told:
+        for action in replicated:
             target.give(
-                api.PeerProcessMessage(decode_record(json.loads(json.dumps(encode_record(tell.record)))))
+                api.PeerProcessMessage(decode_record(json.loads(json.dumps(encode_record(action.record)))))
             )
 
 
 def test_two_processes_share_buckets_and_ceilings() -> None:
-    old, new = Decisions(seed=1), Decisions(seed=2)
-    alone = Decisions(seed=3)
+    old, new = PolicyWorld(seed=1), PolicyWorld(seed=2)
+    alone = PolicyWorld(seed=3)
     for world in (old, alone):
         world.pass_time(2_000)
     new.now = old.now
-    let_in = {"both": 0, "alone": 0}
-    let_in["both"] += len(sends(old.ask(plan="firm")))
-    let_in["alone"] += len(sends(alone.ask(plan="firm")))
-    join(old, new)
+    admitted_requests = {"both": 0, "alone": 0}
+    admitted_requests["both"] += len(sends(old.ask(plan="firm")))
+    admitted_requests["alone"] += len(sends(alone.ask(plan="firm")))
+    hand_over_state(old, new)
     for turn in range(200):
         one = (old, new)[turn % 2]
         for world, name in ((one, "both"), (alone, "alone")):
-            made = sends(world.ask(plan="firm"))
-            let_in[name] += len(made)
-            for send in made:
+            sent = sends(world.ask(plan="firm"))
+            admitted_requests[name] += len(sent)
+            for send in sent:
                 world.end(send)
-        pass_on(old, new)
-    assert 0 < let_in["both"] <= let_in["alone"]
+        exchange_messages(old, new)
+    assert 0 < admitted_requests["both"] <= admitted_requests["alone"]
     mine, theirs = new.gateway.customers.by_key["c"], old.gateway.customers.by_key["c"]
     assert abs(mine.ceiling_tokens - theirs.ceiling_tokens) < 1e-6 and abs(mine.tokens - theirs.tokens) < 1e-6
 
 
-def test_only_the_new_process_calls_the_counter_and_it_says_all_wants() -> None:
-    old, new = Decisions(), Decisions()
-    join(old, new)
+def test_only_the_new_process_calls_the_counter_and_reports_the_demand_of_both() -> None:
+    old, new = PolicyWorld(), PolicyWorld()
+    hand_over_state(old, new)
     asked = [a for _ in range(5) for a in old.ask()]
     assert not counts(asked) and (sends(asked) or refusals(asked))
-    pass_on(old, new)
+    exchange_messages(old, new)
     assert new.gateway.customers.by_key["c"].unreported_units == 5
     new.give(api.PeerProcessLeft())
     old.give(api.PeerProcessLeft())
@@ -204,9 +207,9 @@
 
 
 def test_a_malformed_record_of_a_peer_process_changes_nothing() -> None:
-    world = Decisions([entry(1)])
+    world = PolicyWorld([entry(1)])
     world.ask()
-    for said in (
+    for message in (
         ["spent", "c", "basic", 1, 0, float("nan"), 0, 0, 0],
         ["spent", "c", "nothing", 1, 0, 0, 0, 0, 0],
         ["customer", "d", "basic", 0, [1, 2]],
@@ -215,28 +218,31 @@
         ["what"],
     ):
         with pytest.raises((ValueError, TypeError)):
-            world.give(api.PeerProcessMessage(decode_record(said)))
+            world.give(api.PeerProcessMessage(decode_record(message)))
     assert list(world.gateway.customers.by_key) == ["c"]
 
 
-def test_the_gossip_link_passes_to_the_new_process(tmp_path: Path) -> None:
-    """The other gateways see one member all along: with the old incarnation, and then with the new one."""
+def test_the_new_process_takes_over_the_fleet_member(tmp_path: Path) -> None:
+    """The other gateways see a single member, first with the old incarnation and then with the new one."""
 
     async def scenario() -> None:
         (tmp_path / "secret").write_text("a secret that is long enough")
         own, other = claimed_port(), claimed_port()
 
-        def line(listen: int, seed: int) -> dict[str, object]:
+        def fleet_settings(listen: int, seed: int) -> dict[str, object]:
             at, seeds = f"{LOCAL}:{listen}", [f"{LOCAL}:{seed}"]
             return {"name": "f", "listen": at, "seeds": seeds, "secret": str(tmp_path / "secret")}
 
         (tmp_path / "a").mkdir()
         (tmp_path / "b").mkdir()
-        async with site(tmp_path / "a", Backend()) as place, site(tmp_path / "b", Backend()) as watcher:
+        async with (
+            running_site(tmp_path / "a", Backend()) as site,
+            running_site(tmp_path / "b", Backend()) as watcher,
+        ):
             watcher.world.name = "n1"
-            for which, table in ((place, line(own, other)), (watcher, line(other, own))):
-                given = json.loads(which.config.read_text())
-                which.config.write_text(json.dumps({**given, "name": which.world.name, "fleet": table}))
+            for which, table in ((site, fleet_settings(own, other)), (watcher, fleet_settings(other, own))):
+                config = json.loads(which.config.read_text())
+                which.config.write_text(json.dumps({**config, "name": which.world.name, "fleet": table}))
             await watcher.start()
 
             async def member_row() -> dict[str, object]:
@@ -245,14 +251,14 @@
                 assert row.get("state") in (None, "alive", "suspect")
                 return row
 
-            old = await place.start()
+            old = await site.start()
             while not (first := await member_row()):
                 await asyncio.sleep(0.05)
-            await place.start()
+            await site.start()
             while (await member_row())["life"] <= first["life"]:  # type: ignore[operator]
                 await asyncio.sleep(0.05)
             await old.wait()
-            await asyncio.sleep(1.0)  # longer than an answer to a ping may take
+            await asyncio.sleep(1.0)  # longer than the timeout of a ping
             assert (await member_row())["state"] in ("alive", "suspect")
 
     in_loop(scenario)
