--- a/switchline/fleet/outage.py
+++ b/switchline/fleet/outage.py
@@ -1,8 +1,8 @@
-"""Whether the whole fleet lost power, judged by what its gateways publish of their own downtimes. Pure.
+"""Judges from the gateways' published downtimes whether the whole fleet lost power. Pure: no I/O, no clock.
 
-A process that begins after a crash publishes for a while how long its gateway was down, by its own clock on
-both ends, so that clocks that differ do no harm. No gateway's own guess counts: it takes a majority of those
-that are present.
+A process that starts after a crash publishes for a while how long its gateway was down. Both ends of that
+time are from its own clock, so differences between clocks do not matter. No single gateway's downtime
+decides: it takes a majority of the present gateways.
 """
 
 from __future__ import annotations
@@ -12,20 +12,21 @@
 from dataclasses import dataclass
 from statistics import median
 
-UNKNOWN_DOWNTIME = "?"  # published where the disk tells of no earlier process
-DOWNTIME_PUBLISHED_S = 20.0  # since a process began: about a backend's slow start
-OLD_DISK_S = 10.0  # down for so much longer than the others: more likely its disk holds an old copy
-MAX_OUTAGE_S = 600.0  # after a longer downtime no backend is cold from it
+UNKNOWN_DOWNTIME = "?"  # published if the disk has no record of an earlier process
+DOWNTIME_PUBLISHED_S = 20.0  # time after a process starts, about as long as a backend's slow start
+# A downtime longer than the others' by more than this means that the disk more likely holds an old copy.
+OLD_DISK_MARGIN_S = 10.0
+MAX_OUTAGE_S = 600.0  # after a longer downtime backends are no longer cold because of it
 MAX_DOWNTIME_CHARS = 12
-LEAST_OTHERS = 2  # whose downtimes show that a disk is old
+MIN_OTHER_DOWNTIMES = 2  # other gateways' known downtimes that are needed to call a disk old
 
 
 def decode_downtime(value: str | None) -> float | None:
-    """Return the seconds that a gateway publishes as its downtime.
+    """Return the downtime that a gateway publishes.
 
     Returns:
-        The downtime; NaN where the gateway does not know it, or the value is spoilt; None where it publishes
-        none.
+        The downtime in seconds; NaN if the gateway does not know it or the value is invalid; None if it
+        publishes none.
     """
     if value is None:
         return None
@@ -38,14 +39,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OutageVerdict:
-    """What this gateway makes of the downtimes.
+    """What the published downtimes show.
 
     Attributes:
         is_common: Whether most of the fleet lost power.
         has_old_disk: Whether this gateway's disk holds an older state than the others'.
-        restarted_gateways: Gateways that began lately, this one too.
-        present_gateways: All that are present.
-        median_downtime_s: The median downtime, if the outage was common; else 0.
+        restarted_gateways: Number of present gateways that started lately, including this one if it did.
+        present_gateways: Number of all present gateways, including this one.
+        median_downtime_s: The median downtime in seconds if most of the fleet lost power; else 0.
     """
 
     is_common: bool
@@ -56,22 +57,24 @@
 
 
 def judge_outage(own: float | None, others: Iterable[float | None]) -> OutageVerdict:
-    """Judge whether the outage was common, and whether the own disk is old.
+    """Judge whether most of the fleet lost power, and whether this gateway's disk is old.
 
-    It is common once most of those that are present began lately, at least two, and one of them knows of an
-    earlier process: else a fleet starts for the first time. A gateway that is alone in this joins a fleet
-    that was up.
+    Most of the fleet lost power if more than half of the present gateways, at least two of them, started
+    lately, and one of them knows a downtime of at most `MAX_OUTAGE_S`. If none knows one, the fleet starts
+    for the first time. A gateway that alone started lately joins a fleet that kept running.
 
     Args:
         own: This gateway's downtime, as `decode_downtime` gives it.
-        others: Likewise of each other gateway that is present.
+        others: The downtime of each other present gateway, likewise.
     """
     downtimes = list(others)
     restarted = [down_s for down_s in (own, *downtimes) if down_s is not None]
     known = [down_s for down_s in restarted if not math.isnan(down_s) and down_s <= MAX_OUTAGE_S]
     is_majority = len(restarted) >= 2 and 2 * len(restarted) > 1 + len(downtimes)
-    common = own is not None and is_majority and bool(known)
-    of_others = [down_s for down_s in downtimes if down_s is not None and not math.isnan(down_s)]
-    comparable = own is not None and not math.isnan(own) and len(of_others) >= LEAST_OTHERS
-    old = comparable and own is not None and own > median(of_others) + OLD_DISK_S
-    return OutageVerdict(common, old, len(restarted), 1 + len(downtimes), median(known) if common else 0.0)
+    is_common = own is not None and is_majority and bool(known)
+    known_others = [down_s for down_s in downtimes if down_s is not None and not math.isnan(down_s)]
+    comparable = own is not None and not math.isnan(own) and len(known_others) >= MIN_OTHER_DOWNTIMES
+    has_old_disk = comparable and own is not None and own > median(known_others) + OLD_DISK_MARGIN_S
+    return OutageVerdict(
+        is_common, has_old_disk, len(restarted), 1 + len(downtimes), median(known) if is_common else 0.0
+    )
--- a/switchline/fleet/versions/__init__.py
+++ b/switchline/fleet/versions/__init__.py
@@ -1,1 +1,1 @@
-"""Stale versions: of endpoint lists, programs and configurations, and the quarantine that follows."""
+"""Detects stale versions of endpoint lists, programs and configurations, and quarantines stale gateways."""
--- a/switchline/fleet/versions/quarantine.py
+++ b/switchline/fleet/versions/quarantine.py
@@ -1,10 +1,11 @@
-"""Which gateways are quarantined because their versions stay stale: agreed without a leader. Pure.
-
-A stale gateway publishes that it wants to be quarantined, and is once more than half of all members grant it
-(`Quarantine`). Each member grants so few at a time (`QuarantineGrants`) that the grants of all suffice for no
-more than the part that `max_quarantined` allows: with g grants of each and more than half needed, fewer than
-2g can be quarantined. A member that begins grants nothing until all have heard of it. A gateway leaves
-quarantine once it is up to date for `Quarantine.recovery_s`, in a minority, or where operators spare it.
+"""Quarantine of gateways whose versions stay stale, agreed on without a leader. Pure: no I/O, no clock.
+
+A stale gateway publishes that it wants to be quarantined, and enters quarantine once more than half of all
+members grant it (`Quarantine`). Each member grants only a few quarantines at a time (`QuarantineGrants`), so
+that all grants together suffice for at most `max_quarantined` gateways: with g grants by each member and more
+than half needed, fewer than 2g gateways can be quarantined. A member that has just started grants nothing
+until all have received its new incarnation. A gateway leaves quarantine once it has been up to date for
+`Quarantine.recovery_s`, is in a minority, or is spared by operators.
 """
 
 from __future__ import annotations
@@ -21,11 +22,13 @@
 from switchline.fleet.messages import Incarnation, MemberState
 from switchline.fleet.versions.staleness import VersionFloors, VersionKind, parse_list_seq, seq_or_no_list
 
-MEMBERS_PER_QUARANTINED = 5  # of so many members one may be quarantined
-RECOVERY_S = 3.0  # up to date for so long before it is back; twice as long for each time
+MEMBERS_PER_QUARANTINED = 5  # one of this many members may be quarantined
+# How long a gateway must be up to date before it leaves quarantine; doubled by each repeated quarantine.
+RECOVERY_S = 3.0
 MAX_RECOVERY_S = 60.0
-REPEAT_WINDOW_S = 600.0  # quarantined again so soon: it counts as one more time
-GRANT_DELAY_S = 5.0  # since its start a member grants nothing: its earlier process is known to be over then
+REPEAT_WINDOW_S = 600.0  # a quarantine that begins within this time of the last one is a repeated one
+# A member grants nothing for this long after its start. Then all know that its earlier process has ended.
+GRANT_DELAY_S = 5.0
 NO_FLOORS = VersionFloors()
 
 
@@ -38,12 +41,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StalenessView:
-    """What a gateway knows of stale versions.
+    """What a gateway knows about stale versions.
 
     Attributes:
-        list_seq: The number of its own endpoint list.
-        is_list_stale: Whether most have a newer list.
-        spared: Names of gateways that operators keep from quarantine.
+        list_seq: The sequence number of its own endpoint list; `NO_LIST` if it has none.
+        is_list_stale: Whether most gateways have a newer list.
+        spared: Names of gateways that operators spare from quarantine.
         floors: Versions below which a gateway is stale.
     """
 
@@ -54,12 +57,15 @@
 
 
 def max_quarantined(members: int) -> int:
-    """Return how many of so many members may be quarantined at once; at least one is not."""
+    """Return how many of `members` members may be quarantined at once; at least one member is not."""
     return max(0, min(members // MEMBERS_PER_QUARANTINED, members - 1))
 
 
-def grants_of_each(members: int) -> int:
-    """Return how many quarantines each member may grant at once: with g, 2g - 1 is the most there can be."""
+def max_grants_per_member(members: int) -> int:
+    """Return how many quarantines each member may grant at once.
+
+    With g grants by each member, at most 2g - 1 gateways can be quarantined.
+    """
     return (max_quarantined(members) + 1) // 2
 
 
@@ -69,7 +75,7 @@
 
 
 def version_below_floor(facts: Facts, name: str, list_seq: int, floors: VersionFloors) -> VersionKind | None:
-    """Return which version of a gateway, as it publishes them, is below its floor."""
+    """Return which published version of a gateway is below its floor; None if none is."""
     release = facts.value(FactKind.RELEASE, "", name)
     return floors.stale_version(list_seq, release, facts.value(FactKind.CONFIG, "", name))
 
@@ -81,27 +87,27 @@
 
 
 class Quarantine:
-    """Owns one gateway's part: whether it is quarantined, and whom it grants it. Times are seconds."""
+    """Owns whether this gateway is quarantined, and its grants to others. Times are monotonic seconds."""
 
-    def __init__(self, patience_s: float, began_s: float) -> None:
+    def __init__(self, quarantine_after_s: float, started_at_s: float) -> None:
         """Begin out of quarantine.
 
         Args:
-            patience_s: How long it is stale before it wants to be quarantined; 0: it never does.
-            began_s: When this process began.
+            quarantine_after_s: How long it is stale before it wants to be quarantined; 0 means never.
+            started_at_s: When this process started.
         """
-        self.patience_s = patience_s
-        self.is_quarantined = False  # whether it is quarantined
-        self.stale_version = ""  # of the version that is stale; empty for none
-        self.reason = ""  # of the last change
-        self._grants = QuarantineGrants(began_s)
+        self.quarantine_after_s = quarantine_after_s
+        self.is_quarantined = False
+        self.stale_version = ""  # a `VersionKind`; empty if no version is stale
+        self.reason = ""  # of the last change of `is_quarantined`
+        self._grants = QuarantineGrants(started_at_s)
         self._stale_since_s = math.inf
-        self._current_since_s = -math.inf
+        self._up_to_date_since_s = -math.inf
         self._quarantined_at_s = -math.inf
-        self._times = 0
+        self._repeat_count = 0
 
     def evaluate(self, endpoint: ProtocolEndpoint, now_s: float, wall_ms: float, view: StalenessView) -> bool:
-        """Publish what this gateway wants and grants; return whether it is to be quarantined now."""
+        """Publish whether this gateway wants quarantine, and its grants; return whether it is quarantined."""
         facts = endpoint.facts
         members = endpoint.members
         me = members.me
@@ -109,7 +115,7 @@
         stale = stale or version_below_floor(facts, me.name, view.list_seq, view.floors)
         self.stale_version = stale.value if stale is not None else ""
         self._grants.update(endpoint, now_s, wall_ms, view, stale is not None)
-        self._note_staleness(stale is not None, now_s)
+        self._track_staleness(stale is not None, now_s)
         wants = self._wants(facts, members, now_s, view.spared)
         granted = wants and 2 * grants_for(facts, members) > members.not_left
         if self.is_quarantined and wants and not granted:
@@ -120,40 +126,40 @@
         facts.offer(wall_ms, FactKind.QUARANTINE, "", state if wants else None)
         return self.is_quarantined
 
-    def _note_staleness(self, is_stale: bool, now_s: float) -> None:
+    def _track_staleness(self, is_stale: bool, now_s: float) -> None:
         if is_stale:
             self._stale_since_s = min(now_s, self._stale_since_s)
-            self._current_since_s = math.inf
+            self._up_to_date_since_s = math.inf
         else:
             self._stale_since_s = math.inf
-            self._current_since_s = min(now_s, self._current_since_s)
+            self._up_to_date_since_s = min(now_s, self._up_to_date_since_s)
 
     def _wants(self, facts: Facts, members: Members, now_s: float, spared: Collection[str]) -> bool:
-        """Return whether this gateway wants to be quarantined, or to stay so; end it where it may not be.
+        """Return whether this gateway wants to enter quarantine or to stay in it; end one that must not last.
 
-        It wants to be once it is stale for `patience_s`, and to stay so until it is up to date for
-        `recovery_s`.
+        It wants to enter once it has been stale for `quarantine_after_s`, and to stay until it has been up to
+        date for `recovery_s`.
         """
         name = members.me.name
         is_lone = members.minority or members.superseded
-        if is_lone or name in spared or not self.patience_s:
+        if is_lone or name in spared or not self.quarantine_after_s:
             self._end("it is in a minority" if is_lone else "operators spare it")
             return False
         if not self.is_quarantined and facts.value(FactKind.QUARANTINE, "", name) is None:
-            return now_s - self._stale_since_s >= self.patience_s
-        if self.stale_version or now_s - self._current_since_s < self.recovery_s:
+            return now_s - self._stale_since_s >= self.quarantine_after_s
+        if self.stale_version or now_s - self._up_to_date_since_s < self.recovery_s:
             return True
         self._end("it is level again")
         return False
 
     @property
     def recovery_s(self) -> float:
-        """How long it must be up to date before it is back: longer each time, up to a bound."""
-        return float(min(MAX_RECOVERY_S, RECOVERY_S * 2 ** max(0, self._times - 1)))
+        """Seconds of being up to date that end a quarantine; doubled by each repeat, up to a limit."""
+        return float(min(MAX_RECOVERY_S, RECOVERY_S * 2 ** max(0, self._repeat_count - 1)))
 
     def _begin(self, now_s: float) -> None:
         is_repeat = now_s - self._quarantined_at_s < REPEAT_WINDOW_S
-        self._times = self._times + 1 if is_repeat else 1
+        self._repeat_count = self._repeat_count + 1 if is_repeat else 1
         self.is_quarantined = True
         self._quarantined_at_s = now_s
         stale_s = now_s - self._stale_since_s
@@ -166,7 +172,7 @@
 
 
 def grants_for(facts: Facts, members: Members) -> int:
-    """Return how many members that are present grant quarantine to this incarnation of this gateway."""
+    """Return how many present members grant quarantine to this gateway's current incarnation."""
     me = members.me
     present = members.present
     granted = grant_value(me.incarnation)
@@ -184,9 +190,9 @@
 class QuarantineGrants:
     """Owns the quarantines that one gateway grants to others."""
 
-    def __init__(self, began_s: float) -> None:
-        """`began_s`: when this process began."""
-        self.began_s = began_s
+    def __init__(self, started_at_s: float) -> None:
+        """Begin without grants; this process started at `started_at_s`."""
+        self.started_at_s = started_at_s
 
     def update(
         self,
@@ -196,14 +202,14 @@
         view: StalenessView,
         is_stale: bool,
     ) -> None:
-        """Withdraw the grants that none needs any more, and grant quarantine to stale gateways that want it.
+        """Withdraw grants that are no longer needed, and grant quarantine to stale gateways that want it.
 
-        A gateway in a minority, one that is stale itself and one that has just begun grant none.
+        A gateway that is in a minority, is stale itself or has just started makes no new grants.
         """
         facts = endpoint.facts
         members = endpoint.members
         granted = self._withdraw_needless(facts, members, wall_ms)
-        if members.minority or is_stale or now_s - self.began_s < GRANT_DELAY_S:
+        if members.minority or is_stale or now_s - self.started_at_s < GRANT_DELAY_S:
             return
         wanted = {
             origin
@@ -211,7 +217,7 @@
             if stored.entry.value in (QuarantineState.WANTED, QuarantineState.QUARANTINED)
         }
         for name in sorted((wanted & members.present.keys()) - granted):
-            if len(granted) >= grants_of_each(members.not_left):
+            if len(granted) >= max_grants_per_member(members.not_left):
                 return
             if name not in view.spared and self._is_stale(facts, name, view):
                 incarnation = members.present[name].update.incarnation
@@ -220,15 +226,15 @@
 
     @staticmethod
     def _is_stale(facts: Facts, name: str, view: StalenessView) -> bool:
-        """Return whether a gateway has an older list than this one, or a version below a floor."""
+        """Return whether a gateway's list is older than this one's, or a version is below its floor."""
         list_seq = seq_or_no_list(parse_list_seq(facts.value(FactKind.LIST, "", name)))
         return list_seq < view.list_seq or bool(version_below_floor(facts, name, list_seq, view.floors))
 
     @staticmethod
     def _withdraw_needless(facts: Facts, members: Members, wall_ms: float) -> set[str]:
-        """Withdraw grants that none needs any more; return the names of the gateways that have one still.
+        """Withdraw grants that are no longer needed; return the names of the gateways still granted one.
 
-        A grant to a gateway that is dead stays: it may be quarantined, and is not known to be back.
+        A grant to a dead gateway stays: it may be quarantined, as nobody knows that it has left quarantine.
         """
         me = members.me.name
         grants = {
--- a/switchline/fleet/versions/staleness.py
+++ b/switchline/fleet/versions/staleness.py
@@ -1,4 +1,4 @@
-"""Whether this gateway's versions are stale, and what others' newer endpoint lists take away alike. Pure."""
+"""Detects stale versions, and finds the changes that other gateways' newer endpoint lists agree on. Pure."""
 
 from __future__ import annotations
 
@@ -11,20 +11,21 @@
 
 from switchline.fleet.messages import EndpointList
 
-DIVERGENT_S = 5.0  # a version that most don't have is shown to the operators after so long
-STALE_AFTER_S = 1.0  # most have a newer list for so long: an agent's usual delay is well below
-MAX_RELEASE_PARTS = 4  # numbers of a release that are compared
+DIVERGENCE_DELAY_S = 5.0  # operators are shown a version that most others lack after this time
+# A list is stale once most gateways have had a newer one for so long; an agent's usual delay is far shorter.
+STALE_AFTER_S = 1.0
+MAX_RELEASE_PARTS = 4  # a release has at most so many numbers
 CONFIG_DIGEST = re.compile(r"[0-9a-f]{4,64}")
 MAX_NUMBER_DIGITS = 18
-LEAST_AGREEING_LISTS = 2  # never one gateway's alone
-NO_LIST = -1  # below all numbers of lists
+MIN_AGREEING_LISTS = 2  # one other gateway's list alone changes nothing
+NO_LIST = -1  # stands for no list; lower than the sequence number of any list
 
-DiscoveryHost = dict[str, Any]  # a host as the discovery protocol gives it
+DiscoveryHost = dict[str, Any]  # a host in the form of the discovery protocol
 Release = tuple[int, ...]
 
 
 class VersionKind(StrEnum):
-    """What a gateway may have an old version of."""
+    """What a gateway may have a stale version of."""
 
     LIST = "list"
     PROGRAM = "program"
@@ -32,39 +33,39 @@
 
 
 class StaleListWatch:
-    """Owns since when most gateways that are present have a newer endpoint list than this one."""
+    """Owns since when most present gateways have a newer endpoint list than this one."""
 
     def __init__(self) -> None:
-        self.since_s: float | None = None
+        self.stale_since_s: float | None = None
 
     def is_stale(self, now_s: float, own: int, others: Iterable[int | None]) -> bool:
         """Return whether this gateway's list is stale.
 
-        It is once more than half of all gateways that are present, this one too, have had a newer list for
-        `STALE_AFTER_S`.
+        It is stale once more than half of all present gateways, including this one, have had a newer list
+        for `STALE_AFTER_S`.
 
         Args:
-            now_s: The time.
-            own: The number of its list.
-            others: The numbers of the others' lists; None where one is not known.
+            now_s: Monotonic time in seconds.
+            own: The sequence number of its list.
+            others: The sequence numbers of the others' lists; None for one that is not known.
         """
         known = list(others)
         if 2 * sum(other is not None and other > own for other in known) <= 1 + len(known):
-            self.since_s = None
+            self.stale_since_s = None
             return False
-        if self.since_s is None:
-            self.since_s = now_s
-        return now_s - self.since_s >= STALE_AFTER_S
+        if self.stale_since_s is None:
+            self.stale_since_s = now_s
+        return now_s - self.stale_since_s >= STALE_AFTER_S
 
 
 @dataclass(frozen=True, slots=True)
 class VersionFloors:
-    """Versions below which a gateway is stale, whatever most have; set by operators.
+    """Versions set by operators; a gateway below one is stale, whatever versions most gateways have.
 
     Attributes:
-        list_seq: Of the endpoint list.
-        release: Of the program.
-        configs: Digests of configurations: any of them will do; none for no floor.
+        list_seq: The lowest sequence number of the endpoint list.
+        release: The lowest release of the program; empty for no floor.
+        configs: Digests of the accepted configurations; empty for no floor.
     """
 
     list_seq: int = NO_LIST
@@ -75,7 +76,10 @@
         return self != VersionFloors()
 
     def stale_version(self, list_seq: int, release: str | None, config: str | None) -> VersionKind | None:
-        """Return which of a gateway's versions is below its floor; one that can't be read is below none."""
+        """Return which of a gateway's versions is below its floor; None if none is.
+
+        A release that is missing or can't be parsed, or a missing configuration, is not below a floor.
+        """
         if list_seq < self.list_seq:
             return VersionKind.LIST
         if (parse_release(release) or self.release) < self.release:
@@ -86,7 +90,7 @@
 
 
 def parse_release(text: str | None) -> Release | None:
-    """Return the numbers of a release such as 1.4.2, without zeros at its end; None for what is none."""
+    """Return the numbers of a release such as 1.4.2, without trailing zeros; None if it is invalid."""
     parts = (text or "").split(".")
     if len(parts) > MAX_RELEASE_PARTS:
         return None
@@ -99,7 +103,10 @@
 
 
 def parse_floors(names: Iterable[str]) -> VersionFloors:
-    """Return the floors that operators set: "list 43", "program 1.4.2", "config DIGEST"; others are none."""
+    """Return the version floors in operators' names; names of any other form are ignored.
+
+    The forms are "list 43", "program 1.4.2" and "config DIGEST".
+    """
     list_seq = NO_LIST
     release: Release = ()
     configs = set[str]()
@@ -115,31 +122,31 @@
 
 
 class VersionDivergence:
-    """Owns since when most gateways that are present have another version of something than this one.
+    """Owns since when most present gateways have another version of something than this one.
 
-    Nothing follows from it but that operators are shown it: during a roll-out the newcomer is the one that
-    differs.
+    It is only shown to operators and changes nothing else, as during a roll-out it is the first updated
+    gateway that differs.
     """
 
     def __init__(self) -> None:
-        self.majority_versions: dict[str, str] = {}  # by kind: what most have instead, once it has lasted
-        self._since_s: dict[str, float] = {}  # by kind
+        self.majority_versions: dict[str, str] = {}  # by kind, once most have had it for long
+        self._since_s: dict[str, float] = {}  # when the divergence began, by kind
 
     def update(self, now_s: float, kind: str, own: str, others: Iterable[str | None]) -> bool:
-        """Return whether what operators are shown of a kind has changed."""
+        """Update one kind of version; return whether `majority_versions` has changed for it."""
         other = other_majority_version(own, others)
         if other is None:
             self._since_s.pop(kind, None)
             return self.majority_versions.pop(kind, None) is not None
-        lasts = now_s - self._since_s.setdefault(kind, now_s) >= DIVERGENT_S
-        if not lasts or self.majority_versions.get(kind) == other:
+        is_due = now_s - self._since_s.setdefault(kind, now_s) >= DIVERGENCE_DELAY_S
+        if not is_due or self.majority_versions.get(kind) == other:
             return False
         self.majority_versions[kind] = other
         return True
 
 
 def other_majority_version(own: str, others: Iterable[str | None]) -> str | None:
-    """Return the version that more than half of all gateways have, this one too; None if it is the own."""
+    """Return the version that more than half of all gateways have; None if none, or if it is this one's."""
     known = list(others)
     counts = Counter(version for version in known if version)
     if not counts:
@@ -149,24 +156,24 @@
 
 
 def parse_list_seq(text: str | None) -> int | None:
-    """Return a list's number as another gateway publishes it; None for none."""
+    """Return the sequence number of a list from its published text; None if missing or invalid."""
     return int(text) if text is not None and text.isdecimal() and len(text) <= MAX_NUMBER_DIGITS else None
 
 
-def seq_or_no_list(number: int | None) -> int:
-    """Return a list's number, or `NO_LIST`, below all numbers, where there is no list."""
-    return NO_LIST if number is None else number
+def seq_or_no_list(seq: int | None) -> int:
+    """Return a list's sequence number, or `NO_LIST` if there is no list."""
+    return NO_LIST if seq is None else seq
 
 
 def removes_all(own: list[DiscoveryHost], changes: Iterable[DiscoveryHost]) -> bool:
-    """Return whether changes of the own list would leave no backend."""
+    """Return whether these changes to the own list would remove every backend."""
     return len([host for host in changes if host["health"] == "removed"]) == len(own)
 
 
 def restrictive_changes(own: Iterable[DiscoveryHost], newer: EndpointList) -> Iterator[DiscoveryHost]:
-    """Yield the hosts of the own list that a newer one drains, removes, or shows to have started again.
+    """Yield the hosts of the own list that a newer list drains, removes, or shows as restarted.
 
-    Nothing is added, and each host keeps the address by which this gateway reaches it.
+    No host is added, and each keeps the address at which this gateway reaches it.
     """
     newer_hosts = {host.host: host for host in newer.hosts}
     for host in own:
@@ -180,16 +187,16 @@
 
 
 def agreed_changes(own: list[DiscoveryHost], lists: list[EndpointList]) -> list[DiscoveryHost]:
-    """Return what at least two newer lists take away alike; a removal counts as a drain as well."""
+    """Return the drains and removals that at least two newer lists agree on; a removal is also a drain."""
     changes: dict[str, list[DiscoveryHost]] = {}
     for newer in lists:
         for host in restrictive_changes(own, newer):
             if host["health"] != "up":
                 changes.setdefault(str(host["host"]), []).append(host)
     agreed = []
-    for of_host in changes.values():
-        removals = sum(change["health"] == "removed" for change in of_host)
-        if len(of_host) >= LEAST_AGREEING_LISTS:
-            health = "removed" if removals >= LEAST_AGREEING_LISTS else "draining"
-            agreed.append(of_host[0] | {"health": health})
+    for host_changes in changes.values():
+        removals = sum(change["health"] == "removed" for change in host_changes)
+        if len(host_changes) >= MIN_AGREEING_LISTS:
+            health = "removed" if removals >= MIN_AGREEING_LISTS else "draining"
+            agreed.append(host_changes[0] | {"health": health})
     return agreed
--- a/switchline/zones/coordination.py
+++ b/switchline/zones/coordination.py
@@ -1,7 +1,8 @@
-"""Joins the fleet's decisions on zones with the running gateway.
+"""Connects the fleet's decisions on zones to the running gateway.
 
-`ZoneAgreement` decides with the other gateways; the policy follows its directives (`ZoneDirective`). Imported
-only with the configuration's table `fleet`; idle unless the endpoint list names several zones.
+`ZoneAgreement` decides with the other gateways; the policy follows its directives (`ZoneDirective`). It is
+imported only if the configuration has the table `fleet`, and idle unless the endpoint list names several
+zones.
 """
 
 from __future__ import annotations
@@ -22,16 +23,24 @@
 from switchline.policy import interface as api
 from switchline.service.driver import Driver, zone_metric_name
 from switchline.zones.agreement import ZoneAgreement
-from switchline.zones.decision import NO_DIRECTIVE, Directive, Row, ZoneState, decision_name, from_row, to_row
+from switchline.zones.decision import (
+    NO_DIRECTIVE,
+    DecisionRow,
+    Directive,
+    ZoneState,
+    decision_name,
+    entry_to_row,
+    row_to_entry,
+)
 from switchline.zones.ramp import backend_range
 from switchline.zones.reports import BACKEND_ID_DIGITS, LocalObservation
 from switchline.zones.returning import SlowStart
 
 log = logging.getLogger(__name__)
 
-URGENT_EVALUATION_INTERVAL_S = 0.05  # between two evaluations after a loss here, or an urgent fact
-EVALUATION_INTERVAL_S = 0.25  # between two evaluations else
-STATE_GAUGES = {ZoneState.UP: 0, ZoneState.RETURNING: 1, ZoneState.LEFT: 2}  # as the policy's own gauge
+URGENT_EVALUATION_INTERVAL_S = 0.05  # after a loss at this gateway, or an urgent fact
+EVALUATION_INTERVAL_S = 0.25  # without either
+STATE_GAUGES = {ZoneState.UP: 0, ZoneState.RETURNING: 1, ZoneState.LEFT: 2}  # as in the policy's gauge
 
 
 class ZoneCoordinator:
@@ -44,36 +53,36 @@
         self.agreement = ZoneAgreement(settings.zone, settings.index, settings.gateways, slow_start, rng)
         self.peers: GossipTransport | None = None
         self.directives: dict[str, Directive] = {}
-        self.record: AuditCallback = lambda kind, of, version, cause: None  # of the audit
-        self.store_decision: Callable[[str, Row], None] | None = None  # stores a decision on disk
+        self.record: AuditCallback = lambda kind, of, version, cause: None  # writes an audit record
+        self.store_decision: Callable[[str, DecisionRow], None] | None = None  # stores a decision on disk
         self._timer: asyncio.TimerHandle | None = None
-        self._losses = 0  # counted by the policy until the last evaluation
-        self._urgent = False
-        self._evaluated_s = 0.0
+        self._losses = 0  # the policy's count of lost attempts at the last evaluation
+        self._is_urgent = False
+        self._evaluated_at_s = 0.0
         self._logged_versions: dict[str, int] = {}
-        self._bound_logged = False
+        self._limit_logged = False
 
     def attach(self, peers: GossipTransport) -> None:
-        """Begin to take part: the fleet link is open, or open anew."""
+        """Begin to take part, as the transport to the other gateways is open, or open again."""
         self.peers = peers
         if self._timer is None:
             self._run_timer()
 
     def on_fact(self, entry: Entry) -> None:
-        """Take note of a fact that is new here."""
-        self._urgent |= self.agreement.is_urgent(entry.kind)
+        """Store a new decision, and evaluate early if the fact is urgent."""
+        self._is_urgent |= self.agreement.is_urgent(entry.kind)
         if entry.kind == FactKind.ZONE_DECISION and self.store_decision is not None:
-            self.store_decision(entry.name, to_row(entry))
+            self.store_decision(entry.name, entry_to_row(entry))
 
-    def restore(self, rows: Mapping[str, Row]) -> None:
-        """Merge decisions from disk at a start; they override none that the others know."""
+    def restore(self, rows: Mapping[str, DecisionRow]) -> None:
+        """Merge decisions from disk at a start. Newer ones of other gateways take precedence."""
         for name, row in rows.items():
-            entry = from_row(name, row)
+            entry = row_to_entry(name, row)
             if self.peers is not None and entry is not None:
                 self.peers.node.facts.merge(now_ms(), entry)
 
     def close(self) -> None:
-        """Stop: the fleet link is closed, and the gateway's own evidence holds."""
+        """Stop taking part. The policy then follows the gateway's own evidence."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -84,15 +93,15 @@
         self._timer = asyncio.get_running_loop().call_later(URGENT_EVALUATION_INTERVAL_S, self._run_timer)
         now_s = time.monotonic()
         losses = self.driver.gateway.zones.lost_attempts
-        due = now_s - self._evaluated_s >= EVALUATION_INTERVAL_S
-        if losses != self._losses or self._urgent or due:
+        due = now_s - self._evaluated_at_s >= EVALUATION_INTERVAL_S
+        if losses != self._losses or self._is_urgent or due:
             self._losses = losses
-            self._urgent = False
-            self._evaluated_s = now_s
+            self._is_urgent = False
+            self._evaluated_at_s = now_s
             self._evaluate(now_s)
 
     def _evaluate(self, now_s: float) -> None:
-        """Publish what was observed, take part in what is decided, and have the policy follow it."""
+        """Publish observations, take part in the decisions, and give the policy its directives."""
         gateway = self.driver.gateway
         if self.peers is None or not gateway.zones.is_multi_zone:
             self._follow({})
@@ -101,9 +110,9 @@
         load_per_s = gateway_status.attempt_rate_per_s(gateway, now_ms())
         self.agreement.regions = gateway.zones.regions
         directives = self.agreement.evaluate(self.peers.node, now_s, now_ms(), observations, load_per_s)
-        if self.peers.node.facts.refused["own"] and not self._bound_logged:
-            self._bound_logged = True
-            log.warning("not all is told to the other gateways: the bound on facts is reached")
+        if self.peers.node.facts.refused["own"] and not self._limit_logged:
+            self._limit_logged = True
+            log.warning("some facts are not published to the other gateways: a limit on facts is reached")
         self.peers.flush()
         self._follow(directives)
         self._log_decisions(self.peers)
@@ -117,7 +126,7 @@
         self.directives = directives
 
     def _log_decisions(self, peers: GossipTransport) -> None:
-        """Log and audit each decision that is new here."""
+        """Log and audit each decision whose version is new to this gateway."""
         facts = peers.node.facts
         observers = self.agreement.zone
         for zone in self.directives:
@@ -140,41 +149,41 @@
             self.record("zone", name, f"{version} {decision.state}{step}", decision.reason)
 
     def gauges(self) -> dict[str, int]:
-        """Return of each zone the fleet's state, version and step, and this gateway's part of a ramp."""
-        found: dict[str, int] = {}
+        """Return gauges by zone: the fleet's state, version, step and observers, and this gateway's share."""
+        gauges: dict[str, int] = {}
         for zone, view in self.describe().items():
             name = f"fleet.zone.{zone_metric_name(zone)}"
-            found[f"{name}.state"] = STATE_GAUGES[view["state"]]
+            gauges[f"{name}.state"] = STATE_GAUGES[view["state"]]
             for key in ("version", "step", "part", "observers"):
-                found[f"{name}.{key}"] = view[key]
-        return found
+                gauges[f"{name}.{key}"] = view[key]
+        return gauges
 
     def describe(self) -> dict[str, dict[str, Any]]:
-        """Return the view of `GET /ops/fleet`, by zone."""
+        """Return the decisions by zone, as `GET /ops/fleet` shows them."""
         if self.peers is None:
             return {}
         facts = self.peers.node.facts
         agreement = self.agreement
-        found = {}
+        described = {}
         for zone, directive in self.directives.items():
             decision = agreement.decision(facts, zone)
-            part = backend_range(decision.parts, agreement.place, agreement.places).width
-            found[zone] = {
+            share = backend_range(decision.weights, agreement.place, agreement.places).width
+            described[zone] = {
                 "state": decision.state,
                 "version": agreement.version(facts, zone),
                 "for": agreement.zone,
                 "step": decision.step,
                 "flaps": decision.flaps,
-                "part": round(1000 * part),  # in thousandths
+                "part": round(1000 * share),  # this gateway's share of the backends, in thousandths
                 "rate": round(directive.rate_per_s, 2),  # requests per second
                 "observers": sum(name == zone for name, _ in facts.of_kind(FactKind.ZONE_FOLLOWED)),
                 "why": decision.reason,
             }
-        return found
+        return described
 
 
 def observe_zones(gateway: Gateway, now: float) -> dict[str, LocalObservation]:
-    """Return what a gateway observes in each zone with usable backends; `now` in milliseconds."""
+    """Return what a gateway observes in each zone with usable backends; `now` is in milliseconds."""
     return {
         zone: LocalObservation(
             seen.usable, _ages_s(seen.lost_ms), _ages_s(seen.well_ms), seen.slow, seen.warm_ratio
@@ -185,17 +194,17 @@
 
 
 def _ages_s(ages_ms: Mapping[int, float]) -> dict[str, float]:
-    """Return ages in seconds by the published form of the backends' numbers."""
+    """Return ages in seconds, by the backends' published ids."""
     return {backend_id(backend): age_ms / 1000 for backend, age_ms in ages_ms.items()}
 
 
 def backend_id(backend: int) -> str:
-    """Return a backend's number as it is published: its last digits, hexadecimal."""
+    """Return a backend's published id: the last `BACKEND_ID_DIGITS` hexadecimal digits of its number."""
     return f"{backend:0{BACKEND_ID_DIGITS}x}"[-BACKEND_ID_DIGITS:]
 
 
 def to_policy(zone: str, directive: Directive) -> api.ZoneDirective:
-    """Return a directive as the policy takes it, with milliseconds for seconds."""
+    """Return the policy's form of a directive; its probe interval is in milliseconds."""
     return api.ZoneDirective(
         zone=zone,
         state=api.ZoneState(directive.state.value) if directive.state is not None else None,
--- a/switchline/zones/decision.py
+++ b/switchline/zones/decision.py
@@ -1,4 +1,4 @@
-"""Decisions of one zone's gateways on another: on the wire, on disk, and as the policy follows them. Pure."""
+"""Decisions of one zone's gateways on another zone: wire form, stored form and directive. Pure."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 from switchline.fleet.facts import Facts
 from switchline.fleet.messages import MAX_VALUE_CHARS, Entry
 
-RAMP_STEPS = 8
-MAX_FLAPS = 2  # the return takes twice as long for each
-MAX_PLACES = 320  # gateways whose parts a decision has room for
+RAMP_STEPS = 8  # steps of a ramp from cold to full use
+MAX_FLAPS = 2  # each counted flap doubles the length of the next return
+MAX_PLACES = 320  # gateway places that a decision has room for weights of
 MAX_REASON_CHARS = 80
 MAX_BACKENDS = 100_000
 
-Row = list[Any]  # on disk: origin, both numbers of its incarnation, version, time (ms), value
+# A stored decision: origin, both numbers of its incarnation, version, wall time (ms) and value.
+DecisionRow = list[Any]
 
 Rate = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
 
@@ -32,24 +33,27 @@
 
 
 class ZoneDecision(msgspec.Struct, array_like=True, frozen=True):
-    """The value of a `FactKind.ZONE_DECISION`. All but `state`, `flaps` and `reason` are of a ramp.
+    """The value of a `FactKind.ZONE_DECISION`.
+
+    All fields but `state`, `flaps` and `reason` apply to a ramp (`ZoneState.RETURNING`) only.
 
     Attributes:
         state: Whether the zone is used.
-        step: The step of the ramp that holds.
-        flaps: How often the zone was left again soon after a return.
-        backend_rate: Requests per second that a warm backend bears of these gateways.
-        backends: How many backends the ramp counts on.
-        parts: A hexadecimal digit for each gateway's place, its part of the rate; "" for even parts.
-        reason: For the log and the operators.
+        step: The current step of the ramp, from 0.
+        flaps: How often the zone was left again within `FLAP_WINDOW_S` after a decision.
+        backend_rate_per_s: Requests per second that a warm backend is taken to bear from these gateways.
+        backends: Number of backends that the ramp's rate is computed for.
+        weights: A hexadecimal digit for each gateway's place: its weight in dividing the rate; "" for
+            even shares.
+        reason: Why it was decided, shown in the log and to operators.
     """
 
     state: ZoneState
     step: Annotated[int, msgspec.Meta(ge=0, le=RAMP_STEPS)] = 0
     flaps: Annotated[int, msgspec.Meta(ge=0, le=MAX_FLAPS)] = 0
-    backend_rate: Rate = 0.0
+    backend_rate_per_s: Rate = 0.0
     backends: Annotated[int, msgspec.Meta(ge=0, le=MAX_BACKENDS)] = 0
-    parts: Annotated[str, msgspec.Meta(max_length=MAX_PLACES, pattern=r"^[0-9a-f]*$")] = ""
+    weights: Annotated[str, msgspec.Meta(max_length=MAX_PLACES, pattern=r"^[0-9a-f]*$")] = ""
     reason: Annotated[str, msgspec.Meta(max_length=MAX_REASON_CHARS)] = ""
 
 
@@ -58,12 +62,12 @@
     """What this gateway's policy is to do with a zone; see `ZoneDirective` of the policy.
 
     Attributes:
-        state: Whether the zone is used; None where the fleet has no decision that holds here.
-        rate_per_s: Of a ramp: requests per second that this gateway may send there.
-        capacity_ratio: Of a ramp: what each backend is asked for, as a ratio of a warm one.
-        probe_interval_s: Of a left zone: seconds between two tests by this gateway.
-        range_start: Of a ramp: where this gateway's range of the backends begins, from 0 to 1.
-        range_width: Of a ramp: how wide that range is, from 0 to 1.
+        state: Whether the zone is used; None if no decision of the fleet applies to this gateway.
+        rate_per_s: In a ramp: requests per second that this gateway may send to the zone.
+        capacity_ratio: In a ramp: the load of each backend, as a ratio of a warm one's.
+        probe_interval_s: For a zone that is left: seconds between two probes by this gateway.
+        range_start: In a ramp: the start of this gateway's range of backends, from 0 to 1.
+        range_width: In a ramp: the width of that range, from 0 to 1.
     """
 
     state: ZoneState | None
@@ -84,7 +88,7 @@
 
 
 def decode_decision(value: str | None) -> ZoneDecision:
-    """Return the decision in a fact's value; a missing or unreadable one leaves the zone in use."""
+    """Return the decision in a fact's value; a missing or invalid value gives `ZoneState.UP`."""
     try:
         return msgspec.json.decode(value, type=ZoneDecision) if value else ZoneDecision(ZoneState.UP)
     except msgspec.MsgspecError:
@@ -92,35 +96,35 @@
 
 
 def decision_name(observers: str, zone: str) -> str:
-    """Return the name of the fact: the decision of the gateways of `observers` on `zone`."""
+    """Return the name of the fact that holds the decision of the gateways of `observers` on `zone`."""
     return f"{observers}>{zone}"
 
 
-def target_of(name: str) -> str:
-    """Return the zone that a decision of this name is on."""
+def target_zone(name: str) -> str:
+    """Return the zone that the decision with this name of a fact is on."""
     return name.partition(">")[2]
 
 
 def decision_on(facts: Facts, observers: str, zone: str) -> ZoneDecision:
-    """Return the decision of the gateways of `observers` on `zone` that holds."""
+    """Return the decision that holds for the gateways of `observers` on `zone`."""
     return decode_decision(facts.value(FactKind.ZONE_DECISION, decision_name(observers, zone)))
 
 
 def version_on(facts: Facts, observers: str, zone: str) -> int:
-    """Return the version of that decision; 0 where none was ever made."""
+    """Return the version of the decision of the gateways of `observers` on `zone`; 0 if there is none."""
     return facts.version(FactKind.ZONE_DECISION, decision_name(observers, zone))
 
 
-def to_row(entry: Entry) -> Row:
-    """Return a decision as the value of its row."""
+def entry_to_row(entry: Entry) -> DecisionRow:
+    """Return the stored form of a decision's entry."""
     return [entry.origin, *entry.incarnation, entry.version, entry.at, entry.value]
 
 
-def from_row(name: str, row: Row) -> Entry | None:
-    """Return the decision in a row; None for what is none.
+def row_to_entry(name: str, row: DecisionRow) -> Entry | None:
+    """Return the entry in a stored row; None if the row is invalid.
 
-    A ramp is not resumed, as what the zone's backends bore before is not known to hold: the zone is left, and
-    tested anew. Where other gateways go on with that version, theirs overrides this one.
+    A ramp is not resumed, as the backends may no longer bear the load of its step: the entry leaves the zone,
+    so that it is probed again. If other gateways still follow the same version, their entry takes precedence.
     """
     try:
         origin, began, lot, version, at, value = row
--- a/switchline/zones/leaving.py
+++ b/switchline/zones/leaving.py
@@ -1,7 +1,7 @@
 """The rules by which a zone that is in use is left. Pure.
 
-`evidence_to_leave` says whether the evidence suffices; `is_panic` forbids it where too little would remain;
-the evidence must hold for `CONFIRMATION_S`. `switchline.zones.agreement` applies them.
+`evidence_to_leave` returns the evidence if it suffices, and `is_panic` forbids leaving if too few backends
+would remain. The evidence must hold for `CONFIRMATION_S`. `switchline.zones.agreement` applies these rules.
 """
 
 from __future__ import annotations
@@ -12,17 +12,20 @@
 from switchline.zones.evidence import PooledEvidence, pool_reports
 from switchline.zones.reports import ReceivedReport
 
-LEAVE_FAILURE_RATIO = 0.7  # pooled evidence: from here on a zone is left
-LEAST_LOST_VOTE_RATIO = 0.5
-LEAST_VOTES = 6  # observations since the losses began
-LEAST_UNANIMOUS_VOTES = 4  # where all of them are losses
-LEAST_BACKENDS = 3  # distinct ones that must be lost, or well again, in a zone that has so many
-LEAST_OBSERVERS = 2  # gateways of one zone, or zones
-LEAST_LOST_WITHOUT_ONE = 2  # backends lost whichever gateway's report is left out
-PANIC_REMAINING_RATIO = 0.3  # of all backends: nothing is left where fewer would remain
-CONFIRMATION_S = 0.12  # that a zone must go on failing: reports of answers have arrived by then
-FLAP_WINDOW_S = 60.0  # left again so soon after a decision counts as a flap
-NAMED_OBSERVERS = 3  # in a reason
+LEAVE_FAILURE_RATIO = 0.7  # a zone is left if its pooled `failure_ratio` is at least this
+MIN_LOST_OBSERVATION_RATIO = 0.5
+MIN_OBSERVATIONS = 6  # since the first counted loss
+MIN_UNANIMOUS_OBSERVATIONS = 4  # instead of `MIN_OBSERVATIONS`, if all of them are losses
+# Number of distinct backends that must be lost to leave a zone, or answer to return to it. A zone with fewer
+# usable backends needs fewer.
+MIN_BACKENDS = 3
+MIN_OBSERVERS = 2  # gateways of the own zone, or zones whose gateways report losses
+MIN_LOST_LEAVE_ONE_OUT = 2  # backends still lost without any single gateway's report
+PANIC_REMAINING_RATIO = 0.3  # a zone is not left if fewer than this share of all backends would remain
+# Seconds for which a zone must go on failing before it is left. Reports of answers have arrived by then.
+CONFIRMATION_S = 0.12
+FLAP_WINDOW_S = 60.0  # a zone left within this time after the last decision on it has flapped
+MAX_NAMED_OBSERVERS = 3  # names in the reason of a decision
 
 
 def is_failing(evidence: PooledEvidence, usable: int) -> bool:
@@ -32,49 +35,55 @@
         evidence: What the observers that count report together.
         usable: Number of the zone's backends.
     """
-    backends = len(evidence.lost) >= max(2, min(LEAST_BACKENDS, usable))
-    several_observers = evidence.lost_without_one >= LEAST_LOST_WITHOUT_ONE
-    votes = evidence.votes >= (LEAST_VOTES if evidence.lost_vote_ratio < 1 else LEAST_UNANIMOUS_VOTES)
-    ratio = evidence.failure_ratio >= LEAVE_FAILURE_RATIO
+    enough_backends = len(evidence.lost) >= max(2, min(MIN_BACKENDS, usable))
+    several_observers = evidence.lost_leave_one_out >= MIN_LOST_LEAVE_ONE_OUT
+    enough_observations = evidence.observation_count >= (
+        MIN_OBSERVATIONS if evidence.lost_observation_ratio < 1 else MIN_UNANIMOUS_OBSERVATIONS
+    )
+    is_ratio_high = evidence.failure_ratio >= LEAVE_FAILURE_RATIO
     return (
-        backends
+        enough_backends
         and several_observers
-        and votes
-        and ratio
-        and evidence.lost_vote_ratio >= LEAST_LOST_VOTE_RATIO
+        and enough_observations
+        and is_ratio_high
+        and evidence.lost_observation_ratio >= MIN_LOST_OBSERVATION_RATIO
     )
 
 
 def evidence_to_leave(
-    ours: PooledEvidence, reports: Collection[ReceivedReport], usable: int, alone: bool
+    own_evidence: PooledEvidence, reports: Collection[ReceivedReport], usable: int, is_sole_observer: bool
 ) -> PooledEvidence | None:
     """Return the evidence on which a zone is to be left, if there is any.
 
-    Backends lost by the gateways of one zone may be well from another, so the observers' own zone goes
-    first: its evidence suffices with two observers. The evidence of all zones together suffices where two
-    zones report losses; what the own zone's gateways had answers from does not count as lost then.
+    Backends that one zone's gateways cannot reach may answer another's, so the own zone's evidence is
+    checked first: it suffices with two observers. The evidence of all zones together suffices if gateways of
+    two zones report losses; backends that answered the own zone's gateways then do not count as lost.
 
     Args:
-        ours: The pooled evidence of the own zone's gateways.
+        own_evidence: The pooled evidence of the gateways of this gateway's zone.
         reports: All gateways' reports.
         usable: Number of the zone's backends.
-        alone: Whether no other gateway of the own zone is present.
+        is_sole_observer: Whether no other gateway of the own zone is present.
 
     Returns:
         The evidence to leave on; None where the zone stays in use.
     """
-    if is_failing(ours, usable) and len(ours.loss_observers) >= LEAST_OBSERVERS and not alone:
-        return ours
-    common = pool_reports(reports, vetoed=ours.healthy)
-    if is_failing(common, usable) and len(common.loss_zones) >= LEAST_OBSERVERS:
-        return common
+    if (
+        is_failing(own_evidence, usable)
+        and len(own_evidence.loss_observers) >= MIN_OBSERVERS
+        and not is_sole_observer
+    ):
+        return own_evidence
+    fleet_evidence = pool_reports(reports, known_healthy=own_evidence.healthy)
+    if is_failing(fleet_evidence, usable) and len(fleet_evidence.loss_zones) >= MIN_OBSERVERS:
+        return fleet_evidence
     return None
 
 
 def is_panic(remaining: int, total: int) -> bool:
     """Return whether too few backends would remain for a zone to be left.
 
-    The fault is then common to all zones, or the observers themselves are cut off.
+    In that case the fault affects all zones, or the observers themselves are cut off.
 
     Args:
         remaining: Number of backends in the other zones that are in use.
@@ -84,10 +93,15 @@
 
 
 def leave_decision(evidence: PooledEvidence, flaps: int) -> ZoneDecision:
-    """Return the decision to leave a zone, on this evidence, with this number of flaps (capped)."""
-    by = ", ".join(sorted(evidence.loss_observers)[:NAMED_OBSERVERS])
+    """Return the decision to leave a zone.
+
+    Args:
+        evidence: The evidence that the reason is written from.
+        flaps: How often the zone flapped; capped at `MAX_FLAPS`.
+    """
+    observers = ", ".join(sorted(evidence.loss_observers)[:MAX_NAMED_OBSERVERS])
     reason = (
         f"failing {evidence.failure_ratio:.2f}, {len(evidence.lost)} backends, "
-        f"by {len(evidence.loss_observers)}: {by}"
+        f"by {len(evidence.loss_observers)}: {observers}"
     )
     return ZoneDecision(ZoneState.LEFT, flaps=min(MAX_FLAPS, flaps), reason=reason[:MAX_REASON_CHARS])
--- a/switchline/zones/progress.py
+++ b/switchline/zones/progress.py
@@ -1,4 +1,4 @@
-"""What one gateway keeps of a zone between evaluations, and the view of a zone in one evaluation. Pure."""
+"""The state of a zone that one gateway keeps between evaluations, and the inputs of one evaluation. Pure."""
 
 from __future__ import annotations
 
@@ -13,33 +13,34 @@
 
 @dataclass(slots=True)
 class ZoneProgress:
-    """What this gateway keeps of one zone between evaluations. Times are seconds.
+    """The state of one zone that this gateway keeps between evaluations. Times are monotonic, in seconds.
 
     Attributes:
-        ramp: Of the zone's return.
-        answers: Of the tests of the zone while it is left.
-        version: Of the decision that holds; -1 before the first evaluation.
-        version_at_s: When this gateway heard of it.
-        failing_since_s: Since when the evidence is enough to leave the zone.
-        left_since_s: Since when the zone is left.
-        waiting_since_s: Since when the zone could return, but for the other zones of its region.
-        write_at_s: When this gateway writes the decision that is due, unless another has.
+        ramp: Decides the steps of the zone's return.
+        answers: Watches the answers to probes of the zone while it is left.
+        version: Version of the decision that holds; 0 without a decision, -1 before the first evaluation.
+        version_received_at_s: When this gateway received that decision.
+        failing_since_s: Since when the evidence suffices to leave the zone; None while it does not.
+        left_since_s: Since when the zone is left; None while it is not.
+        waiting_since_s: Since when the zone could return but waits for other zones of its region; None while
+            it does not wait.
+        write_due_at_s: When this gateway writes the due decision, unless another has written it before.
     """
 
     ramp: RampWatch
     answers: AnswerWatch = field(default_factory=AnswerWatch)
     version: int = -1
-    version_at_s: float = 0.0
+    version_received_at_s: float = 0.0
     failing_since_s: float | None = None
     left_since_s: float | None = None
     waiting_since_s: float | None = None
-    write_at_s: float | None = None
+    write_due_at_s: float | None = None
 
     def version_changed(self, version: int, state: ZoneState, now_s: float) -> None:
-        """Begin anew what depends on the decision that holds."""
+        """Reset the state that depends on the decision, as another version of it holds now."""
         self.version = version
-        self.version_at_s = now_s
-        self.write_at_s = None
+        self.version_received_at_s = now_s
+        self.write_due_at_s = None
         self.failing_since_s = None
         self.ramp.state_changed(state)
         if state != ZoneState.LEFT:
@@ -51,16 +52,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneCase:
-    """One zone in question, as it is evaluated.
+    """The inputs of one evaluation of one zone in question.
 
     Attributes:
-        zone: Its name.
+        zone: The zone's name.
         decision: The decision that holds.
-        progress: What is kept of it.
+        progress: The zone's state between evaluations.
         observation: What this gateway observes there.
-        reports: All gateways' reports, without those that are too old for the decision that holds.
-        ours: The pooled evidence of the own zone's gateways.
-        alone: Whether no other gateway of the own zone is present.
+        reports: All gateways' reports. While the zone is not in use, losses older than `MAX_LOSS_AGE_S` are
+            left out.
+        own_evidence: The pooled evidence of the gateways of this gateway's zone.
+        is_sole_observer: Whether no other gateway of the own zone is present.
     """
 
     zone: str
@@ -68,5 +70,5 @@
     progress: ZoneProgress
     observation: LocalObservation
     reports: Sequence[ReceivedReport]
-    ours: PooledEvidence
-    alone: bool
+    own_evidence: PooledEvidence
+    is_sole_observer: bool
--- a/switchline/zones/publisher.py
+++ b/switchline/zones/publisher.py
@@ -1,4 +1,7 @@
-"""Reports on zones: which zones are in question, what is published, what was received. Pure."""
+"""Reports on zones: which zones are in question, and their published and received reports. Pure.
+
+A zone is in question while losses are reported in it, or while it is left or returning.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 from switchline.fleet.facts import Facts
 from switchline.fleet.messages import Entry
 from switchline.fleet.versions.quarantine import quarantined_members
-from switchline.zones.decision import ZoneState, decode_decision, target_of
+from switchline.zones.decision import ZoneState, decode_decision, target_zone
 from switchline.zones.reports import (
     EMPTY_REPORT,
     LocalObservation,
@@ -26,10 +29,10 @@
 )
 
 MAX_QUESTIONED_ZONES = 8
-QUESTION_END_S = 10.0  # without a loss reported by anybody a zone is no more in question
-LOSS_PUBLISH_GAP_S = 0.05  # between two reports, where the later one has more losses
-PUBLISH_GAP_S = 1.0  # between two reports else
-PUBLISH_GAP_MEMBERS = 40  # in a larger fleet that gap grows with the members
+QUESTION_TTL_S = 10.0  # a zone without a reported loss for so long is no longer in question
+LOSS_PUBLISH_INTERVAL_S = 0.05  # minimum time before an urgent report, such as one with more losses
+PUBLISH_INTERVAL_S = 1.0  # minimum time before any other report
+BASE_INTERVAL_MEMBERS = 40  # in a larger fleet `PUBLISH_INTERVAL_S` grows in proportion to the members
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,9 +41,9 @@
 
     Attributes:
         endpoint: The gateway's protocol endpoint in the fleet.
-        now_s: Seconds on a clock that never steps.
-        wall_ms: Milliseconds of wall time.
-        observations: What the gateway observes, by each zone that its endpoint list names.
+        now_s: Monotonic time in seconds.
+        wall_ms: Wall time in milliseconds.
+        observations: What the gateway observes, by the zones that its endpoint list names.
     """
 
     endpoint: ProtocolEndpoint
@@ -55,16 +58,16 @@
 
 
 @dataclass(slots=True)
-class Question:
-    """A zone in question: since when, and when anybody reported a loss last (seconds)."""
+class QuestionedZone:
+    """A zone in question: since when, and when a gateway last reported a loss (monotonic seconds)."""
 
     since_s: float
-    loss_reported_s: float
+    loss_reported_at_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Publication:
-    """The report that this gateway published last on a zone, and when (seconds)."""
+    """The report that this gateway last published on a zone, and when (monotonic seconds)."""
 
     at_s: float
     report: PublishedReport
@@ -77,9 +80,9 @@
     """Owns which zones are in question, and the reports on them that were published and received."""
 
     def __init__(self, zone: str) -> None:
-        """`zone`: the one that this gateway runs in."""
+        """Begin without any report; `zone` is the zone that this gateway runs in."""
         self.zone = zone
-        self.questions: dict[str, Question] = {}
+        self.questioned_zones: dict[str, QuestionedZone] = {}
         self._published: dict[str, Publication] = {}
         self._received: dict[tuple[str, str], tuple[Entry, ReceivedReport]] = {}  # by zone and gateway
 
@@ -88,29 +91,30 @@
     def collect(
         self, evaluation: Evaluation, left_since_s: Mapping[str, float]
     ) -> dict[str, list[ReceivedReport]]:
-        """Return by zone the reports of all gateways that are present, and this gateway's own.
+        """Return by zone the reports of all present gateways, including this one.
 
-        A quarantined gateway's reports do not count: on an old list it observes backends that are gone.
+        A quarantined gateway's reports do not count: with a stale list it observes backends that no longer
+        exist.
 
         Args:
             evaluation: The evaluation under way.
-            left_since_s: By zone that is left: since when.
+            left_since_s: Since when each zone that is left is left, in monotonic seconds.
         """
         reports = self._collect_received(evaluation)
         if quarantined := quarantined_members(evaluation.facts):
             reports = {
-                zone: [one for one in found if one.observer not in quarantined]
-                for zone, found in reports.items()
+                zone: [report for report in received if report.observer not in quarantined]
+                for zone, received in reports.items()
             }
         me = evaluation.endpoint.members.me.name
-        for zone, found in reports.items():
+        for zone, received in reports.items():
             report = self.own_report(evaluation, zone, left_since_s)
-            if report.lost or report.healthy:
-                found.append(receive_report(report, me, self.zone, evaluation.now_s))
+            if report.lost_age_tenths or report.healthy_age_tenths:
+                received.append(receive_report(report, me, self.zone, evaluation.now_s))
         return reports
 
     def _collect_received(self, evaluation: Evaluation) -> dict[str, list[ReceivedReport]]:
-        """Return by zone the reports of the other gateways that are present; each is decoded once."""
+        """Return by zone the reports of the other present gateways; each report is decoded once."""
         reports: dict[str, list[ReceivedReport]] = {zone: [] for zone in evaluation.observations}
         published = evaluation.facts.of_kind(FactKind.ZONE_REPORT)
         for key in self._received.keys() - published.keys():
@@ -132,41 +136,48 @@
     ) -> PublishedReport:
         """Return this gateway's report on a zone.
 
-        An answer from before the zone came into question, or was left, says nothing.
+        Answers from before the zone came into question, or was left, are omitted as outdated.
         """
         observation = evaluation.observations[zone]
-        question = self.questions.get(zone)
+        question = self.questioned_zones.get(zone)
         since_s = max(
             question.since_s if question is not None else evaluation.now_s,
             left_since_s.get(zone, -math.inf),
         )
         healthy = {
-            b: age_s for b, age_s in observation.healthy.items() if age_s <= evaluation.now_s - since_s
+            b: age_s for b, age_s in observation.healthy_ages_s.items() if age_s <= evaluation.now_s - since_s
         }
-        return PublishedReport(latest_ages(observation.lost), latest_ages(healthy), observation.slow)
+        return PublishedReport(latest_ages(observation.lost_ages_s), latest_ages(healthy), observation.slow)
 
     # Zones in question.
 
-    def update_questions(self, evaluation: Evaluation, reports: Mapping[str, list[ReceivedReport]]) -> None:
-        """Put zones in question where anybody reports a loss, or some have left them or return."""
+    def update_questioned_zones(
+        self, evaluation: Evaluation, reports: Mapping[str, list[ReceivedReport]]
+    ) -> None:
+        """Update the zones in question.
+
+        A zone is added if any gateway reports a loss in it, or any zone's gateways have left it or return to
+        it; it is dropped `QUESTION_TTL_S` after the last such event, or if the endpoint list no longer
+        names it.
+        """
         decided = {
-            target_of(name)
+            target_zone(name)
             for (name, _), stored in evaluation.facts.of_kind(FactKind.ZONE_DECISION).items()
             if decode_decision(stored.entry.value).state != ZoneState.UP
         }
         for zone in evaluation.observations:
-            if zone in decided or any(report.lost for report in reports[zone]):
+            if zone in decided or any(report.lost_at_s for report in reports[zone]):
                 self._question(zone, evaluation.now_s)
-        for zone, question in list(self.questions.items()):
-            ended = evaluation.now_s - question.loss_reported_s > QUESTION_END_S
+        for zone, question in list(self.questioned_zones.items()):
+            ended = evaluation.now_s - question.loss_reported_at_s > QUESTION_TTL_S
             if zone not in evaluation.observations or ended:
-                del self.questions[zone]
+                del self.questioned_zones[zone]
 
     def _question(self, zone: str, now_s: float) -> None:
-        if zone in self.questions:
-            self.questions[zone].loss_reported_s = now_s
-        elif len(self.questions) < MAX_QUESTIONED_ZONES:
-            self.questions[zone] = Question(now_s, now_s)
+        if zone in self.questioned_zones:
+            self.questioned_zones[zone].loss_reported_at_s = now_s
+        elif len(self.questioned_zones) < MAX_QUESTIONED_ZONES:
+            self.questioned_zones[zone] = QuestionedZone(now_s, now_s)
 
     # Published reports.
 
@@ -176,52 +187,55 @@
         reports: Mapping[str, list[ReceivedReport]],
         left_since_s: Mapping[str, float],
     ) -> bool:
-        """Publish this gateway's reports on the zones in question; return whether a first loss is among them.
+        """Publish this gateway's reports on the zones in question.
+
+        A report with more losses, with the first answers, or with an answer that refutes a loss is published
+        after `LOSS_PUBLISH_INTERVAL_S`; any other after `PUBLISH_INTERVAL_S`, or longer in a large fleet.
 
-        A report with more losses, the first answers, or an answer that refutes a loss goes out after
-        `LOSS_PUBLISH_GAP_S`; any other after `PUBLISH_GAP_S`, longer in a large fleet.
+        Returns:
+            Whether the report on any zone is the first one with a loss.
         """
-        gap_s = PUBLISH_GAP_S * max(1.0, evaluation.endpoint.members.size / PUBLISH_GAP_MEMBERS)
+        interval_s = PUBLISH_INTERVAL_S * max(1.0, evaluation.endpoint.members.size / BASE_INTERVAL_MEMBERS)
         self._withdraw_ended(evaluation)
         first_loss = False
-        for zone in self.questions:
+        for zone in self.questioned_zones:
             report = EMPTY_REPORT
             if zone in evaluation.observations:
                 report = self.own_report(evaluation, zone, left_since_s)
-            before = self._published.get(zone, NOT_PUBLISHED)
+            previous = self._published.get(zone, NOT_PUBLISHED)
             urgent = (
-                report.lost.keys() - before.report.lost
-                or (report.healthy and not before.report.healthy)
+                report.lost_age_tenths.keys() - previous.report.lost_age_tenths
+                or (report.healthy_age_tenths and not previous.report.healthy_age_tenths)
                 or self._refutes(evaluation, report, reports.get(zone, ()))
             )
-            due = evaluation.now_s - before.at_s >= (LOSS_PUBLISH_GAP_S if urgent else gap_s)
-            if report != before.report and due:
+            due = evaluation.now_s - previous.at_s >= (LOSS_PUBLISH_INTERVAL_S if urgent else interval_s)
+            if report != previous.report and due:
                 self._published[zone] = Publication(evaluation.now_s, report)
                 evaluation.facts.offer(evaluation.wall_ms, FactKind.ZONE_REPORT, zone, encode_report(report))
-                first_loss |= bool(report.lost and not before.report.lost)
+                first_loss |= bool(report.lost_age_tenths and not previous.report.lost_age_tenths)
         return first_loss
 
     def _withdraw_ended(self, evaluation: Evaluation) -> None:
         for zone in list(self._published):
-            if zone not in self.questions:
+            if zone not in self.questioned_zones:
                 del self._published[zone]
                 evaluation.facts.offer(evaluation.wall_ms, FactKind.ZONE_REPORT, zone, None)
 
     def publish_load(self, evaluation: Evaluation, load_per_s: float) -> None:
-        """Publish this gateway's load while any zone is in question, as a ramp may be reckoned from it."""
-        value = encode_load(load_per_s) if self.questions else None
+        """Publish this gateway's load while any zone is in question, as the rate of a ramp depends on it."""
+        value = encode_load(load_per_s) if self.questioned_zones else None
         evaluation.facts.offer(evaluation.wall_ms, FactKind.LOAD, "", value)
 
     def _refutes(
         self, evaluation: Evaluation, report: PublishedReport, reports: Iterable[ReceivedReport]
     ) -> bool:
-        """Return whether this gateway had an answer from a lost backend, and no other reports one."""
-        known = list(reports)
+        """Return whether this gateway alone has an answer from a backend since it was reported lost."""
+        received = list(reports)
         me = evaluation.endpoint.members.me.name
-        answered_at = latest_times(one.healthy for one in known if one.observer != me)
-        lost_at = latest_times(one.lost for one in known)
+        answered_at = latest_times(other.answered_at_s for other in received if other.observer != me)
+        lost_at = latest_times(other.lost_at_s for other in received)
         own = receive_report(report, me, self.zone, evaluation.now_s)
         return any(
             at > lost_at.get(backend, math.inf) and lost_at[backend] > answered_at.get(backend, -math.inf)
-            for backend, at in own.healthy.items()
+            for backend, at in own.answered_at_s.items()
         )
--- a/switchline/zones/returning.py
+++ b/switchline/zones/returning.py
@@ -1,7 +1,8 @@
-"""The rules by which a zone that was left is tested and entered again. Pure.
+"""The rules by which a zone that was left is probed and traffic returns to it. Pure.
 
-`probe_interval_s` says how often it is tested, `AnswerWatch.has_recovered` when its ramp may begin,
-`first_ramp_decision` what it begins with, and `RampWatch.next_step` each step: up, back, or out again.
+`probe_interval_s` says how often the zone is probed and `AnswerWatch.has_recovered` when its ramp may begin.
+`first_ramp_decision` returns the first decision of a ramp, and `RampWatch.next_step` each following one: a
+step up, a step back, or to leave the zone again.
 """
 
 from __future__ import annotations
@@ -14,70 +15,85 @@
 from switchline.zones.decision import RAMP_STEPS, ZoneDecision, ZoneState
 from switchline.zones.evidence import PooledEvidence
 from switchline.zones.leaving import (
-    LEAST_BACKENDS,
-    LEAST_OBSERVERS,
     LEAVE_FAILURE_RATIO,
+    MIN_BACKENDS,
+    MIN_OBSERVERS,
     is_failing,
     leave_decision,
 )
-from switchline.zones.ramp import parts_by_load, step_of
+from switchline.zones.ramp import step_for_warm_ratio, weights_by_load
 from switchline.zones.reports import LocalObservation
 
-RETURN_FAILURE_RATIO = 0.25  # pooled evidence: under this a zone may return
-STEADY_ANSWERS_S = 5.0  # a part of the zone answers for so long: it returns though the rest stays lost
-PROBES_PER_S = 1.0  # tests of a left zone, by all gateways together
-ANSWERED_PROBES_FACTOR = 6.0  # as many times more once one is answered
-LEAST_PROBE_INTERVAL_S = 0.5  # of one gateway
-STEP_BACK_GAP_S = 1.0  # between two steps back
-LEAST_BACKEND_RATE = 1.0  # requests per second that any backend bears: without load a ramp would never end
-MAX_BACKEND_RATE = 1e9
-WARM_STEP_GAP_S = 0.4  # between two steps up that the backends' age shows them to bear already
+RETURN_FAILURE_RATIO = 0.25  # a zone may return if its pooled `failure_ratio` is below this
+# If some backends of a zone answer for so long, the zone returns even though the others stay lost.
+STEADY_ANSWERS_S = 5.0
+PROBES_PER_S = 1.0  # probes of a zone that is left, by all gateways together
+ANSWERED_PROBES_FACTOR = 6.0  # multiplies `PROBES_PER_S` once a probe is answered
+MIN_PROBE_INTERVAL_S = 0.5  # between two probes by one gateway
+STEP_BACK_INTERVAL_S = 1.0  # minimum age of a decision before a step back
+# Lowest load that any backend is taken to bear. Without it a ramp that begins without load would never end.
+MIN_BACKEND_RATE_PER_S = 1.0
+MAX_BACKEND_RATE_PER_S = 1e9
+# Minimum time between two steps up whose load the backends bear already, as their age shows.
+WARM_STEP_INTERVAL_S = 0.4
 
 
 def probe_interval_s(members: int, answered: bool) -> float:
-    """Return the seconds between two tests of a left zone by one gateway.
+    """Return the seconds between two probes of a left zone by one gateway.
 
     Args:
-        members: Number of gateways that share the tests.
-        answered: Whether any test was answered.
+        members: Number of gateways that share the probes.
+        answered: Whether any probe was answered.
     """
     probes_per_s = PROBES_PER_S * (ANSWERED_PROBES_FACTOR if answered else 1.0)
-    return max(LEAST_PROBE_INTERVAL_S, members / probes_per_s)
+    return max(MIN_PROBE_INTERVAL_S, members / probes_per_s)
 
 
 @dataclass(slots=True)
 class AnswerWatch:
-    """Since when a part of a left zone has answered without a break."""
+    """Watches the answers to probes of a zone that is left.
+
+    Attributes:
+        steady_since_s: Since when some of its backends have answered without a break; None if they have not.
+    """
 
     steady_since_s: float | None = None
 
     def has_recovered(
-        self, ours: PooledEvidence, common: PooledEvidence, usable: int, alone: bool, now_s: float
+        self,
+        own_evidence: PooledEvidence,
+        fleet_evidence: PooledEvidence,
+        usable: int,
+        is_sole_observer: bool,
+        now_s: float,
     ) -> bool:
         """Return whether a left zone may be entered again.
 
-        It may where enough distinct backends answer the own zone's tests, or those of all zones with no loss
-        in the own zone; or where a part of it goes on answering for `STEADY_ANSWERS_S`. Two gateways must
-        report answers, one of them of the own zone.
+        There are three ways: enough distinct backends answer the probes of the own zone's gateways; enough
+        answer those of all zones, and the own zone's gateways report no loss; or some go on answering for
+        `STEADY_ANSWERS_S`. Two gateways must report answers, one of them of the own zone.
 
         Args:
-            ours: The pooled evidence of the own zone's gateways.
-            common: The pooled evidence of all gateways.
+            own_evidence: The pooled evidence of the own zone's gateways.
+            fleet_evidence: The pooled evidence of all gateways.
             usable: Number of the zone's backends.
-            alone: Whether no other gateway of the own zone is present; then one observer suffices.
-            now_s: The time.
+            is_sole_observer: Whether no other gateway of the own zone is present; then one observer suffices.
+            now_s: Monotonic time in seconds.
         """
-        observers = len(ours.healthy_observers | common.healthy_observers)
-        if not ours.healthy or (observers < LEAST_OBSERVERS and not alone):
+        observers = len(own_evidence.healthy_observers | fleet_evidence.healthy_observers)
+        if not own_evidence.healthy or (observers < MIN_OBSERVERS and not is_sole_observer):
             self.steady_since_s = None
             return False
-        enough = min(LEAST_BACKENDS, max(1, usable))
-        if ours.failure_ratio < RETURN_FAILURE_RATIO and len(ours.healthy) >= enough:
+        min_backends = min(MIN_BACKENDS, max(1, usable))
+        if own_evidence.failure_ratio < RETURN_FAILURE_RATIO and len(own_evidence.healthy) >= min_backends:
             return True
-        well_elsewhere = common.failure_ratio < RETURN_FAILURE_RATIO and len(common.healthy) >= enough
-        if not ours.lost and well_elsewhere:
+        is_healthy_elsewhere = (
+            fleet_evidence.failure_ratio < RETURN_FAILURE_RATIO
+            and len(fleet_evidence.healthy) >= min_backends
+        )
+        if not own_evidence.lost and is_healthy_elsewhere:
             return True
-        if ours.failure_ratio >= LEAVE_FAILURE_RATIO:
+        if own_evidence.failure_ratio >= LEAVE_FAILURE_RATIO:
             self.steady_since_s = None
             return False
         if self.steady_since_s is None:
@@ -87,61 +103,72 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStart:
-    """How backends warm up, by the gateway's settings.
+    """How backends warm up, from the gateway's settings.
 
     Attributes:
-        least: What a cold backend bears, as a ratio of a warm one (`start_capacity`).
-        warm_s: Seconds until it is warm (`warm_within`).
+        cold_capacity_ratio: Capacity of a cold backend, as a ratio of a warm one's (setting
+            `start_capacity`).
+        warm_up_s: Seconds until a cold backend is warm (setting `warm_within`).
     """
 
-    least: float
-    warm_s: float
+    cold_capacity_ratio: float
+    warm_up_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class RampBasis:
-    """What the rate of a new ramp is reckoned from.
+    """What the rate of a new ramp is computed from.
 
     Attributes:
-        loads: By place of the gateways that take part: requests per second.
+        loads_per_s: Requests per second, by the places of the gateways that take part.
         places: Number of places.
-        remaining: Number of backends of the zones that are in use, which carry the load now.
+        remaining: Number of backends in the zones in use, which serve all the load now.
     """
 
-    loads: Mapping[int, float]
+    loads_per_s: Mapping[int, float]
     places: int
     remaining: int
 
 
 def first_ramp_decision(
-    observation: LocalObservation, ours: PooledEvidence, flaps: int, basis: RampBasis, slow_start: SlowStart
+    observation: LocalObservation,
+    own_evidence: PooledEvidence,
+    flaps: int,
+    basis: RampBasis,
+    slow_start: SlowStart,
 ) -> ZoneDecision:
     """Return the decision that begins a ramp.
 
-    A backend of the zone is taken to bear what a backend of the other zones bears now. The ramp begins at
-    the step that the youngest backend bears, where its start is known and the zone did not flap.
+    A backend of the zone is taken to bear as much load as a backend of the other zones serves now. The ramp
+    begins at the step that the backend started last bears, if its start is known and the zone did not flap;
+    else at step 0.
     """
-    total_load = sum(basis.loads.values())
-    backend_rate = min(MAX_BACKEND_RATE, max(LEAST_BACKEND_RATE, total_load / max(1, basis.remaining)))
-    follows_warmth = observation.warmth < 1 and not flaps
+    total_load = sum(basis.loads_per_s.values())
+    backend_rate_per_s = min(
+        MAX_BACKEND_RATE_PER_S, max(MIN_BACKEND_RATE_PER_S, total_load / max(1, basis.remaining))
+    )
+    starts_by_warm_ratio = observation.warm_ratio < 1 and not flaps
     return ZoneDecision(
         ZoneState.RETURNING,
-        step=step_of(observation.warmth, slow_start.least) if follows_warmth else 0,
+        step=step_for_warm_ratio(observation.warm_ratio, slow_start.cold_capacity_ratio)
+        if starts_by_warm_ratio
+        else 0,
         flaps=flaps,
-        backend_rate=round(backend_rate, 3),
-        backends=max(1, observation.usable - len(ours.lost)),
-        parts=parts_by_load(basis.loads, basis.places),
-        reason=f"{len(ours.healthy)} of its backends answer",
+        backend_rate_per_s=round(backend_rate_per_s, 3),
+        backends=max(1, observation.usable - len(own_evidence.lost)),
+        weights=weights_by_load(basis.loads_per_s, basis.places),
+        reason=f"{len(own_evidence.healthy)} of its backends answer",
     )
 
 
 @dataclass(frozen=True, slots=True)
 class RampStep:
-    """A step of the ramp that is due.
+    """A due step of a ramp.
 
     Attributes:
         decision: The decision to write.
-        urgent: Whether each gateway writes it at once; else one does, after a random delay.
+        urgent: Whether every gateway writes it at once; if not, each waits a random delay and the first one
+            writes.
     """
 
     decision: ZoneDecision
@@ -150,25 +177,26 @@
 
 @dataclass(slots=True)
 class RampWatch:
-    """Decides the steps of a ramp, and remembers what was lost on it.
+    """Decides the steps of a ramp, and records which backends were lost during it.
 
     Attributes:
         slow_start: How backends warm up.
-        step: The step at which it was looked at last.
-        lost: Backends that were lost on the ramp: each one takes a step back once, and is no reason to leave
-            the zone again soon after.
-        tracks_warmth: Whether the starts of the zone's backends are known, so that steps follow their age.
+        step: The ramp's step at the last evaluation.
+        lost: Backends that were lost during the ramp. Each causes at most one step back, and is no reason to
+            leave the zone again soon after.
+        follows_warm_up: Whether the start times of the zone's backends are known, so that the steps follow
+            their warm-up.
     """
 
     slow_start: SlowStart
     step: int = 0
     lost: frozenset[str] = frozenset()
-    tracks_warmth: bool = False
+    follows_warm_up: bool = False
 
     def state_changed(self, state: ZoneState) -> None:
-        """Forget what does not outlast the ramp, as the zone has got this state."""
+        """Reset what is valid for one ramp only, as the zone has entered this state."""
         if state != ZoneState.RETURNING:
-            self.tracks_warmth = False
+            self.follows_warm_up = False
         if state == ZoneState.LEFT:
             self.step = 0
             self.lost = frozenset()
@@ -178,62 +206,71 @@
         decision: ZoneDecision,
         age_s: float,
         observation: LocalObservation,
-        ours: PooledEvidence,
-        alone: bool,
+        own_evidence: PooledEvidence,
+        is_sole_observer: bool,
     ) -> RampStep | None:
-        """Return the step that is due: up on good answers, none on slow ones or silence, back on failures.
+        """Return the due step, or None.
 
-        Where most of the zone fails, it is left again.
+        Timely answers lead to a step up, failures to a step back, and slow answers or none to no step. If
+        most of the zone's backends fail, the zone is left again.
 
         Args:
             decision: The decision that holds.
-            age_s: Seconds since this gateway heard of it.
+            age_s: Seconds since this gateway received that decision.
             observation: What this gateway observes in the zone.
-            ours: The pooled evidence of the own zone's gateways.
-            alone: Whether no other gateway of the own zone is present; then one observer suffices.
+            own_evidence: The pooled evidence of the own zone's gateways.
+            is_sole_observer: Whether no other gateway of the own zone is present; then one observer suffices.
         """
-        confirmed = len(ours.loss_observers) >= LEAST_OBSERVERS or alone
-        self.tracks_warmth |= observation.warmth < 1
-        if is_failing(ours, observation.usable) and confirmed and 2 * len(ours.lost) > observation.usable:
-            return RampStep(leave_decision(ours, decision.flaps + 1), urgent=True)
+        confirmed = len(own_evidence.loss_observers) >= MIN_OBSERVERS or is_sole_observer
+        self.follows_warm_up |= observation.warm_ratio < 1
+        if (
+            is_failing(own_evidence, observation.usable)
+            and confirmed
+            and 2 * len(own_evidence.lost) > observation.usable
+        ):
+            return RampStep(leave_decision(own_evidence, decision.flaps + 1), urgent=True)
         if decision.step < self.step:
-            self.lost |= ours.lost
+            self.lost |= own_evidence.lost
         self.step = decision.step
-        fails_anew = ours.failure_ratio >= RETURN_FAILURE_RATIO and not ours.lost <= self.lost
-        if fails_anew:
-            if confirmed and decision.step and age_s >= STEP_BACK_GAP_S:
-                return RampStep(_step_back(decision, ours), urgent=True)
+        has_new_losses = (
+            own_evidence.failure_ratio >= RETURN_FAILURE_RATIO and not own_evidence.lost <= self.lost
+        )
+        if has_new_losses:
+            if confirmed and decision.step and age_s >= STEP_BACK_INTERVAL_S:
+                return RampStep(_step_back(decision, own_evidence), urgent=True)
             return None
-        slow = 2 * ours.slow > len(ours.healthy)
-        if age_s < self.step_gap_s(decision, observation.warmth) or not ours.healthy or slow:
+        slow = 2 * own_evidence.slow > len(own_evidence.healthy)
+        if age_s < self.step_interval_s(decision, observation.warm_ratio) or not own_evidence.healthy or slow:
             return None
-        return RampStep(_step_up(decision, observation, ours), urgent=False)
+        return RampStep(_step_up(decision, observation, own_evidence), urgent=False)
 
-    def step_gap_s(self, decision: ZoneDecision, warmth: float) -> float:
+    def step_interval_s(self, decision: ZoneDecision, warm_ratio: float) -> float:
         """Return the seconds between the decision that holds and the next step up.
 
-        Steps follow the warmth of the youngest backend where it is known and the zone did not flap; else the
-        ramp takes as long as a cold backend does to get warm, and twice as long for each flap.
+        Steps follow the warm-up of the backend that started last, if its start is known and the zone did not
+        flap. Otherwise the ramp takes as long as a cold backend's warm-up; each flap doubles that.
 
         Args:
             decision: The decision that holds.
-            warmth: What the youngest backend bears, as a ratio of a warm one.
+            warm_ratio: Capacity of the backend that started last, as a ratio of a warm one's.
         """
-        warm_enough = decision.step < step_of(warmth, self.slow_start.least)
-        if self.tracks_warmth and not decision.flaps and warm_enough:
-            return WARM_STEP_GAP_S
-        return self.slow_start.warm_s * 2.0**decision.flaps / RAMP_STEPS
+        is_warm_enough = decision.step < step_for_warm_ratio(warm_ratio, self.slow_start.cold_capacity_ratio)
+        if self.follows_warm_up and not decision.flaps and is_warm_enough:
+            return WARM_STEP_INTERVAL_S
+        return self.slow_start.warm_up_s * 2.0**decision.flaps / RAMP_STEPS
 
 
-def _step_back(decision: ZoneDecision, ours: PooledEvidence) -> ZoneDecision:
-    reason = f"{len(ours.lost)} backends fail"
+def _step_back(decision: ZoneDecision, own_evidence: PooledEvidence) -> ZoneDecision:
+    reason = f"{len(own_evidence.lost)} backends fail"
     return msgspec.structs.replace(decision, step=decision.step - 1, reason=reason)
 
 
-def _step_up(decision: ZoneDecision, observation: LocalObservation, ours: PooledEvidence) -> ZoneDecision:
+def _step_up(
+    decision: ZoneDecision, observation: LocalObservation, own_evidence: PooledEvidence
+) -> ZoneDecision:
     if decision.step + 1 >= RAMP_STEPS:
         return ZoneDecision(ZoneState.UP, flaps=decision.flaps, reason="the return is complete")
-    backends = min(decision.backends, max(1, observation.usable - len(ours.lost)))
+    backends = min(decision.backends, max(1, observation.usable - len(own_evidence.lost)))
     return msgspec.structs.replace(
         decision, step=decision.step + 1, backends=backends, reason="its backends answer in time"
     )
--- a/tests/fleet/test_outage.py
+++ b/tests/fleet/test_outage.py
@@ -16,7 +16,7 @@
 
 from switchline import ctl
 from switchline.fleet.messages import EndpointList, Entry, Exchange, ListedHost, RemainingQuota, Wanted
-from switchline.fleet.outage import OLD_DISK_S, decode_downtime, judge_outage
+from switchline.fleet.outage import OLD_DISK_MARGIN_S, decode_downtime, judge_outage
 from switchline.fleet.versions.staleness import restrictive_changes
 from switchline.fleet_runtime.recovery import spending
 from switchline.fleet_runtime.recovery.backend_list import DOUBT_S
@@ -85,8 +85,8 @@
 
 
 def test_a_disk_that_was_down_far_longer_than_the_others_holds_an_old_copy() -> None:
-    assert judge_outage(2.0 + OLD_DISK_S + 1, [2.0, 2.0, math.nan]).has_old_disk
-    assert not judge_outage(2.0 + OLD_DISK_S + 1, [2.0]).has_old_disk  # never one peer's word
+    assert judge_outage(2.0 + OLD_DISK_MARGIN_S + 1, [2.0, 2.0, math.nan]).has_old_disk
+    assert not judge_outage(2.0 + OLD_DISK_MARGIN_S + 1, [2.0]).has_old_disk  # never one peer's word
     assert (
         not judge_outage(2.0, [200.0, 200.0]).has_old_disk
         and not judge_outage(math.nan, [2.0, 2.0]).has_old_disk
--- a/tests/fleet/test_quarantine.py
+++ b/tests/fleet/test_quarantine.py
@@ -22,7 +22,7 @@
     Quarantine,
     QuarantineState,
     StalenessView,
-    grants_of_each,
+    max_grants_per_member,
     max_quarantined,
 )
 from switchline.fleet.versions.staleness import VersionFloors, parse_floors
@@ -78,7 +78,7 @@
 def test_the_grants_of_all_suffice_for_no_more_than_the_part(members: int) -> None:
     needed = members // 2 + 1
     assert (
-        members * grants_of_each(members) // needed
+        members * max_grants_per_member(members) // needed
         <= max_quarantined(members)
         <= members // MEMBERS_PER_QUARANTINED
     )
--- a/tests/fleet/test_staleness.py
+++ b/tests/fleet/test_staleness.py
@@ -10,7 +10,7 @@
 
 from switchline.fleet.messages import EndpointList, Exchange, ListedHost
 from switchline.fleet.versions.staleness import (
-    DIVERGENT_S,
+    DIVERGENCE_DELAY_S,
     STALE_AFTER_S,
     StaleListWatch,
     VersionDivergence,
@@ -81,10 +81,12 @@
     )
     newcomer: list[str | None] = ["b"] * 4
     assert not apart.update(0.0, "config", "a", newcomer)
-    assert not apart.update(DIVERGENT_S - 0.1, "config", "a", newcomer)
-    assert apart.update(DIVERGENT_S, "config", "a", newcomer) and apart.majority_versions == {"config": "b"}
-    assert not apart.update(DIVERGENT_S + 1, "config", "a", newcomer)
-    assert apart.update(DIVERGENT_S + 2, "config", "b", newcomer) and not apart.majority_versions
+    assert not apart.update(DIVERGENCE_DELAY_S - 0.1, "config", "a", newcomer)
+    assert apart.update(DIVERGENCE_DELAY_S, "config", "a", newcomer) and apart.majority_versions == {
+        "config": "b"
+    }
+    assert not apart.update(DIVERGENCE_DELAY_S + 1, "config", "a", newcomer)
+    assert apart.update(DIVERGENCE_DELAY_S + 2, "config", "b", newcomer) and not apart.majority_versions
     assert not apart.update(99.0, "config", "b", ["b", "b", "b", "a"])  # nobody is told of a newcomer
 
 
--- a/tests/linked_fleet.py
+++ b/tests/linked_fleet.py
@@ -49,9 +49,9 @@
             node = self.net.add(index, seeds=(0, 1))
             rules = self.gateways[index].settings.rules
             chance = random.Random(f"{seed} {index}")
-            least, warm_s = rules.start_capacity, rules.warm_up_ms / 1000
+            cold_capacity_ratio, warm_up_s = rules.start_capacity, rules.warm_up_ms / 1000
             self.agreements.append(
-                ZoneAgreement(own(index), index, gateways, SlowStart(least, warm_s), chance)
+                ZoneAgreement(own(index), index, gateways, SlowStart(cold_capacity_ratio, warm_up_s), chance)
             )
             node.fact_changed = self._hears(index)
             for kind, value in (("zone", own(index)), ("index", str(index))):
--- a/tests/zones/test_zone_agreement.py
+++ b/tests/zones/test_zone_agreement.py
@@ -24,11 +24,11 @@
 from switchline.policy import interface as api
 from switchline.state.restore import is_valid_zone_decision
 from switchline.zones.agreement import ZoneAgreement
-from switchline.zones.capacity import DEAD_KEEPS_PART_S, loads_by_place
-from switchline.zones.decision import RAMP_STEPS, ZoneDecision, decode_decision, from_row, to_row
+from switchline.zones.capacity import DEAD_MEMBER_LOAD_TTL_S, loads_by_place
+from switchline.zones.decision import RAMP_STEPS, ZoneDecision, decode_decision, entry_to_row, row_to_entry
 from switchline.zones.evidence import pool_reports
 from switchline.zones.leaving import CONFIRMATION_S, evidence_to_leave
-from switchline.zones.ramp import backend_range, capacity_ratio_at, parts_by_load
+from switchline.zones.ramp import backend_range, capacity_ratio_at, weights_by_load
 from switchline.zones.reports import LocalObservation, PublishedReport, ReceivedReport, decode_report
 from switchline.zones.returning import SlowStart
 from testbed.network.fleet_link import Net, acquaint, address_of
@@ -186,9 +186,9 @@
         msgspec.json.encode(ZoneDecision("returning", 1)).decode(),
     )
     assert agreement._waits_for_region(facts, "b", 1_000.0) and agreement._waits_for_region(
-        facts, "b", 1_000.0 + agreement.slow_start.warm_s - 0.1
+        facts, "b", 1_000.0 + agreement.slow_start.warm_up_s - 0.1
     )
-    assert not agreement._waits_for_region(facts, "b", 1_000.0 + agreement.slow_start.warm_s)
+    assert not agreement._waits_for_region(facts, "b", 1_000.0 + agreement.slow_start.warm_up_s)
 
 
 def test_a_cut_line_leaves_each_to_its_own_evidence() -> None:
@@ -231,7 +231,7 @@
 def judged(own: str, told: list[ReceivedReport]) -> bool:
     """Whether the gateways of a zone leave zone b, on such words."""
     ours = pool_reports(one for one in told if one.observer_zone == own)
-    return evidence_to_leave(ours, told, 8, alone=False) is not None
+    return evidence_to_leave(ours, told, 8, is_sole_observer=False) is not None
 
 
 @settings(max_examples=300, deadline=None)
@@ -240,8 +240,8 @@
     words: list[Any], own: str
 ) -> None:
     told = [heard(f"g{number}", zone, lost, well) for number, (zone, lost, well) in enumerate(words)]
-    tellers = [one for one in told if one.lost]
-    backends = {b for one in told for b in one.lost}
+    tellers = [one for one in told if one.lost_at_s]
+    backends = {b for one in told for b in one.lost_at_s}
     zones = {one.observer_zone for one in tellers}
     if len(tellers) < 2 or len(backends) < 3 or (len(zones) < 2 and zones != {own}):
         assert not judged(own, told)
@@ -273,7 +273,7 @@
 
 @given(st.dictionaries(st.integers(0, 40), st.floats(0, 1e6), max_size=30))
 def test_parts_of_one_version_add_up_to_one_at_most(loads: dict[int, float]) -> None:
-    parts = parts_by_load(loads, 41)
+    parts = weights_by_load(loads, 41)
     total = sum(backend_range(parts, place, 41).width for place in range(41))
     assert total <= 1 + 1e-9 and backend_range("f", 5, 2).width == 0.0
     ends = [backend_range(parts, place, 41) for place in range(41)]
@@ -295,7 +295,10 @@
             node.publish(net.wall(address_of(number)), kind, "", value)
     acquaint(net)
     net.run(4.0)
-    seen = {"a": LocalObservation(6), "b": LocalObservation(6, healthy={f"{b:08x}": 0.01 for b in range(6)})}
+    seen = {
+        "a": LocalObservation(6),
+        "b": LocalObservation(6, healthy_ages_s={f"{b:08x}": 0.01 for b in range(6)}),
+    }
     net.nodes[address_of(0)].facts.decide(1.0, FactKind.ZONE_DECISION, "a>b", '["left"]')
     net.run(2.0)
     gone: set[int] = set()
@@ -330,7 +333,8 @@
                         )
             if rates:
                 most = max(
-                    capacity_ratio_at(act.step, 0.2) * act.backend_rate * act.backends for _, act in rates
+                    capacity_ratio_at(act.step, 0.2) * act.backend_rate_per_s * act.backends
+                    for _, act in rates
                 )
                 assert sum(rate for rate, _ in rates) <= most * 1.001
 
@@ -367,7 +371,7 @@
     node = net.nodes[address_of(0)]
     assert node.members.others["g2"].state is MemberState.DEAD
     assert set(loads_by_place(node, "a", 0, 3, net.now)) == {0, 1, 2}
-    assert set(loads_by_place(node, "a", 0, 3, net.now + DEAD_KEEPS_PART_S)) == {0, 1}
+    assert set(loads_by_place(node, "a", 0, 3, net.now + DEAD_MEMBER_LOAD_TTL_S)) == {0, 1}
 
 
 def test_a_ramp_that_began_without_load_still_lets_work_in() -> None:
@@ -378,7 +382,7 @@
     node.facts.decide(wall, FactKind.ZONE_DECISION, "a>b", '["left"]')
     answers = {
         "a": LocalObservation(4),
-        "b": LocalObservation(4, healthy=dict.fromkeys(("b1", "b2", "b3"), 0.0)),
+        "b": LocalObservation(4, healthy_ages_s=dict.fromkeys(("b1", "b2", "b3"), 0.0)),
     }
     for later in (0.0, 0.3, 0.7):  # it is not seen to have stood still
         agreement.evaluate(node, net.now + later, wall, answers, 0.0)
@@ -467,17 +471,17 @@
         kept(ZoneDecision("left", flaps=1, reason="failing")),
         kept(ZoneDecision("returning", 4, 1, 9.5, 8, "f0f")),
     )
-    assert from_row("a>b", to_row(left)) == left
-    anew = from_row("a>b", to_row(returning))
+    assert row_to_entry("a>b", entry_to_row(left)) == left
+    anew = row_to_entry("a>b", entry_to_row(returning))
     assert (
         anew is not None
         and decode_decision(anew.value).state == "left"
         and decode_decision(anew.value).flaps == 1
     )
     assert anew.version == 5 and higher(anew, returning) == returning  # where others go on, theirs holds
-    row = to_row(left)
+    row = entry_to_row(left)
     for place, spoilt in ((1, "x"), (3, -1), (3, None), (4, "now"), (4, 1e30), (0, "g" * 999)):
-        assert from_row("a>b", [*row[:place], spoilt, *row[place + 1 :]]) is None
+        assert row_to_entry("a>b", [*row[:place], spoilt, *row[place + 1 :]]) is None
     assert is_valid_zone_decision([*row[:4], now_ms(), row[5]]) and not is_valid_zone_decision(
         row
     )  # of years ago
@@ -486,8 +490,8 @@
         and not is_valid_zone_decision([*row[:4], None, ""])
         and not is_valid_zone_decision("spoilt")
     )
-    assert from_row("a>b", row[:3]) is None and from_row("n" * 999, row) is None
-    assert decode_decision((from_row("a>b", [*row[:5], "no act"]) or left).value).state == "up"
+    assert row_to_entry("a>b", row[:3]) is None and row_to_entry("n" * 999, row) is None
+    assert decode_decision((row_to_entry("a>b", [*row[:5], "no act"]) or left).value).state == "up"
 
 
 def test_leaving_waits_a_moment_for_those_who_met_others_well() -> None:
@@ -501,7 +505,7 @@
         ZoneAgreement("a", 0, 2, SlowStart(0.2, 16.0), random.Random(1)),
         {"a": LocalObservation(4), "b": LocalObservation(4)},
     )
-    seen["b"] = LocalObservation(4, lost={f"{b:08x}": 0.0 for b in range(4)})
+    seen["b"] = LocalObservation(4, lost_ages_s={f"{b:08x}": 0.0 for b in range(4)})
     other = net.nodes[address_of(1)]
     other.publish(
         wall, FactKind.ZONE_REPORT, "b", '[{"00000000":0,"00000001":0,"00000002":0},{}]'
