--- a/tests/fleet/test_quarantine.py
+++ b/tests/fleet/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Stragglers shut out: by the grants of most, no more than a part at once, and back by themselves."""
+"""Quarantine of stale gateways: granted by most members, limited to a share at once, and ended by itself."""
 
 from __future__ import annotations
 
@@ -29,53 +29,57 @@
 from testbed.fixture import Plays
 from testbed.network.fleet_link import Net, acquaint, address_of
 
-PATIENCE_S, STEP_S = 2.0, 0.25
+QUARANTINE_AFTER_S, STEP_S = 2.0, 0.25
 
 
-class Fleet:
-    """Nodes on a hand-set clock whose gateways hold list 5, but stragglers list 4."""
+class SimulatedFleet:
+    """Endpoints on a simulated clock; gateways have endpoint list 5, stale ones list 4."""
 
     def __init__(self, size: int, seed: int = 1) -> None:
         self.net, self.size = Net(seed), size
-        self.shuttings = [Quarantine(PATIENCE_S, self.net.now) for _ in range(size)]
+        self.quarantines = [Quarantine(QUARANTINE_AFTER_S, self.net.now) for _ in range(size)]
         self.lists = [5] * size
         self.spared: set[str] = set()
         self.floors = VersionFloors()
         self.gone: set[int] = set()
         for number in range(size):
             self.net.add(number)
-            self.tell(number)
+            self.publish_list(number)
         acquaint(self.net)
         self.run(GRANT_DELAY_S + 1.0)
 
-    def tell(self, number: int) -> None:
+    def publish_list(self, number: int) -> None:
         node = self.net.nodes[address_of(number)]
         node.publish(self.net.wall(address_of(number)), "list", "", str(self.lists[number]))
 
     def run(self, for_s: float) -> int:
-        """Let time pass; the most that were out at once."""
+        """Advance the clock; return the highest number of gateways quarantined at once."""
         most = 0
         for _ in range(round(for_s / STEP_S)):
             self.net.run(STEP_S)
-            for number, one in enumerate(self.shuttings):
+            for number, quarantine in enumerate(self.quarantines):
                 address = address_of(number)
                 if number in self.gone or self.net.stopped.get(address, 0.0) > self.net.now:
                     continue
-                node, behind = self.net.nodes[address], self.lists[number] < max(self.lists)
-                self.tell(number)
+                node, is_stale = self.net.nodes[address], self.lists[number] < max(self.lists)
+                self.publish_list(number)
                 wall = self.net.wall(address)
-                view = StalenessView(self.lists[number], behind, self.spared, self.floors)
-                one.evaluate(node, self.net.now, wall, view)
+                view = StalenessView(self.lists[number], is_stale, self.spared, self.floors)
+                quarantine.evaluate(node, self.net.now, wall, view)
                 self.net.carry(address, node)
-            most = max(most, len(self.out()))
+            most = max(most, len(self.quarantined()))
         return most
 
-    def out(self) -> list[int]:
-        return [n for n, one in enumerate(self.shuttings) if one.is_quarantined and n not in self.gone]
+    def quarantined(self) -> list[int]:
+        return [
+            n
+            for n, quarantine in enumerate(self.quarantines)
+            if quarantine.is_quarantined and n not in self.gone
+        ]
 
 
 @given(st.integers(1, 5_000))
-def test_the_grants_of_all_suffice_for_no_more_than_the_part(members: int) -> None:
+def test_all_grants_together_suffice_for_no_more_than_the_allowed_share(members: int) -> None:
     needed = members // 2 + 1
     assert (
         members * max_grants_per_member(members) // needed
@@ -85,51 +89,59 @@
     assert max_quarantined(members) < members
 
 
-def test_a_straggler_is_shut_out_after_its_time_and_back_once_it_is_level_for_a_while() -> None:
-    fleet = Fleet(6)
+def test_a_stale_gateway_is_quarantined_after_its_delay_until_it_is_up_to_date_for_a_while() -> None:
+    fleet = SimulatedFleet(6)
     fleet.lists[3] = 4
-    fleet.run(PATIENCE_S - STEP_S)
-    assert fleet.out() == []
+    fleet.run(QUARANTINE_AFTER_S - STEP_S)
+    assert fleet.quarantined() == []
     fleet.run(2.0)
-    assert fleet.out() == [3]
+    assert fleet.quarantined() == [3]
     fleet.lists[3] = 5
     fleet.run(RECOVERY_S - 2 * STEP_S)
-    assert fleet.out() == [3]
+    assert fleet.quarantined() == [3]
     fleet.run(1.0)
-    assert fleet.out() == []
+    assert fleet.quarantined() == []
     facts = fleet.net.nodes[address_of(0)].facts
     fleet.run(2.0)
     assert (
         facts.value(FactKind.QUARANTINE, "", "g3") is None
         and facts.value(FactKind.QUARANTINE_GRANT, "g3", "g0") is None
     )
-    fleet.lists[3] = 4  # again so soon: it has to be level for longer
-    fleet.run(PATIENCE_S + 2.0)
+    fleet.lists[3] = 4  # stale again soon after: it must be up to date for longer
+    fleet.run(QUARANTINE_AFTER_S + 2.0)
     fleet.lists[3] = 5
     fleet.run(RECOVERY_S + 1.0)
-    assert fleet.out() == [3]
+    assert fleet.quarantined() == [3]
 
 
-def test_of_many_stragglers_a_part_is_out_and_in_a_small_fleet_or_a_minority_nobody() -> None:
-    fleet = Fleet(12)
+def test_only_a_share_of_stale_gateways_is_quarantined_and_none_in_a_small_fleet_or_a_minority() -> None:
+    fleet = SimulatedFleet(12)
     for number in range(5):
         fleet.lists[number] = 4
     assert 1 <= fleet.run(8.0) <= max_quarantined(12)
-    small = Fleet(4)
+    small = SimulatedFleet(4)
     small.lists[0] = 4
     assert small.run(8.0) == 0
-    cut = Fleet(6)
+    cut = SimulatedFleet(6)
     cut.lists[3] = 4
     cut.net.cut = lambda one, other: address_of(3) in (one, other)
-    assert cut.run(15.0) == 0  # nobody hears that it wants to be out
-    spared = Fleet(6)
+    assert cut.run(15.0) == 0  # no member receives that it wants quarantine
+    spared = SimulatedFleet(6)
     spared.lists[3], spared.spared = 4, {"g3"}
     assert spared.run(8.0) == 0
 
 
-def test_a_floor_makes_a_straggler_of_who_is_below_it_though_most_are_not_above() -> None:
-    called = ["list 43", "list 7", "list x", "program 3", "program 1.4", "list 1" + "0" * 30, "config abcd"]
-    floors = parse_floors([*called, "config ../x", "program 1.x", "nothing 7"])
+def test_a_gateway_below_a_floor_is_stale_even_if_most_are_below_it() -> None:
+    floor_names = [
+        "list 43",
+        "list 7",
+        "list x",
+        "program 3",
+        "program 1.4",
+        "list 1" + "0" * 30,
+        "config abcd",
+    ]
+    floors = parse_floors([*floor_names, "config ../x", "program 1.x", "nothing 7"])
     assert floors == VersionFloors(43, (3,), frozenset({"abcd"}))
     assert not parse_floors([]) and not parse_floors(["list -1", "program", "config"])
     assert (
@@ -145,58 +157,63 @@
         VersionFloors(release=(2,)),
         VersionFloors(configs=frozenset({"beef"})),
     ):
-        fleet = Fleet(6)
-        node, one = fleet.net.nodes[address_of(0)], fleet.shuttings[0]
+        fleet = SimulatedFleet(6)
+        node, quarantine = fleet.net.nodes[address_of(0)], fleet.quarantines[0]
         node.facts.publish(0.0, "release", "", "1.9")
         node.facts.publish(0.0, "config", "", "abcd")
         begun = fleet.net.now
-        for now, word in ((begun, None), (begun + PATIENCE_S, QuarantineState.WANTED)):
-            one.evaluate(node, now, 0.0, StalenessView(5, False, (), floor))
-            assert node.facts.value(FactKind.QUARANTINE, "", "g0") == word
+        for now, state in ((begun, None), (begun + QUARANTINE_AFTER_S, QuarantineState.WANTED)):
+            quarantine.evaluate(node, now, 0.0, StalenessView(5, False, (), floor))
+            assert node.facts.value(FactKind.QUARANTINE, "", "g0") == state
 
 
-def test_a_release_is_rolled_out_in_peace_until_a_floor_and_then_stragglers_go_a_part_at_a_time() -> None:
-    fleet = Fleet(11)
+def test_a_roll_out_quarantines_none_until_a_floor_is_set_and_then_a_share_at_a_time() -> None:
+    fleet = SimulatedFleet(11)
     for number in range(11):
         address = address_of(number)
         fleet.net.nodes[address].publish(
             fleet.net.wall(address), "release", "", "1.5" if number > 3 else "1.4"
         )
-    assert fleet.run(3 * PATIENCE_S) == 0
+    assert fleet.run(3 * QUARANTINE_AFTER_S) == 0
     fleet.floors = parse_floors(["program 1.5"])
-    assert 1 <= fleet.run(PATIENCE_S + 3.0) <= max_quarantined(11) and set(fleet.out()) <= {0, 1, 2, 3}
-    for number in fleet.out():  # the new program starts there, or its facts say so
+    assert 1 <= fleet.run(QUARANTINE_AFTER_S + 3.0) <= max_quarantined(11) and set(fleet.quarantined()) <= {
+        0,
+        1,
+        2,
+        3,
+    }
+    for number in fleet.quarantined():  # the new release starts there
         address = address_of(number)
         fleet.net.nodes[address].publish(fleet.net.wall(address), "release", "", "1.5")
-    assert fleet.run(RECOVERY_S + 6.0) <= max_quarantined(11) and len(fleet.out()) >= 1
+    assert fleet.run(RECOVERY_S + 6.0) <= max_quarantined(11) and len(fleet.quarantined()) >= 1
 
 
-def test_a_look_does_not_count_the_members_once_for_each_member(monkeypatch: pytest.MonkeyPatch) -> None:
-    """With 200 members that took most of 8 cores, in all gateways four times a second."""
+def test_an_evaluation_does_not_count_all_members_once_per_member(monkeypatch: pytest.MonkeyPatch) -> None:
+    """With 200 members, counting four times a second in all gateways took most of 8 cores."""
     counted: list[int] = []
     real = Members.not_left.fget
     assert real is not None
     monkeypatch.setattr(Members, "not_left", property(lambda self: counted.append(1) or real(self)))
-    fleet = Fleet(30)
+    fleet = SimulatedFleet(30)
     fleet.lists[3] = 4
-    looks = int(6.0 / STEP_S) * 30
+    evaluations = int(6.0 / STEP_S) * 30
     fleet.run(6.0)
-    assert fleet.out() == [3]
-    assert len(counted) <= 6 * looks  # of 30 each, before
+    assert fleet.quarantined() == [3]
+    assert len(counted) <= 6 * evaluations  # before the fix it was 30 each
 
 
-def test_one_that_falls_into_a_minority_while_it_is_out_serves_again() -> None:
-    fleet = Fleet(6)
+def test_a_quarantined_gateway_that_falls_into_a_minority_serves_again() -> None:
+    fleet = SimulatedFleet(6)
     fleet.lists[3] = 4
-    fleet.run(PATIENCE_S + 2.0)
-    assert fleet.out() == [3]
+    fleet.run(QUARANTINE_AFTER_S + 2.0)
+    assert fleet.quarantined() == [3]
     fleet.net.cut = lambda one, other: address_of(3) in (one, other)
     fleet.run(12.0)
-    assert fleet.out() == []
+    assert fleet.quarantined() == []
 
 
-def between(side: set[Address]) -> Callable[[Address, Address], bool]:
-    """A cut between these and the others."""
+def partition(side: set[Address]) -> Callable[[Address, Address], bool]:
+    """Return a cut of all links between these members and the others."""
     return lambda one, other: (one in side) != (other in side)
 
 
@@ -205,8 +222,8 @@
     st.lists(st.sampled_from(["lag", "heal", "lose", "well", "stop", "cut", "join"]), max_size=12),
     st.integers(0, 99),
 )
-def test_no_order_of_facts_shuts_out_more_than_the_part(steps: list[str], seed: int) -> None:
-    fleet, chance = Fleet(11, seed), random.Random(seed)
+def test_no_order_of_facts_quarantines_more_than_the_allowed_share(steps: list[str], seed: int) -> None:
+    fleet, chance = SimulatedFleet(11, seed), random.Random(seed)
     limit = max_quarantined(11)
     for step in [*steps, "lag", "lag", "lag"]:
         number = chance.randrange(11)
@@ -222,26 +239,26 @@
             case "stop":
                 fleet.net.stop(number, chance.uniform(0.5, 4.0))
             case "cut":
-                fleet.net.cut = between({address_of(n) for n in range(11) if chance.random() < 0.5})
+                fleet.net.cut = partition({address_of(n) for n in range(11) if chance.random() < 0.5})
             case _:
                 fleet.net.cut = lambda one, other: False
         assert fleet.run(1.5) <= limit
 
 
-@pytest.mark.parametrize("given", [1, -3, 4_000, "15", True])
-def test_a_time_out_of_its_range_refuses_the_start(given: Any, tmp_path: Any) -> None:
+@pytest.mark.parametrize("delay_s", [1, -3, 4_000, "15", True])
+def test_a_quarantine_delay_out_of_range_is_rejected(delay_s: Any, tmp_path: Any) -> None:
     secret = tmp_path / "secret"
     secret.write_text("long enough a secret")
     table = {"name": "lab", "listen": "127.0.0.1:7946", "secret": str(secret)}
     with pytest.raises(ValueError, match="shut_out_s"):
-        parse_fleet(table | {"shut_out_s": given})
+        parse_fleet(table | {"shut_out_s": delay_s})
     line = parse_fleet(table | {"shut_out_s": 0})
     assert line is not None and line.quarantine_after_s == 0.0
 
 
 @pytest.mark.timeout(120)
-def test_a_gateway_whose_agent_stays_stuck_is_shut_out(lab: Plays) -> None:
-    """Six processes, a tenth of the messages between them lost; operators spare one of two stragglers."""
+def test_a_gateway_with_a_stuck_agent_is_quarantined(lab: Plays) -> None:
+    """Six processes with a tenth of the messages lost; operators spare one of two stale gateways."""
     spare = {"call": "fleet/spare", "id": "g1", "fleet": True}
     floor = {"call": "fleet/floor", "id": "list 2"}
     lossy = {"between": ["gateways"], "and": ["gateways"], "loss": 0.1}
@@ -269,5 +286,6 @@
         == [e["how"] for e in played.of("op", g="g5")]
         == [*("called", "yes")]
     )
-    assert [e for e in played.of("front", g="g3") if not e["up"]]  # the front sends it nobody meanwhile
+    # The front sends it no clients during its quarantine.
+    assert [e for e in played.of("front", g="g3") if not e["up"]]
     assert json.dumps(seen).count('"shut-grant"') >= 3
--- a/tests/fleet/test_recovery_stages.py
+++ b/tests/fleet/test_recovery_stages.py
@@ -1,4 +1,4 @@
-"""The stages of a start in a fleet: which may follow which, and how staff see them."""
+"""The stages of a start in a fleet: their allowed transitions, and their numbers and labels."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from switchline.fleet_runtime.recovery.stages import TRANSITIONS, Stage, StageError, StageTracker
 
-STEPS = [(before, after) for before in Stage for after in Stage]
+STAGE_PAIRS = [(before, after) for before in Stage for after in Stage]
 
 
-def test_a_stage_outside_the_table_is_not_entered() -> None:
-    for before, after in STEPS:
+def test_a_transition_outside_the_table_raises_and_keeps_the_stage() -> None:
+    for before, after in STAGE_PAIRS:
         tracker = StageTracker(0.0)
         tracker.stage = before
         if after in TRANSITIONS[before]:
@@ -22,11 +22,11 @@
             assert tracker.stage is before
 
 
-def test_each_stage_leads_to_the_last_one() -> None:
+def test_every_stage_can_be_followed_by_the_last_one() -> None:
     assert all(Stage.COMPLETE in TRANSITIONS[stage] for stage in Stage if stage is not Stage.COMPLETE)
 
 
-def test_staff_see_the_stages_by_their_numbers_and_labels() -> None:
+def test_stages_have_their_published_numbers_and_labels() -> None:
     assert [(int(stage), stage.label) for stage in Stage] == [
         (1, "facts"),
         (2, "spending"),
