--- a/switchline/fleet/outage.py
+++ b/switchline/fleet/outage.py
@@ -13,7 +13,8 @@
 from statistics import median
 
 UNKNOWN_DOWNTIME = "?"  # published if the disk has no record of an earlier process
-DOWNTIME_PUBLISHED_S = 20.0  # time after a process starts, about as long as a backend's slow start
+# A process publishes its downtime for so long after its start: about as long as a backend's slow start.
+DOWNTIME_PUBLISHED_S = 20.0
 # A downtime longer than the others' by more than this means that the disk more likely holds an old copy.
 OLD_DISK_MARGIN_S = 10.0
 MAX_OUTAGE_S = 600.0  # after a longer downtime backends are no longer cold because of it
--- a/switchline/zones/evidence.py
+++ b/switchline/zones/evidence.py
@@ -9,7 +9,7 @@
 
 from switchline.zones.reports import ReceivedReport, latest_times
 
-# Number of healthy backends assumed in addition to those observed; it damps ratios of few observations.
+# Number of healthy backends assumed in addition to those observed.
 UNSEEN_HEALTHY_BACKENDS = 0.75
 
 
--- a/tests/zones/test_zone_agreement.py
+++ b/tests/zones/test_zone_agreement.py
@@ -136,7 +136,7 @@
 
 
 def test_no_cold_backend_of_a_returning_zone_is_overloaded_by_many_gateways() -> None:
-    """If senders chose backends at random, some got up to 1.65 of what they bear in a half second."""
+    """When backends were chosen at random, some got up to 1.65 of what they bear in a half second."""
     play = started_fleet(gateways=24, seed=2)
     play.run(7000, gap=50)
     play.mode["b"] = "refuses"
