--- a/switchline/zones/capacity.py
+++ b/switchline/zones/capacity.py
@@ -33,7 +33,9 @@
     facts = endpoint.facts
     loads_per_s: dict[int, float] = {}
     for name, member in endpoint.members.others.items():
-        ended = member.state is MemberState.DEAD and now_s - member.state_changed_at_s > DEAD_MEMBER_LOAD_TTL_S
+        ended = (
+            member.state is MemberState.DEAD and now_s - member.state_changed_at_s > DEAD_MEMBER_LOAD_TTL_S
+        )
         if ended or member.state is MemberState.LEFT or facts.value(FactKind.ZONE, "", name) != zone:
             continue
         other_place = facts.place(name)
--- a/switchline/zones/publisher.py
+++ b/switchline/zones/publisher.py
@@ -211,7 +211,9 @@
             due = evaluation.now_s - previous.at_s >= (LOSS_PUBLISH_INTERVAL_S if urgent else interval_s)
             if report != previous.report and due:
                 self._published[zone] = Publication(evaluation.now_s, report)
-                evaluation.facts.publish_if_allowed(evaluation.wall_ms, FactKind.ZONE_REPORT, zone, encode_report(report))
+                evaluation.facts.publish_if_allowed(
+                    evaluation.wall_ms, FactKind.ZONE_REPORT, zone, encode_report(report)
+                )
                 first_loss |= bool(report.lost_age_tenths and not previous.report.lost_age_tenths)
         return first_loss
 
--- a/tests/fleet/test_outage.py
+++ b/tests/fleet/test_outage.py
@@ -138,7 +138,10 @@
     exchange(Wanted.LIST, 6)
     assert told[-1].endpoint_list == EndpointList(7, [row]) and told[-1].remaining_quotas is None
     exchange(Wanted.QUOTAS, 7)
-    assert told[-1].remaining_quotas == [RemainingQuota("c1", "bas", 0.5, 3.0)] and told[-1].endpoint_list is None
+    assert (
+        told[-1].remaining_quotas == [RemainingQuota("c1", "bas", 0.5, 3.0)]
+        and told[-1].endpoint_list is None
+    )
     other.known_quotas = lambda: None  # it is asking others itself
     exchange(Wanted.QUOTAS, 7)
     assert len(told) == 2
