--- a/switchline/fleet/dissemination/__init__.py
+++ b/switchline/fleet/dissemination/__init__.py
@@ -1,1 +1,1 @@
-"""What a member passes on: gossip within datagrams, and exchanges of the complete state."""
+"""How a member passes on what it knows: gossip in datagrams, and exchanges of the complete state."""
--- a/switchline/fleet/dissemination/gossip_queue.py
+++ b/switchline/fleet/dissemination/gossip_queue.py
@@ -1,4 +1,4 @@
-"""What a gateway has yet to pass on, the least transmitted first (memberlist's broadcast queue). Pure."""
+"""The queue of gossip to pass on, least transmitted items first (memberlist's broadcast queue)."""
 
 from __future__ import annotations
 
@@ -7,43 +7,48 @@
 
 from switchline.fleet.messages import MAX_DATAGRAM_BYTES, Entry, MemberUpdate
 
-MAX_QUEUED = 4_096  # items; what is dropped over it reaches the others by exchanges
-RETRANSMIT_FACTOR = 4.0  # times log10 of the members: how often each passes an item on
-LEAST_RETRANSMITS = 8
-GOSSIP_BYTES = MAX_DATAGRAM_BYTES - 120  # of a datagram, without the frame and the other fields
-UPDATE_BYTES = 48  # about, without the texts in it
-ENTRY_BYTES = 72  # likewise
-MAX_EXAMINED = 40  # items, for one datagram
+MAX_QUEUED_ITEMS = 4_096  # an item that is dropped above this reaches the other members by exchanges
+RETRANSMIT_FACTOR = 4.0  # each member passes an item on this many times log10(members + 1)
+MIN_RETRANSMITS = 8
+MAX_GOSSIP_BYTES = MAX_DATAGRAM_BYTES - 120  # the rest is for the frame and the datagram's other fields
+UPDATE_OVERHEAD_BYTES = 48  # estimated size of an update without its texts
+ENTRY_OVERHEAD_BYTES = 72  # estimated size of an entry without its texts
+MAX_EXAMINED_ITEMS = 40  # for one datagram
 
 Item = MemberUpdate | Entry
 
 
 def estimated_bytes(item: Item) -> int:
-    """Return about how many bytes of a datagram an item takes."""
+    """Return the estimated size of an item in a datagram, in bytes."""
     if isinstance(item, MemberUpdate):
-        return UPDATE_BYTES + len(item.name) + len(item.suspected_by)
-    return ENTRY_BYTES + len(item.name) + len(item.origin) + 2 * len(item.value or "")
+        return UPDATE_OVERHEAD_BYTES + len(item.name) + len(item.suspected_by)
+    return ENTRY_OVERHEAD_BYTES + len(item.name) + len(item.origin) + 2 * len(item.value or "")
 
 
 def retransmit_limit(members: int) -> int:
-    """Return how often an item is passed on in a fleet of so many members."""
-    return max(LEAST_RETRANSMITS, math.ceil(RETRANSMIT_FACTOR * math.log10(members + 1)))
+    """Return how often a member passes an item on in a fleet of `members` members."""
+    return max(MIN_RETRANSMITS, math.ceil(RETRANSMIT_FACTOR * math.log10(members + 1)))
 
 
 class GossipQueue:
-    """Owns the items, by how often each was transmitted: a choice costs the same however many wait."""
+    """Owns the queued items, grouped by how often each was transmitted.
+
+    Because of the groups a choice costs the same however many items are queued.
+    """
 
     def __init__(self) -> None:
-        self._transmits: dict[Hashable, int] = {}  # by an item's key
-        self._queues: dict[int, dict[Hashable, Item]] = {}  # by that number, in order of arrival
+        self._transmits: dict[Hashable, int] = {}  # number of transmissions by an item's key
+        self._queues: dict[
+            int, dict[Hashable, Item]
+        ] = {}  # items by number of transmissions, in order of arrival
 
     def __len__(self) -> int:
         return len(self._transmits)
 
     def add(self, key: Hashable, item: Item) -> None:
-        """Add an item, in place of an older one of the same key."""
+        """Add an item, replacing an older one with the same key."""
         self._drop(key)
-        if len(self._transmits) >= MAX_QUEUED:
+        if len(self._transmits) >= MAX_QUEUED_ITEMS:
             self._drop(next(iter(self._queues[max(self._queues)])))
         self._put(key, item, 0)
 
@@ -58,31 +63,31 @@
                 del self._queues[transmits]
 
     def _candidates(self) -> Iterator[tuple[Hashable, Item, int]]:
-        """Yield the items with the fewest transmissions: key, item and transmissions."""
+        """Yield the key, item and number of transmissions of the items with the fewest transmissions."""
         examined = 0
         for transmits in sorted(self._queues):
             for key, item in self._queues[transmits].items():
                 yield key, item, transmits
                 examined += 1
-                if examined >= MAX_EXAMINED:
+                if examined >= MAX_EXAMINED_ITEMS:
                     return
 
     def pick(self, members: int, first: MemberUpdate | None) -> tuple[list[MemberUpdate], list[Entry]]:
-        """Return what one datagram carries; items that were transmitted often enough leave the queue.
+        """Return the gossip for one datagram; remove items that were transmitted often enough.
 
         Args:
-            members: Members that are present.
-            first: An update that goes first, outside the queue.
+            members: Number of members that are present.
+            first: An update that goes first and is not in the queue; None for none.
         """
         updates = [first] if first else []
         entries: list[Entry] = []
         if not self._transmits:
             return updates, entries
-        left_bytes = GOSSIP_BYTES
+        free_bytes = MAX_GOSSIP_BYTES
         picked = []
         for key, item, transmits in self._candidates():
-            if (takes := estimated_bytes(item)) <= left_bytes:
-                left_bytes -= takes
+            if (item_bytes := estimated_bytes(item)) <= free_bytes:
+                free_bytes -= item_bytes
                 picked.append((key, item, transmits))
         limit = retransmit_limit(members)
         for key, item, transmits in picked:
--- a/switchline/fleet/endpoint.py
+++ b/switchline/fleet/endpoint.py
@@ -1,7 +1,7 @@
-"""One member's protocol endpoint: datagrams and time go in, datagrams and facts come out. Pure.
+"""The protocol endpoint of one member. It does no I/O and reads no clock.
 
-The caller hands in what came (`receive_datagram`, `receive_exchange`), lets time pass (`tick`), and takes
-what is to be sent (`take_datagrams`, `take_exchanges`). `now_s` is seconds on a clock that never steps,
+The caller passes in received frames (`receive_datagram`, `receive_exchange`) and the time (`tick`), and takes
+out what is to be sent (`take_datagrams`, `take_exchanges`). `now_s` is seconds of a monotonic clock,
 `wall_ms` milliseconds of wall time.
 """
 
@@ -32,13 +32,13 @@
     Wanted,
 )
 
-LEAVE_FANOUT = 4  # members that hear that this one leaves
-EXPIRY_INTERVAL_S = 5.0  # between two removals of what has expired
-STALL_GAP_S = 0.75  # a gap between two ticks from which on this process stood still
+LEAVE_FANOUT = 4  # number of members that are sent this member's claim that it leaves
+EXPIRY_INTERVAL_S = 5.0  # between two removals of expired members and facts
+STALL_GAP_S = 0.75  # after a longer gap between two ticks this process is taken to have been stalled
 
 
 class ProtocolEndpoint:
-    """Owns the members and the facts as this gateway knows them, and its part in the protocol."""
+    """Owns the members and the facts that this gateway knows, and runs its side of the protocol."""
 
     def __init__(
         self,
@@ -49,10 +49,15 @@
         now_s: float,
         wall_ms: float,
     ) -> None:
-        """Begin as the only member that is known.
+        """Start without any other known member.
 
-        `me` is this member's first claim about itself; `seeds` are addresses at which others may be found;
-        `rng` is the source of all random choices.
+        Args:
+            me: This member's first claim about itself.
+            seeds: Addresses at which other members may be found.
+            codec: Encodes and decodes the fleet's frames.
+            rng: Source of all random choices.
+            now_s: The monotonic time in seconds.
+            wall_ms: The wall time in milliseconds.
         """
         address = me.host, me.port
         self.codec = codec
@@ -61,26 +66,29 @@
         self.clock = HybridClock()
         self.outbox = Outbox(self.members, self.clock, codec, now_s)
         self.prober = Prober(self.members, address, self.outbox.send, rng, now_s)
-        self.schedule = ExchangeSchedule(self.members, address, seeds, rng, now_s)
-        self.refused: dict[str, int] = {}  # by reason
-        self.received_datagrams = 0  # datagrams that were taken
-        self.on_fact: Callable[[Entry], None] = lambda entry: None  # with each entry that is new here
-        # What this gateway wants of the others, the list that it has, and what becomes of their answers.
+        self.exchange_schedule = ExchangeSchedule(self.members, address, seeds, rng, now_s)
+        self.refused: dict[str, int] = {}  # number of dropped messages by reason
+        self.received_datagrams = 0  # without those that were dropped
+        # Called with each fact entry that is new in `facts`.
+        self.on_fact: Callable[[Entry], None] = lambda entry: None
+        # What this gateway asks for in exchanges, the number of its own endpoint list (-1: none), and the
+        # callback that receives answers with a list or quotas.
         self.wants = Wanted.NOTHING
         self.list_seq = -1
         self.on_answer: Callable[[Exchange], None] = lambda exchange: None
-        # What it has for the others: the list here, if newer than a number; the quotas, if they are known.
+        # Callbacks for what other gateways ask for: the endpoint list here, if its number is above the given
+        # one, and the remaining quotas, if they are known.
         self.newer_list: Callable[[int], EndpointList | None] = lambda seq: None
         self.known_quotas: Callable[[], list[RemainingQuota] | None] = lambda: None
         self._replays = ReplayGuard()
-        self._unanswered: Exchange | None = None
+        self._unanswered_request: Exchange | None = None
         self._wall_ms = wall_ms
-        self._expire_at = now_s + EXPIRY_INTERVAL_S
+        self._next_expiry_at_s = now_s + EXPIRY_INTERVAL_S
         self._connect()
         self.outbox.queue_update(me)
 
     def _connect(self) -> None:
-        """Have what changes in the tables passed on."""
+        """Queue changes of the members and the facts for gossip."""
         self.members.on_update = self.outbox.queue_update
         self.members.on_refutation = self.outbox.gossip_to_many
         self.members.on_new_incarnation = self.facts.begin_incarnation
@@ -91,46 +99,50 @@
         self.on_fact(entry)
 
     def take_datagrams(self) -> list[tuple[Address, bytes]]:
-        """Return, and forget, the datagrams to send now."""
+        """Return the datagrams to send now, with their addresses, and remove them here."""
         return self.outbox.take()
 
-    # The passing of time.
+    # Timers.
 
     def next_tick_at_s(self, now_s: float) -> float:
-        """Return when `tick` is to be called at the latest; what comes in may make it earlier."""
-        due_s = min(
-            self.prober.probe_at, self._expire_at, now_s + PROBE_INTERVAL_S, self.prober.next_timeout_s()
+        """Return the latest time (seconds) for the next `tick`; a received message may make it earlier."""
+        tick_at_s = min(
+            self.prober.next_probe_at_s,
+            self._next_expiry_at_s,
+            now_s + PROBE_INTERVAL_S,
+            self.prober.next_timeout_at_s(),
         )
-        gossip_s = self.outbox.next_round_s()
-        return due_s if gossip_s is None else min(due_s, gossip_s)
+        gossip_at_s = self.outbox.next_gossip_at_s()
+        return tick_at_s if gossip_at_s is None else min(tick_at_s, gossip_at_s)
 
     def tick(self, now_s: float, wall_ms: float) -> None:
-        """Do what is due."""
+        """Do all work that is due: probes, suspicions, gossip, expiry and exchanges."""
         self._wall_ms = wall_ms
-        if now_s - self.outbox.ticked_s > STALL_GAP_S:
-            self.members.resume(now_s)
+        if now_s - self.outbox.last_tick_s > STALL_GAP_S:
+            self.members.restart_suspicions(now_s)
             self.prober.restart(now_s)
-        self.outbox.ticked_s = now_s
+        self.outbox.last_tick_s = now_s
         self.prober.run_due(now_s)
         self.members.declare_dead(now_s)
         self.outbox.run_due(now_s)
-        if now_s >= self._expire_at:
-            self._expire_at = now_s + EXPIRY_INTERVAL_S
-            self.members.forget(now_s)
+        if now_s >= self._next_expiry_at_s:
+            self._next_expiry_at_s = now_s + EXPIRY_INTERVAL_S
+            self.members.expire(now_s)
             self.facts.expire(now_s, wall_ms, self.members.incarnation_of)
-            self._replays.forget_all_but(self.members.others.keys())
-        self.schedule.run_due(now_s)
+            self._replays.retain_only(self.members.others.keys())
+        self.exchange_schedule.run_due(now_s)
 
     # Receiving.
 
     def count_refused(self, reason: str) -> None:
-        """Count something that was dropped."""
+        """Count a dropped message under a reason."""
         self.refused[reason] = self.refused.get(reason, 0) + 1
 
     def receive_datagram(self, now_s: float, wall_ms: float, frame: bytes) -> bool:
-        """Take a datagram; return whether it was taken.
+        """Process a datagram; return whether it was accepted.
 
-        One that is not of this fleet, is old or spoilt is counted, and changes nothing.
+        A datagram that is damaged, from another fleet, from an earlier incarnation or received before is
+        counted in `refused` and changes nothing else.
         """
         self._wall_ms = wall_ms
         try:
@@ -157,12 +169,17 @@
         return True
 
     def _refuse_older(self, message: Datagram) -> None:
-        """Refuse a datagram of an earlier process of its name; the answer to a ping tells it of the later."""
-        later = self.members.later_claim(message.sender, message.incarnation)
-        if later is None:
+        """Refuse a datagram from an earlier process of its sender's name.
+
+        A ping is answered with the claim about the later process, so that the earlier one learns of it.
+        """
+        later_claim = self.members.later_claim(message.sender, message.incarnation)
+        if later_claim is None:
             return
         if message.kind is MessageKind.PING and message.host and message.port:
-            self.outbox.send((message.host, message.port), MessageKind.ACK, seq=message.seq, first=later)
+            self.outbox.send(
+                (message.host, message.port), MessageKind.ACK, seq=message.seq, first=later_claim
+            )
         raise FrameRefusedError(RefusalReason.OLDER)
 
     def _check_replay(self, message: Datagram | Exchange) -> None:
@@ -172,7 +189,7 @@
         self._replays.check(message.sender, message.incarnation, message.number)
 
     def _merge(self, now_s: float, message: Datagram | Exchange) -> None:
-        """Take what a message tells of members and facts."""
+        """Merge the claims about members and the facts that a message carries."""
         self.clock.observe(message.timestamp, self._wall_ms)
         for update in message.updates:
             self.members.merge(update, now_s)
@@ -184,14 +201,17 @@
     def _on_ping(self, message: Datagram, sender: Member | None) -> None:
         """Answer a ping to this member.
 
-        A sender that is held to be suspected or dead is told so, and can refute it. One that claims so of
-        this member is told otherwise, as its claim may have been refuted long ago.
+        The answer carries the claim that the sender is suspected or dead, if that is known here, so that the
+        sender can refute it. If the sender claims this of this member, the answer carries this member's own
+        claim instead, as the sender may have missed its refutation.
         """
         me = self.members.me
         if message.target != me.name or not message.host or not message.port:
             return
         first = sender.update if sender is not None and sender.state is not MemberState.ALIVE else None
-        if any(one.name == me.name and one.state is not MemberState.ALIVE for one in message.updates):
+        if any(
+            update.name == me.name and update.state is not MemberState.ALIVE for update in message.updates
+        ):
             first = me
         self.outbox.send((message.host, message.port), MessageKind.ACK, seq=message.seq, first=first)
 
@@ -199,33 +219,37 @@
 
     @property
     def exchanged_with(self) -> set[str]:
-        """Members whose complete state has come to this process."""
-        return self.schedule.exchanged_with
+        """Names of the members whose complete state this process has received."""
+        return self.exchange_schedule.exchanged_with
 
     def exchange_with(self, addresses: list[Address]) -> None:
-        """Exchange soon with these."""
-        self.schedule.request(addresses)
+        """Schedule an exchange with each of these addresses."""
+        self.exchange_schedule.request(addresses)
 
     def exchange_with_some(self, number: int) -> None:
-        """Exchange soon with so many members, at random, whose complete state has not come yet."""
-        self.schedule.request_some(number)
+        """Schedule exchanges with at most `number` random members whose complete state has not come yet."""
+        self.exchange_schedule.request_some(number)
 
     def take_exchanges(self) -> list[Address]:
-        """Return, and forget, whom to exchange the complete state with now."""
-        return self.schedule.take()
+        """Return the addresses to exchange the complete state with now, and remove them here."""
+        return self.exchange_schedule.take()
 
     def exchange_frame(self, answer: bool) -> bytes:
-        """Return all that is known here, as one side of an exchange; `answer`: as the second side."""
+        """Return the frame with the complete state here, for one side of an exchange.
+
+        Args:
+            answer: Whether it is the answer to the other side's state, which was received before.
+        """
         number = self.outbox.next_number()
         me = self.members.me
         updates = [me, *(member.update for member in self.members.others.values())]
         entries = list(self.facts.entries())
         state = Exchange(me.name, me.incarnation, number, answer, updates, entries, timestamp=self.clock.last)
         if not answer:
-            wanted = msgspec.structs.replace(state, wants=int(self.wants), list_seq=self.list_seq)
-            return self.codec.encode(wanted)
-        request = self._unanswered
-        self._unanswered = None
+            with_request = msgspec.structs.replace(state, wants=int(self.wants), list_seq=self.list_seq)
+            return self.codec.encode(with_request)
+        request = self._unanswered_request
+        self._unanswered_request = None
         if request is not None and request.wants:
             state = msgspec.structs.replace(
                 state,
@@ -235,16 +259,16 @@
         return self.codec.encode(state)
 
     def receive_exchange(self, now_s: float, wall_ms: float, frame: bytes, answer: bool) -> bool:
-        """Take the other side's state.
+        """Process the other side's state.
 
         Args:
-            now_s: The time.
-            wall_ms: The wall time.
-            frame: What came.
-            answer: Whether it must be the answer to this side's state.
+            now_s: The monotonic time in seconds.
+            wall_ms: The wall time in milliseconds.
+            frame: The frame that was received.
+            answer: Whether the frame must be the answer to this side's state.
 
         Returns:
-            Whether it was a state, so that it is answered if it is the first.
+            Whether the state was accepted or, if it is not an answer, must be answered nevertheless.
         """
         self._wall_ms = wall_ms
         try:
@@ -253,16 +277,16 @@
                 raise FrameRefusedError(RefusalReason.REPLAY)
             if self.members.later_claim(message.sender, message.incarnation) is not None:
                 self.count_refused(RefusalReason.OLDER)
-                return not answer  # the answer tells it what holds; nothing of its own is taken
+                return not answer  # its state is not merged, but the answer tells it of the later incarnation
             if message.sender != self.members.me.name:
                 self._check_replay(message)
         except FrameRefusedError as error:
             self.count_refused(error.reason)
             return False
         self._merge(now_s, message)
-        self.schedule.completed(message.sender)
+        self.exchange_schedule.on_completed(message.sender)
         if not answer:
-            self._unanswered = message
+            self._unanswered_request = message
         elif message.endpoint_list is not None or message.remaining_quotas is not None:
             self.on_answer(message)
         return True
@@ -270,19 +294,19 @@
     # This gateway's own facts.
 
     def publish(self, wall_ms: float, kind: str, name: str, value: str | None) -> bool:
-        """Write a fact; return whether it is new. See `Facts.publish`.
+        """Publish a fact; return whether it is new. See `Facts.publish`.
 
         Raises:
-            FactLimitError: The bounds don't allow it.
+            FactLimitError: The fact exceeds a limit.
         """
         return self.facts.publish(wall_ms, kind, name, value) is not None
 
     def gossip_now(self) -> None:
-        """Send what is new to several members at once, as each moment's delay of it costs requests."""
+        """Send new facts to several members at once; used for facts whose delay makes requests fail."""
         if not self.members.superseded:
             self.outbox.gossip_to_many()
 
     def leave(self) -> None:
-        """Tell a few members that this one leaves; they pass it on."""
+        """Send the claim that this member leaves to a few members, which pass it on."""
         self.members.leave()
         self.outbox.gossip_to(LEAVE_FANOUT)
--- a/switchline/fleet/fact_kinds.py
+++ b/switchline/fleet/fact_kinds.py
@@ -1,6 +1,7 @@
 """The kinds of facts that gateways share by gossip, and how entries of each kind override one another.
 
-The values are the strings of the wire. An unknown kind, of a later release, is merged by `MergeRule.OWNER`.
+The values are the strings of the protocol. A kind that only a later release knows is merged by
+`MergeRule.OWNER`.
 """
 
 from __future__ import annotations
@@ -9,33 +10,36 @@
 
 
 class FactKind(StrEnum):
-    """What a fact is about; the comment gives its value, and its name where it has one."""
+    """What a fact is about. The comments describe the entry's value, and its name if it is not empty."""
 
-    # Of one gateway, about itself (`MergeRule.OWNER`).
+    # Facts that a gateway publishes about itself (`MergeRule.OWNER`).
     ZONE = "zone"  # the zone that the gateway runs in
-    REGION = "region"  # the region of that zone
-    RELEASE = "release"  # the release of the program, such as 1.4.2
-    CONFIG = "config"  # the digest of the configuration
-    LIST = "list"  # the number of its endpoint list
-    READY = "ready"  # yes or no: whether it takes clients
-    PLACE = "index"  # its place among all gateways, from 0
-    AUDIT = "audit"  # the number and hash of its last audit record
-    DOWNTIME = "risen"  # seconds between its last two processes, or "?"; only shortly after a start
-    QUARANTINE = "shut"  # wants or out: the state of its own quarantine
-    QUARANTINE_GRANT = "shut-grant"  # name: a gateway; value: the incarnation that may be quarantined
-    LOAD = "load"  # attempts per second that it makes, while a zone is in question
-    ZONE_REPORT = "zone-met"  # name: a zone; value: what the gateway observed there
-    ZONE_FOLLOWED = "zone-on"  # name: a zone; value: version and state of the decision that it follows
-    ACK_BACKEND = "took-host"  # name: a backend; value: the time of the fleet's call that it acted on
+    REGION = "region"  # the region that the gateway's zone belongs to
+    RELEASE = "release"  # the release of the program that the gateway runs, such as 1.4.2
+    CONFIG = "config"  # the digest of the gateway's configuration
+    LIST = "list"  # the sequence number of the gateway's endpoint list
+    READY = "ready"  # yes or no: whether the gateway accepts clients
+    PLACE = "index"  # the gateway's place among all gateways, from 0
+    AUDIT = "audit"  # the number and hash of the gateway's last audit record
+    # Seconds between the gateway's last two processes, or "?" if unknown; published only after a start.
+    DOWNTIME = "risen"
+    QUARANTINE = "shut"  # wants or out: whether the gateway asks for its quarantine or is in it
+    QUARANTINE_GRANT = "shut-grant"  # name: a gateway; value: its incarnation that may be quarantined
+    LOAD = "load"  # attempts per second that the gateway makes; published while a zone's state is in question
+    ZONE_REPORT = "zone-met"  # name: a zone; value: the gateway's report on it
+    ZONE_FOLLOWED = "zone-on"  # name: a zone; value: version and state of the decision that is followed
+    # Acknowledgements of overrides for the whole fleet. Name: the backend, zone, gateway or version; value:
+    # the time of the operator's call that the gateway has applied.
+    ACK_BACKEND = "took-host"
     ACK_ZONE = "took-zone"
     ACK_SPARED_GATEWAY = "took-spare"
     ACK_VERSION_FLOOR = "took-floor"
 
-    # Operators' overrides made at any gateway (`MergeRule.NEWEST_CALL`); value: down or up.
+    # Overrides that operators made at single gateways (`MergeRule.NEWEST_CALL`); value: down or up.
     OVERRIDE_BACKEND = "held-host"
     OVERRIDE_ZONE = "held-zone"
-    OVERRIDE_SPARED_GATEWAY = "held-spare"  # a gateway that must not be quarantined
-    OVERRIDE_VERSION_FLOOR = "held-floor"  # a version below which a gateway is stale
+    OVERRIDE_SPARED_GATEWAY = "held-spare"  # name: a gateway that must not be quarantined
+    OVERRIDE_VERSION_FLOOR = "held-floor"  # name: a version below which a gateway is stale
 
     # The same overrides, made for the whole fleet (`MergeRule.NEWEST_CALL`); value: down or up.
     FLEET_OVERRIDE_BACKEND = "fleet-host"
@@ -43,7 +47,7 @@
     FLEET_OVERRIDE_SPARED_GATEWAY = "fleet-spare"
     FLEET_OVERRIDE_VERSION_FLOOR = "fleet-floor"
 
-    # A decision of one zone's gateways on another zone (`MergeRule.HIGHEST_VERSION`).
+    # A decision of one zone's gateways about another zone (`MergeRule.HIGHEST_VERSION`).
     ZONE_DECISION = "zone-act"  # name: "OBSERVERS>ZONE"; value: a `ZoneDecision`
 
 
@@ -53,20 +57,20 @@
     FactKind.OVERRIDE_SPARED_GATEWAY: FactKind.FLEET_OVERRIDE_SPARED_GATEWAY,
     FactKind.OVERRIDE_VERSION_FLOOR: FactKind.FLEET_OVERRIDE_VERSION_FLOOR,
 }
-"""By the kind of an override at one gateway: the kind of the same override for the whole fleet."""
+"""Maps the kind of an override at one gateway to the kind of the same override for the whole fleet."""
 
 OVERRIDE_KINDS: frozenset[str] = frozenset({*FLEET_WIDE, *FLEET_WIDE.values()})
 VERSIONED_KINDS: frozenset[str] = frozenset({FactKind.ZONE_DECISION})
 SHARED_KINDS: frozenset[str] = OVERRIDE_KINDS | VERSIONED_KINDS
-"""Kinds without an owner: one entry for each name, which any gateway may replace."""
+"""Kinds without an owner: there is one entry for each name, and any gateway may replace it."""
 
 
 class MergeRule(Enum):
-    """Which of two entries of one key overrides the other; see `switchline.fleet.facts.precedence`."""
+    """How the winner of two entries of one key is chosen; see `switchline.fleet.facts.precedence`."""
 
-    OWNER = "owner"  # the owner's later incarnation, then its higher version
-    NEWEST_CALL = "newest call"  # the operator's later call, by wall clock
-    HIGHEST_VERSION = "highest version"  # the decision with the higher version
+    OWNER = "owner"  # the later incarnation of the owner wins, then the higher version
+    NEWEST_CALL = "newest call"  # the later call of an operator wins, by wall clock
+    HIGHEST_VERSION = "highest version"  # the higher version of the decision wins
 
 
 _MERGE_RULES: dict[str, MergeRule] = {
@@ -76,5 +80,5 @@
 
 
 def merge_rule(kind: str) -> MergeRule:
-    """Return how two entries of a kind are merged."""
+    """Return the rule by which entries of a kind are merged."""
     return _MERGE_RULES.get(kind, MergeRule.OWNER)
--- a/switchline/fleet/frames.py
+++ b/switchline/fleet/frames.py
@@ -1,7 +1,7 @@
 """Authenticated frames around messages, and the protection against replays.
 
-A frame is the version (1 byte), a digest of the fleet's name (4 bytes), a keyed checksum (BLAKE2b, 16 bytes)
-over both and the body, and the body in MessagePack.
+A frame consists of the protocol version (1 byte), a digest of the fleet's name (4 bytes), a message
+authentication code (MAC; keyed BLAKE2b, 16 bytes) over both and the body, and the body in MessagePack.
 """
 
 from __future__ import annotations
@@ -26,26 +26,26 @@
 MAC_BYTES = 16
 HEADER_BYTES = 1 + FLEET_DIGEST_BYTES + MAC_BYTES
 KEY_BYTES = 32
-MAX_SENDERS = 6_000  # whose message numbers are remembered
-KEY_PURPOSE = b"line of a fleet"  # BLAKE2b's personalization: a part of the protocol
+MAX_SENDERS = 6_000  # the most senders that have a replay window
+KEY_PERSONALIZATION = b"line of a fleet"  # separates this use of the secret from others; part of the protocol
 
 
 class RefusalReason(StrEnum):
-    """Why a frame is dropped; the counters and the log name it by its value."""
+    """Why a frame is dropped. Counters and the log use the value as the name of the reason."""
 
-    OVERSIZE = "oversize"  # longer than any frame may be
-    GARBAGE = "garbage"  # no frame, or no message of a known form
+    OVERSIZE = "oversize"  # longer than the longest frame allowed
+    GARBAGE = "garbage"  # not a frame, or its body is not a valid message
     VERSION = "version"  # another version of the protocol
-    FLEET = "fleet"  # of another fleet
-    KEY = "key"  # the checksum is wrong: spoilt, or sealed with another secret
+    FLEET = "fleet"  # the frame of another fleet
+    KEY = "key"  # the MAC is wrong: the frame is damaged or was made with another secret
     OWN = "own"  # sent by this process itself
-    OLDER = "older"  # of an earlier incarnation of its sender
-    REPLAY = "replay"  # it has come before
-    FULL = "full"  # too many senders are known
+    OLDER = "older"  # from an earlier incarnation of its sender
+    REPLAY = "replay"  # received before, or too old to tell
+    FULL = "full"  # there are `MAX_SENDERS` other senders already
 
 
 class FrameRefusedError(Exception):
-    """A frame that is dropped."""
+    """A frame is dropped, for the reason in `reason`."""
 
     def __init__(self, reason: RefusalReason) -> None:
         super().__init__(reason.value)
@@ -53,11 +53,11 @@
 
 
 class FrameCodec:
-    """Encodes messages as frames, and decodes frames of the same fleet and secret alone."""
+    """Encodes messages as frames, and decodes only frames of the same fleet and secret."""
 
     def __init__(self, fleet: str, secret: bytes) -> None:
-        """`fleet`: its name; `secret`: shared by all its gateways."""
-        self.key = hashlib.blake2b(secret, digest_size=KEY_BYTES, person=KEY_PURPOSE).digest()
+        """`fleet` is the fleet's name; `secret` is shared by all its gateways."""
+        self.key = hashlib.blake2b(secret, digest_size=KEY_BYTES, person=KEY_PERSONALIZATION).digest()
         fleet_digest = hashlib.blake2b(fleet.encode(), digest_size=FLEET_DIGEST_BYTES).digest()
         self.prefix = bytes([PROTOCOL_VERSION]) + fleet_digest
         self._encoder = msgspec.msgpack.Encoder()
@@ -65,11 +65,11 @@
         self._exchanges = msgspec.msgpack.Decoder(Exchange)
 
     def mac(self, body: bytes) -> bytes:
-        """Return the keyed checksum of a body under this codec's prefix."""
+        """Return the message authentication code of this codec's prefix and a body."""
         return hashlib.blake2b(self.prefix + body, digest_size=MAC_BYTES, key=self.key).digest()
 
     def encode(self, message: Datagram | Exchange) -> bytes:
-        """Return a message as a frame."""
+        """Return the frame of a message."""
         body = self._encoder.encode(message)
         return self.prefix + self.mac(body) + body
 
@@ -77,7 +77,7 @@
         """Return the datagram in a frame.
 
         Raises:
-            FrameRefusedError: It is none of this fleet.
+            FrameRefusedError: The frame is not a valid datagram of this fleet.
         """
         try:
             return self._datagrams.decode(self._open(frame, MAX_DATAGRAM_BYTES))
@@ -85,10 +85,10 @@
             raise FrameRefusedError(RefusalReason.GARBAGE) from error
 
     def decode_exchange(self, frame: bytes) -> Exchange:
-        """Return one side of an exchange in a frame.
+        """Return the message of one side of an exchange in a frame.
 
         Raises:
-            FrameRefusedError: It is none of this fleet.
+            FrameRefusedError: The frame is not a valid exchange message of this fleet.
         """
         try:
             return self._exchanges.decode(self._open(frame, MAX_EXCHANGE_BYTES))
@@ -96,7 +96,11 @@
             raise FrameRefusedError(RefusalReason.GARBAGE) from error
 
     def _open(self, frame: bytes, max_bytes: int) -> bytes:
-        """Return the body of a frame that is authentic; the cheap checks come first."""
+        """Return the body of an authentic frame. The checks that cost least come first.
+
+        Raises:
+            FrameRefusedError: The frame is too long, malformed or not authentic.
+        """
         if len(frame) > max_bytes:
             raise FrameRefusedError(RefusalReason.OVERSIZE)
         if len(frame) <= HEADER_BYTES:
@@ -113,49 +117,55 @@
 
 
 class ReplayWindow:
-    """The numbers of one sender's incarnation that have come: the highest, and a bit for each of the last."""
+    """Message numbers received from one incarnation of a sender.
 
-    __slots__ = ("bits", "highest", "incarnation")
+    It holds the highest number, and one bit for each of the last `WIDTH` numbers: 1 if that message has come.
+    """
+
+    __slots__ = ("highest_number", "incarnation", "received_bits")
 
     WIDTH = 64
 
     def __init__(self, incarnation: Incarnation) -> None:
         self.incarnation = incarnation
-        self.highest = 0
-        self.bits = 0
+        self.highest_number = 0
+        self.received_bits = 0
 
     def accept(self, incarnation: Incarnation, number: int) -> bool:
-        """Note a message, and return whether it is new; one of an older incarnation, or too old, never is."""
+        """Record a message, and return whether it is new.
+
+        A message of an older incarnation, or with a number that the window no longer covers, is not new.
+        """
         if incarnation != self.incarnation:
             if incarnation < self.incarnation:
                 return False
             self.incarnation = incarnation
-            self.highest = 0
-            self.bits = 0
-        if number > self.highest:
-            step = number - self.highest
+            self.highest_number = 0
+            self.received_bits = 0
+        if number > self.highest_number:
+            shift = number - self.highest_number
             all_bits = (1 << self.WIDTH) - 1
-            self.bits = ((self.bits << step) | 1) & all_bits if step < self.WIDTH else 1
-            self.highest = number
+            self.received_bits = ((self.received_bits << shift) | 1) & all_bits if shift < self.WIDTH else 1
+            self.highest_number = number
             return True
-        age = self.highest - number
-        if age >= self.WIDTH or self.bits >> age & 1:
+        age = self.highest_number - number
+        if age >= self.WIDTH or self.received_bits >> age & 1:
             return False
-        self.bits |= 1 << age
+        self.received_bits |= 1 << age
         return True
 
 
 class ReplayGuard:
-    """Owns a replay window for each sender."""
+    """Owns the replay window of each sender."""
 
     def __init__(self) -> None:
         self._windows: dict[str, ReplayWindow] = {}
 
     def check(self, sender: str, incarnation: Incarnation, number: int) -> None:
-        """Note a message of a sender.
+        """Record a message of a sender.
 
         Raises:
-            FrameRefusedError: It has come before, or there are too many senders.
+            FrameRefusedError: The message was received before or is too old, or there are too many senders.
         """
         window = self._windows.get(sender)
         if window is None:
@@ -165,7 +175,7 @@
         if not window.accept(incarnation, number):
             raise FrameRefusedError(RefusalReason.REPLAY)
 
-    def forget_all_but(self, names: AbstractSet[str]) -> None:
-        """Forget senders that are no members any more."""
+    def retain_only(self, names: AbstractSet[str]) -> None:
+        """Remove the windows of all senders except `names`, the current members."""
         for name in self._windows.keys() - names:
             del self._windows[name]
--- a/switchline/fleet/membership/member.py
+++ b/switchline/fleet/membership/member.py
@@ -1,4 +1,4 @@
-"""One member as it is known, and the order of the claims about it. Pure."""
+"""The known state of one member, and the order of the claims about it."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 
 class MemberEvent(StrEnum):
-    """What is counted of members, by the names that operators see."""
+    """Events of members that are counted. The values are the names that operators see."""
 
     SUSPECTED = "suspected"
     DIED = "died"
     LEFT = "left"
     JOINED = "joined"
-    REFUTED = "refuted"  # a suspicion of this member, by itself
+    REFUTED = "refuted"  # this member refuted a claim that it is suspected or dead
 
 
 @dataclass(slots=True)
 class Member:
-    """One other member as it is known here. Times are seconds.
+    """The state of another member as known here. Times are seconds of a monotonic clock.
 
     Attributes:
-        update: The claim that holds.
-        since: When it came to hold.
-        heard: When the last message of the member itself came.
-        suspecters: Who suspects it.
-        dead_at: When it is declared dead, unless it refutes the suspicion.
-        rechecked: Whether it was probed once more before that.
+        update: The claim with the highest precedence so far.
+        state_changed_at_s: When that claim came.
+        last_heard_s: When the last message from the member itself came.
+        suspecters: Names of the members that suspect it.
+        dead_at_s: When it is declared dead unless it refutes the suspicion; infinite without a suspicion.
+        rechecked: Whether it is probed once more before it is declared dead, or has been.
     """
 
     update: MemberUpdate
@@ -44,17 +44,17 @@
 
     @property
     def state(self) -> MemberState:
-        """The state that holds."""
+        """The state in the claim with the highest precedence."""
         return self.update.state
 
     @property
     def address(self) -> Address:
-        """Where the member is reached."""
+        """The address at which the member is reached."""
         return self.update.host, self.update.port
 
     @property
     def is_present(self) -> bool:
-        """Whether it is alive, or only suspected."""
+        """Whether the member is alive or only suspected."""
         return self.update.state in (MemberState.ALIVE, MemberState.SUSPECT)
 
 
@@ -64,8 +64,8 @@
 
 
 def precedence(update: MemberUpdate) -> tuple[Any, ...]:
-    """Return the rank of a claim: of two about one member the higher holds.
+    """Return the rank of a claim: of two claims about one member the higher wins.
 
-    The order is total, so that the merge is the same everywhere.
+    The order is total, so that every gateway gets the same result.
     """
     return (update.incarnation, update.refutation, update.state, update.host, update.port)
--- a/switchline/fleet/membership/probing.py
+++ b/switchline/fleet/membership/probing.py
@@ -1,8 +1,8 @@
-"""SWIM's failure detector: direct probes, indirect probes on others' behalf, and their timeouts. Pure.
+"""SWIM's failure detector: direct probes, indirect probes on others' behalf, and their timeouts.
 
-A member is pinged; without an answer some helpers are asked to ping it (ping-req); without any answer it is
-suspected (`suspicion`). Helpers answer with a nack where they have none either (Lifeguard),
-so that missing nacks tell a member that it misses messages itself.
+A member is pinged. If it does not answer, some helpers are asked to ping it (ping-req). If they get no answer
+either, it is suspected (`suspicion`). A helper that gets no answer sends a nack (Lifeguard), so that
+missing nacks tell a member that it misses messages itself.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 from switchline.fleet.messages import Datagram, MemberState, MemberUpdate, MessageKind
 
 PROBE_INTERVAL_S = 0.4
-PROBE_JITTER_RATIO = 0.1  # of the interval, either way
-PROBE_TIMEOUT_S = 0.1  # for the answer to a direct probe; as much again for the indirect ones
-INDIRECT_PROBES = 3  # helpers asked
-NACK_TIMEOUT_RATIO = 0.8  # of the timeout: then a helper says that there is no answer
-MAX_RELAYS = 64  # pings on others' behalf under way
-RELAY_SEQ_BASE = 1 << 62  # sequence numbers of relayed pings: never those of the own ones
+PROBE_JITTER_RATIO = 0.1  # each interval is longer or shorter by at most this ratio, at random
+PROBE_TIMEOUT_S = 0.1  # for the answer to a direct probe, and as long again for indirect probes
+INDIRECT_PROBES = 3  # number of helpers that are asked for an indirect probe
+NACK_TIMEOUT_RATIO = 0.8  # a helper sends a nack after this ratio of the probe timeout
+MAX_RELAYS = 64  # the most pings in flight on others' behalf
+RELAY_SEQ_BASE = 1 << 62  # lowest sequence number of relayed pings, far above those of own pings
 RELAY_SEQ_BITS = 60
 NO_ADDRESS: Address = ("", 0)
 
 
 class SendMessage(Protocol):
-    """Sends one datagram; `address` is its address field, `first` gossip that goes before the queue's."""
+    """Sends one datagram."""
 
     def __call__(
         self,
@@ -40,25 +40,29 @@
         address: Address = NO_ADDRESS,
         first: MemberUpdate | None = None,
     ) -> None:
-        """Send to an address; the other arguments are fields of the datagram."""
+        """Send a datagram to the address `to`.
+
+        `address` is the address that the datagram names (`Datagram.host` and `port`). `first` is a claim that
+        it carries in addition to the queued gossip. The other arguments are its fields.
+        """
 
 
 @dataclass(slots=True)
 class Probe:
-    """The probe under way. Times are seconds.
+    """The probe in flight. Times are seconds of a monotonic clock.
 
     Attributes:
         name: The member that is probed.
-        direct_until: When the indirect probes begin.
-        until: When the member is suspected.
+        direct_timeout_at_s: When the indirect probes begin.
+        timeout_at_s: When the member is suspected.
         is_indirect: Whether the indirect probes have begun.
-        helpers: How many members were asked for an indirect probe.
-        nacks: How many of them have answered that the member does not.
+        helpers: Number of members that were asked for an indirect probe.
+        nacks: Number of nacks from them.
     """
 
     name: str
-    direct_until: float
-    until: float
+    direct_timeout_at_s: float
+    timeout_at_s: float
     is_indirect: bool = False
     helpers: int = 0
     nacks: int = 0
@@ -66,28 +70,28 @@
 
 @dataclass(slots=True)
 class Relay:
-    """A ping on another member's behalf.
+    """A ping on another member's behalf, the requester's.
 
     Attributes:
-        seq: Of that member's probe.
-        requester: Where it is reached.
-        nack_at: When it is told that there is no answer (seconds).
+        seq: The sequence number of the requester's probe.
+        requester: The address of the requester.
+        nack_at_s: When a nack is sent to the requester if there is no answer (seconds).
     """
 
     seq: int
     requester: Address
-    nack_at: float
+    nack_at_s: float
 
 
 class Prober:
-    """Owns the probe under way, and the pings that are relayed for others."""
+    """Owns the probe in flight, and the pings that are relayed for other members."""
 
     def __init__(
         self, members: Members, address: Address, send: SendMessage, rng: random.Random, now_s: float
     ) -> None:
-        """`address`: where this member is reached; `rng`: source of its random choices."""
-        self.seq = 0  # of the own probes
-        self.probe_at = now_s + rng.uniform(0, PROBE_INTERVAL_S)
+        """`address` is where this member is reached; `rng` is the source of its random choices."""
+        self.seq = 0  # sequence number of the last own probe
+        self.next_probe_at_s = now_s + rng.uniform(0, PROBE_INTERVAL_S)
         self._members = members
         self._address = address
         self._send = send
@@ -95,35 +99,35 @@
         self._probe: Probe | None = None
         self._relays: dict[int, Relay] = {}  # by the sequence number of the relayed ping
 
-    # The passing of time.
+    # Timeouts.
 
-    def next_timeout_s(self) -> float:
-        """Return when `run_due` is to be called at the latest for the pings under way."""
-        due = min((relay.nack_at for relay in self._relays.values()), default=math.inf)
+    def next_timeout_at_s(self) -> float:
+        """Return the latest time (seconds) for the next `run_due`, as the pings in flight need it."""
+        timeout_at_s = min((relay.nack_at_s for relay in self._relays.values()), default=math.inf)
         probe = self._probe
         if probe is None:
-            return due
-        return min(due, probe.until if probe.is_indirect else probe.direct_until)
+            return timeout_at_s
+        return min(timeout_at_s, probe.timeout_at_s if probe.is_indirect else probe.direct_timeout_at_s)
 
     def restart(self, now_s: float) -> None:
-        """Drop the probe after this process stood still: its answer may have come in time."""
+        """Drop the probe in flight after this process was stalled, as the answer may have come in time."""
         self._probe = None
-        self.probe_at = now_s + self._rng.uniform(0, PROBE_INTERVAL_S)
+        self.next_probe_at_s = now_s + self._rng.uniform(0, PROBE_INTERVAL_S)
 
     def run_due(self, now_s: float) -> None:
-        """Send nacks and indirect probes that are due, suspect who has not answered, and begin a probe."""
-        self._nack_due(now_s)
+        """Send the nacks and indirect probes that are due, suspect a member without answer, begin a probe."""
+        self._send_due_nacks(now_s)
         probe = self._probe
-        if probe is not None and not probe.is_indirect and now_s >= probe.direct_until:
+        if probe is not None and not probe.is_indirect and now_s >= probe.direct_timeout_at_s:
             self._probe_indirectly(probe, now_s)
-        if probe is not None and now_s >= probe.until:
-            self._fail(probe, now_s)
-        if self._probe is None and now_s >= self.probe_at:
+        if probe is not None and now_s >= probe.timeout_at_s:
+            self._fail_probe(probe, now_s)
+        if self._probe is None and now_s >= self.next_probe_at_s:
             self._begin_probe(now_s)
 
-    def _nack_due(self, now_s: float) -> None:
+    def _send_due_nacks(self, now_s: float) -> None:
         for seq, relay in list(self._relays.items()):
-            if now_s >= relay.nack_at:
+            if now_s >= relay.nack_at_s:
                 del self._relays[seq]
                 self._send(relay.requester, MessageKind.NACK, seq=relay.seq)
 
@@ -132,24 +136,28 @@
         member = self._members.others.get(probe.name)
         if member is None:
             return
-        for helper in self._members.sampler.helpers(INDIRECT_PROBES, probe.name, now_s):
+        for helper in self._members.sampler.sample_helpers(INDIRECT_PROBES, probe.name, now_s):
             probe.helpers += 1
             self._send(
                 helper.address, MessageKind.PING_REQ, seq=self.seq, target=probe.name, address=member.address
             )
 
-    def _fail(self, probe: Probe, now_s: float) -> None:
-        """Suspect a member; more than one missing nack tells that this one misses messages itself."""
+    def _fail_probe(self, probe: Probe, now_s: float) -> None:
+        """Suspect a member. More than one missing nack shows that this member misses messages itself."""
         self._probe = None
         if probe.helpers:
             self._members.health.worsen(max(0, probe.helpers - probe.nacks - 1))
         self._members.suspect(probe.name, now_s)
 
     def _begin_probe(self, now_s: float) -> None:
-        """Ping the next member; one that is suspected hears so, to refute it (Lifeguard's buddy system)."""
+        """Ping the next member.
+
+        The ping to a suspected member carries the suspicion, so that the member can refute it (Lifeguard's
+        buddy system).
+        """
         multiplier = self._members.health.probe_multiplier
         jitter = self._rng.uniform(1 - PROBE_JITTER_RATIO, 1 + PROBE_JITTER_RATIO)
-        self.probe_at = now_s + PROBE_INTERVAL_S * multiplier * jitter
+        self.next_probe_at_s = now_s + PROBE_INTERVAL_S * multiplier * jitter
         if self._members.superseded:
             return
         member = self._members.probe_ring.next()
@@ -164,10 +172,10 @@
     def _ping(self, to: Address, seq: int, target: str, first: MemberUpdate | None = None) -> None:
         self._send(to, MessageKind.PING, seq=seq, target=target, address=self._address, first=first)
 
-    # Messages that came.
+    # Received messages.
 
     def on_ack(self, message: Datagram) -> None:
-        """Take the answer to a ping: of this member's probe, or of one on another's behalf."""
+        """Process the answer to a ping: of this member's probe, or of a ping on another's behalf."""
         probe = self._probe
         if probe is not None and message.seq == self.seq and probe.name in (message.sender, message.target):
             self._probe = None
@@ -177,7 +185,7 @@
             self._send(relay.requester, MessageKind.ACK, seq=relay.seq, target=message.sender)
 
     def on_nack(self, message: Datagram) -> None:
-        """Take a helper's word that the probed member has not answered it."""
+        """Count the nack of a helper that got no answer from the probed member."""
         if self._probe is not None and message.seq == self.seq:
             self._probe.nacks += 1
 
@@ -188,6 +196,6 @@
         if not (message.host and message.port):
             return
         seq = RELAY_SEQ_BASE + self._rng.getrandbits(RELAY_SEQ_BITS)
-        nack_at = now_s + PROBE_TIMEOUT_S * NACK_TIMEOUT_RATIO
-        self._relays[seq] = Relay(message.seq, requester.address, nack_at)
+        nack_at_s = now_s + PROBE_TIMEOUT_S * NACK_TIMEOUT_RATIO
+        self._relays[seq] = Relay(message.seq, requester.address, nack_at_s)
         self._ping((message.host, message.port), seq, message.target)
--- a/switchline/fleet/messages.py
+++ b/switchline/fleet/messages.py
@@ -1,9 +1,9 @@
 """The messages that gateways send one another, as they are on the wire.
 
-Bodies are arrays in MessagePack: the names of fields are free, their order, types and defaults are not. A
-newer version adds fields at the end, and an older one reads as far as it knows. `switchline.fleet.frames`
-wraps bodies in authenticated frames. Membership follows SWIM (Das, Gupta, Motivala, 2002) with the message
-kinds of memberlist.
+Bodies are MessagePack arrays. The names of their fields may change; the order, types and defaults of the
+fields may not. A newer version of the protocol adds fields at the end, and an older version ignores fields
+that it does not know. `switchline.fleet.frames` wraps bodies in authenticated frames. Membership follows SWIM
+(Das, Gupta, Motivala, 2002) with the message kinds of memberlist.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 import msgspec
 
-MAX_DATAGRAM_BYTES = 1_200  # below any path's usual MTU, so that no datagram is fragmented
-MAX_EXCHANGE_BYTES = 4 * 1024 * 1024  # of one side's state
+MAX_DATAGRAM_BYTES = 1_200  # below the usual MTU of any path, so that no datagram is fragmented
+MAX_EXCHANGE_BYTES = 4 * 1024 * 1024  # the longest frame that carries one side's complete state
 MAX_NAME_CHARS = 64
 MAX_VALUE_CHARS = 512
-MAX_LISTED_HOSTS = 4_096  # in one answer
-MAX_QUOTAS = 1_024  # customers in one answer
+MAX_LISTED_HOSTS = 4_096  # the most backends in one endpoint list
+MAX_QUOTAS = 1_024  # the most customers whose quotas one answer reports
 MAX_CUSTOMER_KEY_CHARS = 256
 
 Name = Annotated[str, msgspec.Meta(max_length=MAX_NAME_CHARS)]
@@ -28,14 +28,21 @@
 Host = Annotated[str, msgspec.Meta(max_length=15, pattern=r"^\d{1,3}(\.\d{1,3}){3}$")]
 
 Incarnation = tuple[Count, Count]
-"""Which start of a process, the higher the later: a time (ms) or a count, and a random number."""
+"""Identifies one start of a process; a later start has a higher value.
+
+The first number is the wall time of the start in milliseconds, or one more than that of the previous start if
+the clock does not give more. The second is a random number.
+"""
 
 HybridTimestamp = tuple[Count, Count]
-"""Of a hybrid logical clock: milliseconds of wall time, and a count; see `switchline.fleet.hybrid_clock`."""
+"""Timestamp of a hybrid logical clock: milliseconds of wall time, and a count.
+
+See `switchline.fleet.hybrid_clock`.
+"""
 
 
 class MemberState(IntEnum):
-    """State of a member, in the order in which one overrides another of the same incarnation."""
+    """State of a member. Of two claims with equal incarnation and refutation, the higher value wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -44,12 +51,12 @@
 
 
 class MessageKind(IntEnum):
-    """Kind of a datagram, as in SWIM and memberlist. All of them carry gossip."""
+    """Kind of a datagram, as in SWIM and memberlist. Datagrams of every kind carry gossip."""
 
     PING = 0
     ACK = 1
     PING_REQ = 2  # asks for an indirect probe: ping the target on the sender's behalf
-    NACK = 3  # answers a PING_REQ: the target has not acknowledged so far
+    NACK = 3  # answers a PING_REQ: the target has not acknowledged the ping yet
     GOSSIP = 4
 
 
@@ -57,8 +64,8 @@
     """What a gateway asks for in an exchange, in addition to members and facts."""
 
     NOTHING = 0
-    LIST = 1  # the endpoint list, where the other side's is newer
-    QUOTAS = 2  # what is left of customers' quotas
+    LIST = 1  # the endpoint list, if the other side's is newer
+    QUOTAS = 2  # the units that remain of customers' quotas
 
 
 class MemberUpdate(msgspec.Struct, array_like=True, frozen=True):
@@ -66,12 +73,12 @@
 
     Attributes:
         name: The member's name.
-        incarnation: Which start of its process.
-        refutation: SWIM's incarnation number: the member raises it to refute a suspicion.
+        incarnation: Which start of the member's process the claim is about.
+        refutation: SWIM's incarnation number, which the member raises to refute a suspicion.
         state: The state that is claimed.
-        host: The member's address.
+        host: The member's IPv4 address.
         port: The member's port.
-        suspected_by: Of a suspicion: the member that suspects it; else empty.
+        suspected_by: The member that has the suspicion, if `state` is SUSPECT; otherwise empty.
     """
 
     name: Name
@@ -87,13 +94,14 @@
     """One version of a fact.
 
     Attributes:
-        kind: A `FactKind`, or a kind of a later release.
-        name: What the fact is about; empty for the origin itself.
-        origin: The gateway that wrote it.
-        incarnation: The origin's, as it wrote it.
-        version: Rises with each entry of an incarnation, or with each version of a decision.
-        at_ms: When it became so, in milliseconds of the origin's wall clock.
-        value: The value; None where the fact is withdrawn.
+        kind: A `FactKind`, or a kind that a later release added.
+        name: What the fact is about; empty if it is about the origin itself.
+        origin: The gateway that wrote the entry.
+        incarnation: The origin's incarnation at that time.
+        version: Number that rises with each entry that the origin writes in one incarnation; for a decision,
+            number that rises with each version of the decision.
+        at_ms: When the value became valid, in milliseconds of the origin's wall clock.
+        value: The value; None if the fact is withdrawn.
     """
 
     kind: Name
@@ -106,20 +114,21 @@
 
 
 class Datagram(msgspec.Struct, array_like=True, frozen=True):
-    """One message by UDP, with the gossip it carries.
+    """One UDP message, with the gossip that it carries.
 
     Attributes:
         sender: The sender's name.
-        incarnation: The sender's.
-        number: Rises with each message of an incarnation, so that a replay is known.
-        kind: What the message is.
-        seq: Of a ping, and of the answers to it.
-        target: Of a PING and a PING_REQ: who is pinged.
-        host: Of a PING_REQ: the target's address; else where the sender is reached.
-        port: The port at that address; 0 for none.
-        updates: Gossip on members.
-        entries: Gossip on facts.
-        timestamp: The sender's last of its hybrid logical clock.
+        incarnation: The sender's incarnation.
+        number: Message number, which rises with each message of an incarnation, so that replays are detected.
+        kind: The kind of the message.
+        seq: Sequence number of a ping and of its answers.
+        target: Name of the member that is pinged, in a PING and a PING_REQ; otherwise empty.
+        host: The target's IPv4 address in a PING_REQ; otherwise the address at which the sender is reached,
+            or empty.
+        port: The port at that address; 0 if there is no address.
+        updates: Gossip about members.
+        entries: Gossip about facts.
+        timestamp: The last timestamp of the sender's hybrid logical clock.
     """
 
     sender: Name
@@ -140,11 +149,11 @@
 
     Attributes:
         host: The backend's name.
-        dial: The address by which the list's owner reaches it.
-        site: Its zone.
-        block: Its number of a failure domain within the zone.
-        health: Its state.
-        born_ms: When it started, in milliseconds of wall time.
+        dial: The address at which the gateway that sends the list reaches the backend.
+        site: The backend's zone.
+        block: Number of the backend's cell, a failure domain within the zone.
+        health: The backend's state in the discovery protocol, such as "up" or "draining".
+        born_ms: When the backend started, in milliseconds of wall time.
     """
 
     host: Annotated[str, msgspec.Meta(max_length=256)]
@@ -156,20 +165,20 @@
 
 
 class EndpointList(msgspec.Struct, array_like=True, frozen=True):
-    """A complete endpoint list, and its number."""
+    """A complete endpoint list and its sequence number `seq`."""
 
     seq: Count
     hosts: Annotated[list[ListedHost], msgspec.Meta(max_length=MAX_LISTED_HOSTS)]
 
 
 class RemainingQuota(msgspec.Struct, array_like=True, frozen=True):
-    """What a gateway knows to be left of a customer's quota.
+    """What remains of a customer's quota, as far as a gateway knows.
 
     Attributes:
         key: The customer's key.
         plan: The customer's plan.
-        even_share: The even share of one gateway, as a ratio of the quota.
-        remaining_units: Units that all gateways have left together.
+        even_share: The even share of one gateway, as a ratio of the quota (0 to 1).
+        remaining_units: Units that all gateways together may still spend.
     """
 
     key: Annotated[str, msgspec.Meta(max_length=MAX_CUSTOMER_KEY_CHARS)]
@@ -183,16 +192,18 @@
 
     Attributes:
         sender: The sender's name.
-        incarnation: The sender's.
-        number: Rises with each message of an incarnation, so that a replay is known.
+        incarnation: The sender's incarnation.
+        number: Message number, which rises with each message of an incarnation, so that replays are detected.
         answer: Whether this is the answer to the other side's state.
         updates: All members that the sender knows.
         entries: All facts that the sender knows.
         wants: Bits of `Wanted`: what the sender asks for.
-        list_seq: The number of the sender's endpoint list; -1 where it has none.
-        endpoint_list: Of an answer: the endpoint list, if it was wanted and is newer.
-        remaining_quotas: Of an answer: the quotas, if they were wanted and are known.
-        timestamp: The sender's last of its hybrid logical clock.
+        list_seq: The sequence number of the sender's endpoint list; -1 if it has none.
+        endpoint_list: In an answer, the endpoint list, if the other side asked for it and it is newer than
+            the other side's; otherwise None.
+        remaining_quotas: In an answer, the remaining quotas, if the other side asked for them and they are
+            known; otherwise None.
+        timestamp: The last timestamp of the sender's hybrid logical clock.
     """
 
     sender: Name
