--- a/switchline/fleet/facts.py
+++ b/switchline/fleet/facts.py
@@ -139,7 +139,7 @@
         """
         if len(value or "") > MAX_VALUE_CHARS or len(name) > MAX_NAME_CHARS:
             raise FactLimitError(
-                f"fact {kind} {name[:MAX_NAME_CHARS]!r}: its name or value is longer than allowed"
+                f"{kind} {name[:MAX_NAME_CHARS]!r}: the name or the value is longer than allowed"
             )
         is_override = kind in OVERRIDE_KINDS
         key = FactKey(kind, name, "" if is_override else self.origin)
@@ -149,14 +149,14 @@
         is_at_limit = self.count_by_origin.get(self.origin, 0) >= MAX_ENTRIES_OF_ORIGIN
         if stored is None and is_at_limit and not is_override:
             raise FactLimitError(
-                f"fact {kind} {name!r} exceeds the limit of {MAX_ENTRIES_OF_ORIGIN} facts of one gateway"
+                f"{kind} {name!r}: {MAX_ENTRIES_OF_ORIGIN} facts of one gateway are allowed, all in use"
             )
         self.last_version += 1
         entry = Entry(kind, name, self.origin, self.incarnation, self.last_version, wall_ms, value)
         if not self.merge(wall_ms, entry):
             if self.table.get(key) is None:
                 raise FactLimitError(
-                    f"fact {kind} {name!r} does not fit: the table of facts is full ({MAX_ENTRIES} entries)"
+                    f"{kind} {name!r}: the table of facts is full, with {MAX_ENTRIES} entries"
                 )
             return None
         return entry
--- a/switchline/fleet_runtime/__init__.py
+++ b/switchline/fleet_runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What joins the pure fleet protocol to sockets and to the gateway."""
+"""Connects the fleet protocol, which does no I/O, to sockets, timers and the gateway."""
--- a/switchline/fleet_runtime/exchange.py
+++ b/switchline/fleet_runtime/exchange.py
@@ -1,6 +1,6 @@
-"""Exchanges of the whole known state between two gateways, by TCP: one frame each way.
+"""Exchanges of the complete state between two gateways over TCP, with one frame in each direction.
 
-A frame is its length in `LENGTH_BYTES` bytes, big-endian, and then the sealed message.
+On the connection the length of the frame (`LENGTH_BYTES` bytes, big-endian) comes before the frame.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 from switchline.fleet.endpoint import ProtocolEndpoint
 from switchline.fleet.messages import MAX_EXCHANGE_BYTES
 
-TIMEOUT_S = 2.0  # for an exchange, from its connection to its end
+EXCHANGE_TIMEOUT_S = 2.0  # for one exchange, including the connection
 MAX_INCOMING = 4
 MAX_OUTGOING = 2
-BACKLOG = 16
+LISTEN_BACKLOG = 16
 LENGTH_BYTES = 4
 
 
 class ExchangeError(Exception):
-    """The other side of an exchange sent what it must not."""
+    """The other side of an exchange violated the protocol."""
 
 
 class ExchangePeer:
-    """Owns the TCP socket for exchanges, and those that are under way."""
+    """Owns the TCP listening socket for exchanges, and the exchanges in flight."""
 
     def __init__(self, node: ProtocolEndpoint, listen: Address, on_merged: Callable[[], None]) -> None:
-        """`on_merged` is called once an exchange has been merged into the node."""
+        """`on_merged` is called after each exchange whose state was merged into `node`."""
         self.loop = asyncio.get_running_loop()
         self.node = node
         self.address = listen
@@ -39,9 +39,9 @@
         self._outgoing = 0
 
     async def listen(self) -> None:
-        """Accept exchanges; raises OSError where the address can't be had."""
+        """Accept exchanges; raises OSError if the address is not available."""
         host, port = self.address
-        self._server = await asyncio.start_server(self._serve, host, port, backlog=BACKLOG)
+        self._server = await asyncio.start_server(self._serve, host, port, backlog=LISTEN_BACKLOG)
 
     def stop_listening(self) -> None:
         """Close the listening socket."""
@@ -50,13 +50,13 @@
             self._server = None
 
     def close(self) -> None:
-        """Close the listening socket, and end the exchanges that this gateway began."""
+        """Close the listening socket, and cancel the exchanges that this gateway began."""
         for task in self._tasks:
             task.cancel()
         self.stop_listening()
 
     def begin(self, address: Address) -> None:
-        """Begin an exchange with another gateway, unless too many are under way."""
+        """Begin an exchange with another gateway, unless `MAX_OUTGOING` are in flight."""
         if self._outgoing >= MAX_OUTGOING:
             return
         self._outgoing += 1
@@ -67,7 +67,7 @@
     async def _exchange(self, address: Address) -> None:
         writer = None
         try:
-            async with asyncio.timeout(TIMEOUT_S):
+            async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*address, local_addr=(self.address[0], 0))
                 _write_frame(writer, self.node.exchange_frame(False))
                 frame = await _read_frame(reader)
@@ -86,7 +86,7 @@
             return
         self._incoming += 1
         try:
-            async with asyncio.timeout(TIMEOUT_S):
+            async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
                 frame = await _read_frame(reader)
                 if self.node.receive_exchange(self.loop.time(), now_ms(), frame, False):
                     _write_frame(writer, self.node.exchange_frame(True))
@@ -102,7 +102,7 @@
 async def _read_frame(reader: asyncio.StreamReader) -> bytes:
     length = int.from_bytes(await reader.readexactly(LENGTH_BYTES), "big")
     if length > MAX_EXCHANGE_BYTES:
-        raise ExchangeError("too long")
+        raise ExchangeError("the frame is longer than MAX_EXCHANGE_BYTES")
     return await reader.readexactly(length)
 
 
--- a/switchline/fleet_runtime/incarnation.py
+++ b/switchline/fleet_runtime/incarnation.py
@@ -1,4 +1,4 @@
-"""The incarnation of a process: a number above those of all earlier processes of its gateway."""
+"""The incarnation of a process, which is above those of all earlier processes of its gateway."""
 
 from __future__ import annotations
 
@@ -13,40 +13,45 @@
 
 log = logging.getLogger(__name__)
 
-FILE_NAME = "life"  # in the folder of the state
-RANDOM_BITS = 40
+FILE_NAME = "life"  # in the folder with the state on disk
+RANDOM_BITS = 40  # of the second number
 
 
 def next_incarnation(folder: Path | None, rng: random.Random) -> Incarnation:
-    """An incarnation above all before it: by the wall clock, and by the last one in `folder`, if any.
+    """Return an incarnation above those of the earlier processes, and store its number in `folder`.
 
-    The second number, a random one, differs for two processes that begin from copies of one folder, or at one
-    moment.
+    The first number is the wall time in milliseconds, or one more than the number stored in `folder` if that
+    is higher. The second number is random, so that two processes that start at the same moment, or from
+    copies of one folder, differ. If the number can't be stored, this is logged.
+
+    Args:
+        folder: The folder with the state on disk; None without one.
+        rng: Source of the random number.
     """
     number = int(now_ms())
     if folder is not None:
         path = folder / FILE_NAME
-        number = max(number, _read_last(path) + 1)
+        number = max(number, _read_stored_number(path) + 1)
         try:
-            _write(path, number)
+            _store_number(path, number)
         except OSError as error:
             log.warning(log_events.INCARNATION_NOT_STORED, error)
     return number, rng.getrandbits(RANDOM_BITS)
 
 
-def _read_last(path: Path) -> int:
-    """The last number on disk; -1 where there is none, or none that can be read: the clock's is as good."""
+def _read_stored_number(path: Path) -> int:
+    """Return the number stored on disk; -1 if it is missing or unreadable, as the clock suffices then."""
     try:
         return int(path.read_text())
     except (OSError, ValueError):
         return -1
 
 
-def _write(path: Path, number: int) -> None:
-    """Replace the file at once, so that a crash leaves the old or the new one."""
-    temporary = path.with_suffix(f".{os.getpid()}")
-    with temporary.open("w") as file:
+def _store_number(path: Path, number: int) -> None:
+    """Replace the file atomically, so that a crash leaves the old or the new content."""
+    temporary_path = path.with_suffix(f".{os.getpid()}")
+    with temporary_path.open("w") as file:
         file.write(str(number))
         file.flush()
         os.fsync(file.fileno())
-    temporary.rename(path)
+    temporary_path.rename(path)
--- a/switchline/fleet_runtime/membership.py
+++ b/switchline/fleet_runtime/membership.py
@@ -1,4 +1,4 @@
-"""This gateway as a member of its fleet: joins the gossip to all that takes part in it."""
+"""The membership of this gateway in its fleet: connects the gossip to the parts that take part in it."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ActiveMember:
-    """What exists only while this gateway is a member."""
+    """The parts that exist only while this gateway is a member."""
 
     transport: GossipTransport
     calls: FleetCalls
@@ -52,7 +52,16 @@
         state: StatePersistence | None,
         took_over: Callable[[], bool],
     ) -> None:
-        """`state` is that on disk; `took_over`: whether this process has taken over from an older one."""
+        """Create the parts that exist without membership.
+
+        Args:
+            parts: The parts of the gateway.
+            trail: Records versions and changes in the audit.
+            overrides: The overrides that operators set at this gateway.
+            intake: Opens and closes this gateway for clients.
+            state: The state on disk; None without one.
+            took_over: Returns whether this process has taken over from an older one (an upgrade).
+        """
         self.parts = parts
         self.trail = trail
         self.overrides = overrides
@@ -66,11 +75,11 @@
 
     @property
     def calls(self) -> FleetCalls | None:
-        """Operators' calls for the whole fleet; None while this gateway is no member."""
+        """Operators' calls for the whole fleet; None while this gateway is not a member."""
         return self.member.calls if self.member is not None else None
 
     def prepare_recovery(self) -> None:
-        """Create what recovers from the other gateways; needs the state on disk."""
+        """Create the recovery from other gateways and the list repair, if there is state on disk."""
         if self.state is None:
             return
         from switchline.fleet_runtime.list_repair import ListRepair
@@ -87,7 +96,10 @@
         self.list_repair.record = self.trail.record
 
     async def query_before_clients(self, took_over: bool) -> None:
-        """Ask the others for what a lost or an old disk lacks."""
+        """Before clients are accepted, ask the other gateways for overrides and their newest list.
+
+        A process that takes over from an older one recovers nothing.
+        """
         if self.recovery is None:
             return
         if took_over:
@@ -98,7 +110,7 @@
             await self.recovery.query(self.member.transport)
 
     async def join(self) -> None:
-        """Become a member of the configured fleet; nothing happens where this gateway is one already."""
+        """Become a member of the configured fleet, unless this gateway is one already."""
         link = self.parts.config.fleet
         if link is None or self.member is not None:
             return
@@ -111,7 +123,9 @@
         incarnation = next_incarnation(config.state, rng)
         transport = GossipTransport(config.name, link, incarnation, rng, self._facts)
         node = transport.node
-        calls = FleetCalls({FLEET_WIDE[kind]: one for kind, one in self.overrides.by_kind.items()})
+        calls = FleetCalls(
+            {FLEET_WIDE[kind]: overrides for kind, overrides in self.overrides.by_kind.items()}
+        )
         calls.attach(transport)
         if self.recovery is not None:
             self.recovery.attach(transport)
@@ -121,7 +135,7 @@
             self.trail.audit.join_fleet(node.clock, incarnation)
         zones.attach(transport)
         if self.state is not None:
-            if not self.took_over():  # else the older process knows better, and has told the others
+            if not self.took_over():  # otherwise the older process has published newer decisions
                 zones.restore(self.state.zone_decisions)
             zones.store_decision = self.state.save_zone_decision
         node.on_fact = self._on_fact
@@ -134,7 +148,11 @@
         return ActiveMember(transport, calls, zones, divergence, quarantine)
 
     def leave(self, announce: bool) -> None:
-        """Be a member no more. `announce`: this gateway ends, and not only this process."""
+        """End the membership.
+
+        With `announce` the other members are told that the gateway leaves. Without it only this process ends,
+        as in an upgrade.
+        """
         member = self.member
         self.member = None
         if member is None:
@@ -146,20 +164,20 @@
         member.quarantine.close()
 
     def is_known_member(self, name: str) -> bool:
-        """Whether a gateway of this name is, or was, a member."""
+        """Return whether a gateway of this name is or was a member."""
         if self.member is None:
             return False
         return name in (self.parts.config.name, *self.member.transport.node.members.others)
 
     def _facts(self) -> Iterator[PublishedFact]:
-        """What this gateway publishes now."""
+        """Yield the facts that this gateway publishes now."""
         yield from self.own_facts.about_gateway()
         if self.recovery is not None:
             yield from self.recovery.facts()
         yield from self.own_facts.about_overrides()
 
     def _tick(self) -> None:
-        """Called each time after this gateway's facts have been published."""
+        """Run the periodic work of all parts; called each time after this gateway's facts were published."""
         member = self.member
         if member is not None:
             member.calls.tick()
@@ -175,20 +193,20 @@
         self.trail.record("ready", "", "yes" if self.parts.clients.takes_clients else "no")
 
     def _on_fact(self, entry: Entry) -> None:
-        """A fact is new here."""
+        """Pass a new fact to the parts that need it."""
         if self.member is not None:
             self.member.calls.on_fact(entry)
             self.member.zones.on_fact(entry)
 
     def _on_exchange(self, exchange: Exchange) -> None:
-        """Another gateway sent what it was asked for."""
+        """Pass the answer of another gateway, with a list or quotas, to the parts that asked for it."""
         if self.recovery is not None:
             self.recovery.on_exchange(exchange)
         if self.list_repair is not None:
             self.list_repair.on_exchange(exchange)
 
     def gauges(self) -> dict[str, int]:
-        """Metrics of the gossip and of all that takes part in it."""
+        """Return metrics of the gossip and of all parts that take part in it."""
         member = self.member
         gauges = gossip_gauges(member.transport.node) if member is not None else {}
         gauges |= self.recovery.gauges() if self.recovery is not None else {}
@@ -198,7 +216,7 @@
         return gauges
 
     def describe(self) -> dict[str, object] | None:
-        """The fleet as this gateway sees it; None while it is no member."""
+        """Return the answer to `GET /ops/fleet`; None while this gateway is not a member."""
         member = self.member
         if member is None:
             return None
--- a/switchline/fleet_runtime/own_facts.py
+++ b/switchline/fleet_runtime/own_facts.py
@@ -9,11 +9,12 @@
 from switchline.service.calls.overrides import OverrideSet
 from switchline.service.parts import GatewayParts
 
-MAX_PUBLISHED_OVERRIDES = 32  # of each kind, set or lately cleared: the last ones
+# Of each kind of override only the last so many active and the last so many cleared ones are published.
+MAX_PUBLISHED_OVERRIDES = 32
 
 
 class OwnFacts:
-    """Reads the facts anew each time; owns none of what they are about."""
+    """Reads the state of other parts each time it is asked for facts, and owns no state."""
 
     def __init__(self, parts: GatewayParts, trail: AuditTrail, overrides: OverrideSet) -> None:
         self.parts = parts
@@ -21,7 +22,7 @@
         self.overrides = overrides
 
     def about_gateway(self) -> Iterator[PublishedFact]:
-        """Where this gateway is, and which versions it acts on."""
+        """Yield the facts about where this gateway is, its versions and whether it accepts clients."""
         config = self.parts.config
         settings = config.settings
         regions = dict(settings.regions)
@@ -37,7 +38,7 @@
             yield PublishedFact("audit", "", f"{audit.head.number} {audit.head.digest}")
 
     def about_overrides(self) -> Iterator[PublishedFact]:
-        """What is overridden by hand here, and what was until lately."""
+        """Yield the overrides that operators have set here, and those that they have cleared lately."""
         for kind, overrides in self.overrides.by_kind.items():
             for name, at_ms in list(overrides.active.items())[-MAX_PUBLISHED_OVERRIDES:]:
                 yield PublishedFact(kind, name, "down", at_ms)
--- a/switchline/fleet_runtime/recovery/__init__.py
+++ b/switchline/fleet_runtime/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""What a gateway recovers from the others at its start, and the staged return of a fleet that lost power."""
+"""What a gateway recovers from others at its start, and the staged return of a fleet after a power loss."""
--- a/switchline/fleet_runtime/recovery/coordinator.py
+++ b/switchline/fleet_runtime/recovery/coordinator.py
@@ -1,9 +1,9 @@
 """The start of a gateway in a fleet, and the staged return of a fleet that lost power.
 
-Before clients: operators' overrides, the newest list, and, where the own disk is lost or old, what customers
-have spent. Then it may turn out that the whole fleet lost power: service returns in stages (`stages.py`).
-Each wait is bounded. Only with both `fleet` and `state`. The table of what is trusted is in
-docs/recovery.md.
+Before it accepts clients, a gateway takes over from the others the overrides of operators and the newest
+endpoint list and, if the own disk is lost or old, what customers have spent. If it then turns out that the
+whole fleet lost power, service returns in stages (`stages.py`). Each wait has a timeout. The recovery needs
+`fleet` and `state` in the configuration. docs/recovery.md has the table of which source is trusted for what.
 """
 
 from __future__ import annotations
@@ -41,12 +41,14 @@
 
 log = logging.getLogger(__name__)
 
-QUERY_TIMEOUT_S = 2.0  # a gateway that hears of no other serves after it
-ENOUGH_EXCHANGES = 3  # whole states of others: fewer where fewer are there
-SETTLE_S = 0.3  # after the last of them: a gateway that started a moment later has published its disk by then
+QUERY_TIMEOUT_S = 2.0  # a gateway that reaches no other one serves after this
+ENOUGH_EXCHANGES = 3  # number of complete states of others to wait for, or of all others if they are fewer
+# Delay after the last of these exchanges, in which a gateway that started slightly later publishes what its
+# disk holds.
+SETTLE_DELAY_S = 0.3
 POLL_INTERVAL_S = 0.02
-REQUEST_INTERVAL_S = 0.15
-OUTAGE_MARGIN_S = 1.0  # by which an outage may have begun earlier than the downtimes tell
+REQUEST_INTERVAL_S = 0.15  # between two requests for exchanges
+OUTAGE_MARGIN_S = 1.0  # an outage may have begun earlier than the downtimes say, by at most this
 
 
 class FleetRecovery:
@@ -60,7 +62,7 @@
         discovery: Discovery,
         index: int,
     ) -> None:
-        """`index`: this gateway's place among all."""
+        """`index` is this gateway's place among all gateways."""
         self.state = state
         self.driver = driver
         self.discovery = discovery
@@ -76,33 +78,33 @@
         self._node: ProtocolEndpoint | None = None
 
     def set_record(self, record: RecordVersion) -> None:
-        """Have stages and lists recorded in the audit."""
+        """Set the function that records stages and lists in the audit."""
         self.stages.record = record
         self.backend_list.record = record
 
     def attach(self, transport: GossipTransport) -> None:
-        """The transport is open, or another one is."""
+        """Use this transport, which is new or replaces an earlier one."""
         self._node = transport.node
-        self._node.newer_list = self.backend_list.newer_than
+        self._node.newer_list = self.backend_list.list_newer_than
         self._node.known_quotas = self.spending.known_quotas
 
     def facts(self) -> Iterator[PublishedFact]:
-        """For a while after the start: how long this gateway was down."""
-        down = UNKNOWN_DOWNTIME if math.isnan(self.down_s) else f"{self.down_s:.1f}"
-        yield PublishedFact(FactKind.DOWNTIME, "", down if self._started_lately() else None)
+        """Yield the fact of how long this gateway was down; it is withdrawn some time after the start."""
+        downtime = UNKNOWN_DOWNTIME if math.isnan(self.down_s) else f"{self.down_s:.1f}"
+        yield PublishedFact(FactKind.DOWNTIME, "", downtime if self._started_lately() else None)
 
     def _started_lately(self) -> bool:
         return time.monotonic() < self.started_lately_until_s
 
     def skip(self) -> None:
-        """Recover nothing: this process takes over from an older one, and only answers the others."""
+        """Skip the recovery, as this process takes over from an older one; it only answers other gateways."""
         self.stages.skip()
         self.spending.can_answer = True
         self.started_lately_until_s = self.began_s
         self.backend_list.trust_discovery(self.began_s)
 
     async def query(self, transport: GossipTransport) -> None:
-        """Before clients are accepted: take over the others' overrides and their newest list."""
+        """Take over the others' overrides and their newest list, before clients are accepted."""
         node = transport.node
         node.wants = Wanted.LIST
         node.list_seq = seq_or_no_list(self.discovery.version)
@@ -111,22 +113,22 @@
         self.backend_list.apply_newest()
         self.verdict = self._judge()
         node.wants = Wanted.NOTHING
-        self._set_waited()
+        self._set_waited_ms()
         log.info(
             log_events.PEERS_QUERIED,
             len(node.exchanged_with),
             self.waited_ms,
             len(self.overrides.adopted),
-            self.backend_list.hosts,
+            self.backend_list.repaired_hosts,
         )
 
     async def _wait_for_exchanges(self, node: ProtocolEndpoint, has_seeds: bool) -> None:
-        """Wait until enough of the others have sent their whole state, `QUERY_TIMEOUT_S` at most."""
+        """Wait until enough others have sent their complete state, for at most `QUERY_TIMEOUT_S`."""
         next_request_s = self.began_s
         while (left_s := self.began_s + QUERY_TIMEOUT_S - time.monotonic()) > 0:
             others = len(node.members.present)
             if others and len(node.exchanged_with) >= min(ENOUGH_EXCHANGES, others):
-                await asyncio.sleep(min(SETTLE_S, left_s))
+                await asyncio.sleep(min(SETTLE_DELAY_S, left_s))
                 return
             if not (others or has_seeds):
                 return
@@ -136,7 +138,7 @@
             await asyncio.sleep(min(POLL_INTERVAL_S, left_s))
 
     async def catch_up(self) -> None:
-        """Ask for spending, where the own disk is lost or old; then go on to the stage that follows."""
+        """Ask others for customers' spending if the own disk is lost or old, then enter the next stage."""
         self.spending.can_answer = True
         if self._node is not None and (math.isnan(self.down_s) or self.verdict.has_old_disk):
             why = (
@@ -145,23 +147,23 @@
             self.stages.enter(Stage.SPENDING, f"the disk can't be relied on: {why}")
             await self.spending.request_from_nearest(self._node)
         self.spending.waiting_for.clear()
-        self._set_waited()
+        self._set_waited_ms()
         if self.verdict.is_common:
             self._begin_warm_up()
         else:
             why = "no outage of the fleet: it joins" if self.verdict.present_gateways > 1 else "alone"
             self.stages.enter(Stage.COMPLETE, why)
 
-    def _set_waited(self) -> None:
+    def _set_waited_ms(self) -> None:
         self.waited_ms = round((time.monotonic() - self.began_s) * 1000)
 
     def on_exchange(self, exchange: Exchange) -> None:
-        """Another gateway sent its list, or spending, that was asked for."""
-        self.backend_list.offer(exchange.endpoint_list)
+        """Process the list or the remaining quotas that another gateway sent as an answer."""
+        self.backend_list.store_peer_list(exchange.endpoint_list)
         self.spending.on_exchange(exchange)
 
     def tick(self) -> None:
-        """Called now and then: follow the others' overrides, and the stages."""
+        """Follow the others' overrides, and enter the next stage when it is due; called regularly."""
         now_s = time.monotonic()
         if self._node is not None:
             self.overrides.adopt(self._node)
@@ -174,11 +176,11 @@
         elif self.stages.stage is Stage.COMPLETE and self._started_lately() and not self.verdict.is_common:
             verdict = self._judge()
             if verdict.is_common:
-                self.verdict = verdict  # the others started later
+                self.verdict = verdict  # now others that started later are counted too
                 self._begin_warm_up()
 
     def _judge(self) -> OutageVerdict:
-        """Whether the fleet lost power, by what its members publish."""
+        """Return whether the fleet lost power, judged by the downtimes that its members publish."""
         if self._node is None:
             return self.verdict
         facts = self._node.facts
@@ -188,20 +190,17 @@
         return judge_outage(self.down_s if self._started_lately() else None, others)
 
     def _begin_warm_up(self) -> None:
-        found = self.verdict
-        who = (
-            f"{found.restarted_gateways} of {found.present_gateways} gateways began lately, "
-            f"down for {found.median_downtime_s:.1f} s"
-        )
-        self.stages.enter(Stage.WARMING_UP, f"the fleet lost power: {who}")
-        back_ms = now_ms() - (time.monotonic() - self.began_s) * 1000
+        verdict = self.verdict
+        evidence = f"{verdict.restarted_gateways} of {verdict.present_gateways} gateways began lately, down for {verdict.median_downtime_s:.1f} s"
+        self.stages.enter(Stage.WARMING_UP, f"the fleet lost power: {evidence}")
+        began_ms = now_ms() - (time.monotonic() - self.began_s) * 1000
         self.driver.give(
-            api.FleetOutage(back_ms - (found.median_downtime_s + OUTAGE_MARGIN_S) * 1000, back_ms)
+            api.FleetOutage(began_ms - (verdict.median_downtime_s + OUTAGE_MARGIN_S) * 1000, began_ms)
         )
 
     def gauges(self) -> dict[str, int]:
-        """Metrics of the recovery."""
-        recovered = len(self.overrides.adopted) + self.backend_list.hosts + self.spending.customers
+        """Return metrics of the recovery."""
+        recovered = len(self.overrides.adopted) + self.backend_list.repaired_hosts + self.spending.customers
         return {
             "recovery.stage": int(self.stages.stage),
             "recovery.waiting_for": len(self.spending.waiting_for),
@@ -212,7 +211,7 @@
         }
 
     def describe(self) -> dict[str, object]:
-        """For `GET /ops/fleet`."""
+        """Return the recovery's part of the answer to `GET /ops/fleet`."""
         verdict = self.verdict
         return {
             "stage": self.stages.stage.label,
@@ -225,9 +224,9 @@
             "waiting_for": sorted(self.spending.waiting_for),
             "from_disk": self.state.restored,
             "bans": len(self.overrides.adopted),
-            "hosts": self.backend_list.hosts,
+            "hosts": self.backend_list.repaired_hosts,
             "customers": self.spending.customers,
-            "spoilt": self.backend_list.rejected,
+            "spoilt": self.backend_list.rejected_lists,
             "held_back": self.backend_list.is_withheld,
             "withheld": self.driver.withheld,
             "waited_ms": self.waited_ms,
--- a/switchline/fleet_runtime/recovery/stages.py
+++ b/switchline/fleet_runtime/recovery/stages.py
@@ -1,4 +1,4 @@
-"""The stages of a gateway's start in a fleet, and which may follow which."""
+"""The stages of a gateway's start in a fleet, and the transitions between them."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class Stage(IntEnum):
-    """The stage of a start; its number is the gauge `recovery.stage`."""
+    """The stage of a start. Its number is the value of the gauge `recovery.stage`."""
 
     QUERYING = 1  # asking for members, overrides and the newest list
     SPENDING = 2  # asking the nearest gateways for customers' spending
-    WARMING_UP = 3  # clients are served as far as cold backends bear
-    COMPLETE = 4
+    WARMING_UP = 3  # serving clients at the reduced rate that cold backends can take
+    COMPLETE = 4  # serving clients without restriction
 
     @property
     def label(self) -> str:
@@ -32,8 +32,8 @@
     Stage.WARMING_UP: "cold",
     Stage.COMPLETE: "whole",
 }
-# SPENDING only where the own disk is lost or old, WARMING_UP only after a power loss of the whole fleet. Late
-# evidence of such a loss brings a gateway that is complete back to WARMING_UP.
+# SPENDING is entered only if the own disk is lost or old, WARMING_UP only after a power loss of the whole
+# fleet. If evidence of such a loss arrives late, a gateway in COMPLETE goes back to WARMING_UP.
 TRANSITIONS = {
     Stage.QUERYING: {Stage.SPENDING, Stage.WARMING_UP, Stage.COMPLETE},
     Stage.SPENDING: {Stage.WARMING_UP, Stage.COMPLETE},
@@ -43,30 +43,30 @@
 
 
 class StageError(Exception):
-    """A stage was to follow one that it can't follow."""
+    """A transition between two stages is not allowed."""
 
 
 class StageTracker:
-    """Owns the stage; logs and records each change of it."""
+    """Owns the current stage, and logs and records each change of it."""
 
     def __init__(self, began_s: float) -> None:
         self.stage = Stage.QUERYING
-        self.entered_at_s = began_s  # monotonic
+        self.entered_at_s = began_s  # monotonic time
         self.record: RecordVersion = record_nothing
 
     def enter(self, stage: Stage, why: str) -> None:
-        """Go on to another stage; raises StageError where the table of transitions has no such step."""
+        """Enter another stage; raises StageError if `TRANSITIONS` does not allow it."""
         if stage not in TRANSITIONS[self.stage]:
-            raise StageError(f"{stage.name} can't follow {self.stage.name}")
+            raise StageError(f"{stage.name} can't follow the stage {self.stage.name}")
         self.stage = stage
         self.entered_at_s = time.monotonic()
         log.info(log_events.STAGE_ENTERED, stage.label, why)
         self.record("stage", "", stage.label, why)
 
     def skip(self) -> None:
-        """Nothing is to be recovered: an older process hands over all it knows."""
+        """Set the stage to COMPLETE, as an older process hands over all its state."""
         self.stage = Stage.COMPLETE
 
     def elapsed_s(self) -> float:
-        """Since the last change."""
+        """Return the seconds since the last change of the stage."""
         return time.monotonic() - self.entered_at_s
--- a/switchline/fleet_runtime/status.py
+++ b/switchline/fleet_runtime/status.py
@@ -1,4 +1,4 @@
-"""The gossip's state as operators see it."""
+"""The state of the gossip in the metrics and in the operators' answers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def gossip_gauges(node: ProtocolEndpoint) -> dict[str, int]:
-    """Metrics of the members, the facts and the messages."""
+    """Return metrics of the members, the facts and the messages."""
     members = node.members
     states = [member.state for member in members.others.values()]
     return {
@@ -27,7 +27,7 @@
 
 
 def describe_fleet(node: ProtocolEndpoint, fleet: str, now_s: float, wall_ms: float) -> dict[str, Any]:
-    """For `GET /ops/fleet`: ages and times since are in seconds."""
+    """Return the answer to `GET /ops/fleet`; ages and durations in it are in seconds."""
     members = node.members
     facts = [_describe_fact(stored.entry, wall_ms) for stored in node.facts.table.values()]
     facts.sort(key=lambda fact: (fact["kind"], fact["name"], fact["origin"]))
--- a/switchline/fleet_runtime/transport.py
+++ b/switchline/fleet_runtime/transport.py
@@ -1,7 +1,7 @@
-"""The sockets of the gossip between gateways: datagrams by UDP, exchanges of all that is known by TCP.
+"""The sockets for gossip between gateways: datagrams over UDP, exchanges of the complete state over TCP.
 
-`fleet.endpoint` decides all that is sent; this owns the sockets, the timer and the clock. Without the
-configuration's table `fleet` nothing here is imported.
+`fleet.endpoint` decides what is sent; this module owns the sockets and the timer, and reads the clock. It is
+imported only if the configuration has the table `fleet`.
 """
 
 from __future__ import annotations
@@ -25,48 +25,47 @@
 
 log = logging.getLogger(__name__)
 
-PUBLISH_INTERVAL_S = 0.25  # between two looks at what this gateway has to publish
-REOPEN_S = 1.0  # until an address that could not be had is tried again
-REPORT_INTERVAL_S = 10.0
-MAX_INVALID_PER_S = (
-    200  # frames of one host that are decoded once they are found invalid so often in a second
-)
-MAX_INVALID_HOSTS = 256  # whose invalid frames are counted
+PUBLISH_INTERVAL_S = 0.25  # between two checks for facts that this gateway has to publish
+REOPEN_DELAY_S = 1.0  # before another attempt to listen at an address that was not available
+REPORT_INTERVAL_S = 10.0  # between two log lines about dropped messages
+# After so many invalid frames of one host within a second its further frames are dropped undecoded.
+MAX_INVALID_FRAMES_PER_S = 200
+MAX_INVALID_HOSTS = 256  # the most hosts whose invalid frames are counted
 
 
 @dataclass(frozen=True, slots=True)
 class PublishedFact:
-    """Something that this gateway publishes; `value` None withdraws it."""
+    """A fact that this gateway publishes. If `value` is None, the fact is withdrawn."""
 
     kind: str
     name: str
     value: str | None
-    at_ms: float = 0.0  # when an operator called for it; 0: now
+    at_ms: float = 0.0  # wall time of the operator's call for it; 0: now
 
 
 class InvalidFrameLimit:
-    """Counts the invalid frames of each host in a second, so that a flood of them costs no decoding."""
+    """Counts the invalid frames of each host within a second, so that a flood of them is not decoded."""
 
     def __init__(self) -> None:
         self._counts: dict[str, int] = {}
-        self._since_s = 0.0
+        self._window_began_s = 0.0
 
     def is_exceeded(self, host: str, now_s: float) -> bool:
-        """Whether a frame of the host is to be dropped undecoded."""
-        if self._counts and now_s - self._since_s >= 1.0:
+        """Return whether a frame of the host is to be dropped undecoded."""
+        if self._counts and now_s - self._window_began_s >= 1.0:
             self._counts.clear()
-        return self._counts.get(host, 0) >= MAX_INVALID_PER_S
+        return self._counts.get(host, 0) >= MAX_INVALID_FRAMES_PER_S
 
     def count(self, host: str, now_s: float) -> None:
-        """A frame of the host was invalid."""
+        """Count an invalid frame of the host."""
         if not self._counts:
-            self._since_s = now_s
+            self._window_began_s = now_s
         if host in self._counts or len(self._counts) < MAX_INVALID_HOSTS:
             self._counts[host] = self._counts.get(host, 0) + 1
 
 
 class GossipTransport(asyncio.DatagramProtocol):
-    """One gateway's sockets in the gossip of its fleet, from `open` to `close`."""
+    """Owns the sockets and the timer of one gateway's gossip, from `open` to `close`."""
 
     def __init__(
         self,
@@ -76,21 +75,21 @@
         rng: random.Random,
         own_facts: Callable[[], Iterator[PublishedFact]],
     ) -> None:
-        """`own_facts` gives all that this gateway has to publish now."""
+        """`own_facts` yields the facts that this gateway has to publish now."""
         self.loop = asyncio.get_running_loop()
         self.link = link
         self.own_facts = own_facts
         me = alive_claim(name, incarnation, link.advertise)
         codec = FrameCodec(link.fleet, link.secret)
         self.node = ProtocolEndpoint(me, link.seeds, codec, rng, self.loop.time(), now_ms())
-        self.on_published: Callable[[], None] = lambda: None  # called after each look at `own_facts`
-        self._exchanges = ExchangePeer(self.node, link.listen, self._after_merge)
+        self.on_published: Callable[[], None] = lambda: None  # called after `own_facts` were published
+        self._exchanges = ExchangePeer(self.node, link.listen, self._send_and_set_timer)
         self._datagrams: asyncio.DatagramTransport | None = None
         self._reopening: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._timer_due_s = 0.0
-        self._publish_at_s = 0.0
-        self._unpublished: set[tuple[str, str]] = set()  # facts over a bound that the log has named
+        self._timer_at_s = 0.0
+        self._next_publish_at_s = 0.0
+        self._logged_over_limit: set[tuple[str, str]] = set()  # facts over a limit that were logged already
         self._invalid = InvalidFrameLimit()
         self._report = DropReport(self.node, self.loop.time())
         self._closed = False
@@ -98,9 +97,9 @@
     async def open(self) -> None:
         """Open the sockets.
 
-        Where the address can't be had it is tried again, and the gateway serves meanwhile.
+        If the address is not available, it is tried again later, and the gateway serves clients meanwhile.
         """
-        self._publish()  # before anyone can ask
+        self._publish()  # before another gateway can ask for the facts
         host, port = self.link.listen
         try:
             await self._exchanges.listen()
@@ -111,7 +110,7 @@
             )
             self._exchanges.stop_listening()
             if not self._closed:
-                self._timer = self.loop.call_later(REOPEN_S, self._reopen)
+                self._timer = self.loop.call_later(REOPEN_DELAY_S, self._reopen)
             return
         if self._closed:
             self.close()
@@ -123,13 +122,13 @@
         self._reopening = self.loop.create_task(self.open())
 
     def announce_leave(self) -> None:
-        """Tell the other members that this gateway ends."""
+        """Send the other members the claim that this gateway leaves."""
         if self._datagrams is not None:
             self.node.leave()
             self._send_pending()
 
     def close(self) -> None:
-        """Close the sockets and end what is under way."""
+        """Close the sockets, and cancel the exchanges and timers."""
         self._closed = True
         if self._reopening is not None:
             self._reopening.cancel()
@@ -140,36 +139,36 @@
             self._datagrams.close()
 
     def publish(self, fact: PublishedFact) -> None:
-        """Publish one fact at once; raises FactLimitError where a bound on facts does not allow it."""
-        self._put(fact)
+        """Publish one fact at once; raises FactLimitError if it exceeds a limit on facts."""
+        self._publish_fact(fact)
         self.flush()
 
     def flush(self) -> None:
-        """Send what has been put into the node, and set the timer anew."""
+        """Send what the node has queued, and set the timer again."""
         if self._datagrams is not None:
-            self._after_merge()
+            self._send_and_set_timer()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The UDP socket is open."""
+        """Called by asyncio once the UDP socket is open."""
         self._datagrams = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """A frame has come from another gateway."""
+        """Called by asyncio with each frame from another gateway."""
         now_s = self.loop.time()
         host = str(addr[0])
         if self._invalid.is_exceeded(host, now_s):
             self.node.count_refused("flood")
         elif self.node.receive_datagram(now_s, now_ms(), data):
-            self._after_merge()
+            self._send_and_set_timer()
         else:
             self._invalid.count(host, now_s)
 
     def error_received(self, exc: Exception) -> None:
-        """The system could not send a frame: as if it were lost on its way."""
+        """Called by asyncio if the system could not send a frame: it is counted, and treated as lost."""
         self.node.count_refused("unsent")
 
-    def _after_merge(self) -> None:
-        """What has been merged into the node may have to be passed on, and may move what is due."""
+    def _send_and_set_timer(self) -> None:
+        """Send what the node has queued after a merge, and set the timer, as the next tick may be earlier."""
         self._send_pending()
         self._set_timer()
 
@@ -181,11 +180,11 @@
             self._exchanges.begin(address)
 
     def _run_due(self) -> None:
-        """Do what is due, and wait for what is next. The timer may have called a little early."""
+        """Do what is due, and set the timer for the next tick. The timer may fire a little early."""
         now_s = self.loop.time()
-        self._timer_due_s = 0.0
-        if now_s >= self._publish_at_s:
-            self._publish_at_s = now_s + PUBLISH_INTERVAL_S
+        self._timer_at_s = 0.0
+        if now_s >= self._next_publish_at_s:
+            self._next_publish_at_s = now_s + PUBLISH_INTERVAL_S
             self._publish()
             self.on_published()
         self.node.tick(now_s, now_ms())
@@ -195,46 +194,46 @@
 
     def _set_timer(self) -> None:
         now_s = self.loop.time()
-        due_s = min(self.node.next_tick_at_s(now_s), self._publish_at_s)
+        due_s = min(self.node.next_tick_at_s(now_s), self._next_publish_at_s)
         if self._timer is not None:
-            if now_s < self._timer_due_s <= due_s:
+            if now_s < self._timer_at_s <= due_s:
                 return
             self._timer.cancel()
-        self._timer_due_s = due_s
+        self._timer_at_s = due_s
         self._timer = self.loop.call_at(due_s, self._run_due)
 
     def _publish(self) -> None:
-        """Publish what has changed of this gateway."""
+        """Publish the facts of this gateway that have changed; log those that exceed a limit once."""
         for fact in self.own_facts():
             try:
-                self._put(fact)
+                self._publish_fact(fact)
             except FactLimitError as error:
-                if (fact.kind, fact.name) not in self._unpublished:
-                    self._unpublished.add((fact.kind, fact.name))
+                if (fact.kind, fact.name) not in self._logged_over_limit:
+                    self._logged_over_limit.add((fact.kind, fact.name))
                     log.warning(log_events.FACT_NOT_PUBLISHED, error)
 
-    def _put(self, fact: PublishedFact) -> None:
+    def _publish_fact(self, fact: PublishedFact) -> None:
         self.node.publish(fact.at_ms or now_ms(), fact.kind, fact.name, fact.value)
 
 
 class DropReport:
-    """Logs, in one line for `REPORT_INTERVAL_S`, which messages the node dropped and why."""
+    """Logs one line for each `REPORT_INTERVAL_S` with the number of dropped messages by reason."""
 
     def __init__(self, node: ProtocolEndpoint, now_s: float) -> None:
         self.node = node
-        self._due_s = now_s + REPORT_INTERVAL_S
+        self._next_report_at_s = now_s + REPORT_INTERVAL_S
         self._reported: dict[str, int] = {}
-        self._is_name_shared = False  # another process has this name
+        self._is_name_shared = False  # whether the log said last that another process has this name
 
     def log_when_due(self, now_s: float) -> None:
-        """Log what is new since the last report."""
-        if now_s < self._due_s:
+        """Log the messages dropped since the last report, and whether the name is shared, if that changed."""
+        if now_s < self._next_report_at_s:
             return
-        self._due_s = now_s + REPORT_INTERVAL_S
+        self._next_report_at_s = now_s + REPORT_INTERVAL_S
         refused = self.node.refused
-        new = {why: number - self._reported.get(why, 0) for why, number in refused.items()}
+        new = {reason: number - self._reported.get(reason, 0) for reason, number in refused.items()}
         if any(new.values()):
-            reasons = ", ".join(f"{why} {number}" for why, number in sorted(new.items()) if number)
+            reasons = ", ".join(f"{reason} {number}" for reason, number in sorted(new.items()) if number)
             log.warning(log_events.GOSSIP_DROPPED, REPORT_INTERVAL_S, reasons)
         self._reported = dict(refused)
         is_shared = self.node.members.superseded
--- a/switchline/fleet_runtime/version_watch.py
+++ b/switchline/fleet_runtime/version_watch.py
@@ -1,7 +1,8 @@
-"""Watches whether this gateway acts on the versions that most others have.
+"""Watches whether this gateway uses the versions that most other gateways have.
 
-`DivergenceWatch` only reports another configuration or program. `QuarantineControl` takes this gateway out of
-service while its list, or a version under a floor, stays behind and most members grant it.
+`DivergenceWatch` only reports that the configuration or the program differs. `QuarantineControl` takes this
+gateway out of service while its endpoint list, or a version below a floor, stays stale and most members grant
+the quarantine.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 class DivergenceWatch:
-    """Reports to staff where most other gateways have another configuration or program than this one."""
+    """Logs and records when most other gateways have another configuration or program than this one."""
 
     def __init__(self, parts: GatewayParts, trail: AuditTrail) -> None:
         self.parts = parts
@@ -32,24 +33,24 @@
         self.divergence = VersionDivergence()
 
     def tick(self, node: ProtocolEndpoint) -> None:
-        """Compare the own versions with those that the others publish."""
+        """Compare the own versions with those that the others publish; called regularly."""
         config = self.parts.config
         own_versions = {"config": config.digest, "release": config.release}
         for kind, own in own_versions.items():
             others = [node.facts.value(kind, "", name) for name in node.members.present]
             if self.divergence.update(self.parts.loop.time(), kind, own, others):
                 theirs = self.divergence.majority_versions.get(kind)
-                what = f"most have {theirs}" if theirs else "most have the same now"
-                log.warning(log_events.VERSION_DIFFERS, kind, own, what)
-                self.trail.record("differs" if theirs else "alike", kind, "", what)
+                comparison = f"most have {theirs}" if theirs else "most have the same now"
+                log.warning(log_events.VERSION_DIFFERS, kind, own, comparison)
+                self.trail.record("differs" if theirs else "alike", kind, "", comparison)
 
     def gauges(self) -> dict[str, int]:
-        """How many of the versions differ."""
+        """Return the metric with the number of versions that differ."""
         return {"fleet.differs": len(self.divergence.majority_versions)}
 
 
 class QuarantineControl:
-    """Owns whether this gateway is in quarantine, and which of its versions is behind."""
+    """Owns whether this gateway is in quarantine, and which of its versions is stale."""
 
     def __init__(
         self,
@@ -59,14 +60,14 @@
         intake: ClientIntake,
         quarantine_after_s: float,
     ) -> None:
-        """`patience_s`: behind for so long before it asks for quarantine; 0: never."""
+        """`quarantine_after_s`: how long a version is stale before quarantine is asked for; 0: never."""
         self.parts = parts
         self.trail = trail
         self.overrides = overrides
         self.intake = intake
         self.quarantine_after_s = quarantine_after_s
-        self.quarantine: Quarantine | None = None  # from the first look on
-        self.stale_kind = ""  # which version is behind; "" for none
+        self.quarantine: Quarantine | None = None  # None until the first `tick`
+        self.stale_kind = ""  # the kind of version that is stale; "" if none is
 
     @property
     def is_quarantined(self) -> bool:
@@ -74,12 +75,12 @@
         return self.quarantine is not None and self.quarantine.is_quarantined
 
     def tick(self, node: ProtocolEndpoint, list_repair: ListRepair) -> None:
-        """Enter or leave quarantine, as the versions and the grants of the others are now."""
+        """Enter or leave quarantine according to the versions and the grants of the other gateways."""
         now_s = self.parts.loop.time()
         if self.quarantine is None:
             self.quarantine = Quarantine(self.quarantine_after_s, now_s)
         quarantine = self.quarantine
-        was_out = quarantine.is_quarantined
+        was_quarantined = quarantine.is_quarantined
         view = StalenessView(
             list_repair.own_seq(),
             list_repair.is_stale,
@@ -87,8 +88,8 @@
             parse_floors(self.overrides.names(OverrideKind.VERSION_FLOOR)),
         )
         is_quarantined = quarantine.evaluate(node, now_s, now_ms(), view)
-        self._set_behind(quarantine.stale_version)
-        if is_quarantined == was_out or self.parts.clients.shutting_down:
+        self._set_stale_kind(quarantine.stale_version)
+        if is_quarantined == was_quarantined or self.parts.clients.shutting_down:
             return
         event = log_events.QUARANTINE_ENTERED if is_quarantined else log_events.QUARANTINE_LEFT
         log.warning(event, quarantine.reason)
@@ -100,8 +101,11 @@
         else:
             self.intake.end_quarantine()
 
-    def _set_behind(self, kind: str) -> None:
-        """While a version is behind, quotas are divided by the even share and not by leases."""
+    def _set_stale_kind(self, kind: str) -> None:
+        """Set which version is stale.
+
+        While one is, this gateway spends its even share of quotas instead of leases.
+        """
         if kind == self.stale_kind:
             return
         if bool(kind) != bool(self.stale_kind):
@@ -113,13 +117,13 @@
             self.trail.record("quota", "", LEASED_QUOTA, "level again")
 
     def gauges(self) -> dict[str, int]:
-        """Whether this gateway is in quarantine; nothing before the first look."""
+        """Return the metric that this gateway is in quarantine; empty before the first `tick`."""
         return {"fleet.shut_out": int(self.quarantine.is_quarantined)} if self.quarantine is not None else {}
 
     def close(self) -> None:
-        """The fleet is left: nobody grants a quarantine any more."""
+        """End the quarantine, as this gateway leaves the fleet and nobody grants it any more."""
         if self.quarantine is not None:
             if self.quarantine.is_quarantined:
                 self.intake.end_quarantine()
             self.quarantine = None
-            self._set_behind("")
+            self._set_stale_kind("")
--- a/tests/fleet/test_outage.py
+++ b/tests/fleet/test_outage.py
@@ -437,8 +437,8 @@
     assert one.spending.known_quotas() is None and [word.value for word in one.facts()] == ["2.0"]
     one.skip()
     assert one.spending.known_quotas() == [] and [word.value for word in one.facts()] == [None]
-    assert one.backend_list.newer_than(6) == EndpointList(
+    assert one.backend_list.list_newer_than(6) == EndpointList(
         7, [ListedHost("h1", "127.0.0.1:1", "", 0, "up", 0.0)]
-    ) and not one.backend_list.newer_than(7)
+    ) and not one.backend_list.list_newer_than(7)
     empty = {"seq": 9, "whole": True, "hosts": []}
     assert kept.filter_list(empty) is empty
