--- a/switchline/fleet_runtime/recovery/backend_list.py
+++ b/switchline/fleet_runtime/recovery/backend_list.py
@@ -90,8 +90,8 @@
         """Return what to apply of a list from discovery, which may itself have restarted just now.
 
         Until `DISCOVERY_DOUBT_S` after the start a whole list that is older than the newest known one is
-        reduced to its drains, and an empty whole list is withheld (None), both only if backends are known. All
-        other lists are returned unchanged.
+        reduced to its drains, and an empty whole list is withheld (None), both only if backends are known.
+        All other lists are returned unchanged.
         """
         hosts = raw.get("hosts") or []
         newest_seq = max(seq_or_no_list(self.discovery.version), self.newest.seq if self.newest else -1)
--- a/switchline/fleet_runtime/recovery/coordinator.py
+++ b/switchline/fleet_runtime/recovery/coordinator.py
@@ -191,7 +191,10 @@
 
     def _begin_warm_up(self) -> None:
         verdict = self.verdict
-        evidence = f"{verdict.restarted_gateways} of {verdict.present_gateways} gateways began lately, down for {verdict.median_downtime_s:.1f} s"
+        evidence = (
+            f"{verdict.restarted_gateways} of {verdict.present_gateways} gateways began lately, "
+            f"down for {verdict.median_downtime_s:.1f} s"
+        )
         self.stages.enter(Stage.WARMING_UP, f"the fleet lost power: {evidence}")
         began_ms = now_ms() - (time.monotonic() - self.began_s) * 1000
         self.driver.give(
