--- a/tests/fleet/test_fleet_protocol.py
+++ b/tests/fleet/test_fleet_protocol.py
@@ -318,7 +318,7 @@
     net = fleet(10, 4)
     net.cut = lambda a, b: (a, b) == (address_of(1), address_of(2))
     net.run(30)
-    assert net.whole()  # indirect probes pass by the cut
+    assert net.whole()  # indirect probes avoid the cut link
 
 
 def test_a_partitioned_fleet_knows_its_minority_and_joins_again_after_the_partition() -> None:
