--- a/tests/fleet/test_outage.py
+++ b/tests/fleet/test_outage.py
@@ -447,8 +447,8 @@
     assert recovery.spending.known_quotas() is None and [fact.value for fact in recovery.facts()] == ["2.0"]
     recovery.skip()
     assert recovery.spending.known_quotas() == [] and [fact.value for fact in recovery.facts()] == [None]
-    assert recovery.backend_list.newer_than(6) == EndpointList(
+    assert recovery.backend_list.list_newer_than(6) == EndpointList(
         7, [ListedHost("h1", "127.0.0.1:1", "", 0, "up", 0.0)]
-    ) and not recovery.backend_list.newer_than(7)
+    ) and not recovery.backend_list.list_newer_than(7)
     empty = {"seq": 9, "whole": True, "hosts": []}
     assert state.filter_list(empty) is empty
