--- a/tests/clients/test_connections.py
+++ b/tests/clients/test_connections.py
@@ -17,7 +17,7 @@
 
 import pytest
 from backend_attempts import Try, pool
-from connection_figures import config, figures
+from connection_figures import gateway_config, gateway_metrics
 from cutting_backend import Cutting
 from driver_scene import Scene
 from gateway_process import connect, start
@@ -107,8 +107,8 @@
 
 
 def test_connections_may_be_configured() -> None:
-    assert parse_config(config()).shares == Shares()
-    made = parse_config(config(connections={"clients": 0.6, "connects": 2}))
+    assert parse_config(gateway_config()).shares == Shares()
+    made = parse_config(gateway_config(connections={"clients": 0.6, "connects": 2}))
     assert made.shares == Shares(clients=0.6, connects=2)
 
 
@@ -130,7 +130,7 @@
 )
 def test_a_malformed_setting_refuses_the_start_in_one_line(given: object) -> None:
     with pytest.raises(ConfigError, match="connections: ") as caught:
-        parse_config(config(connections=given))
+        parse_config(gateway_config(connections=given))
     assert "\n" not in str(caught.value)
 
 
@@ -682,7 +682,7 @@
                 late.send(*request(b"late%d" % number, name=b"wipe", wait=60_000, body=b"x"))
             for _ in range(4):
                 assert str(await late.receive()).startswith("BUSY ")
-            stats = await figures(world)
+            stats = await gateway_metrics(world)
             assert stats["outstanding"] == 8 == sum(len(b.got) for b in backends)  # no place was left
             assert stats["ejected"] == 0 and stats["handshakes.failed"] == 0 and stats["declined.wipe"] == 4
             assert stats["crowded"] == 0  # each was refused as it found no connection
@@ -780,7 +780,7 @@
             peer.writer.write_eof()
             assert await peer.receive() is None
             await until(lambda: world.backends[0].ended)  # the attempt was called off
-            counts = await figures(world)
+            counts = await gateway_metrics(world)
             assert counts["aborted.view"] == 1 and counts["outstanding"] == 0
             assert counts["clients.in_use"] == counts["clients.idle"] == counts["clients.young"] == 0
 
@@ -826,7 +826,7 @@
 
 def test_a_changed_file_with_a_malformed_share_is_not_taken(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(config(connections={"young": 2})))
+    path.write_text(json.dumps(gateway_config(connections={"young": 2})))
     with pytest.raises(ConfigError, match="young"):
         load_config(str(path))
 
@@ -847,7 +847,7 @@
             flood += [await world.client() for _ in range(30)]  # while the answer comes
             backend.go_on.release()
             assert await peer.receive() == long and backend.got[0][4] == long
-            assert (await figures(world))["evicted.young"] >= 40 and len(flood) == 60
+            assert (await gateway_metrics(world))["evicted.young"] >= 40 and len(flood) == 60
 
     in_loop(scenario)
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -8,10 +8,10 @@
 from switchline.policy import interface as api
 from switchline.policy.gateway import Gateway
 
-SAFE = api.RequestClass(
+IDEMPOTENT_CLASS = api.RequestClass(
     "view", latency_objective_ms=1000, deadline_ms=3000, priority_weight=1, effect=api.Effect.IDEMPOTENT
 )
-KEYED = api.RequestClass(
+KEYED_CLASS = api.RequestClass(
     "order",
     latency_objective_ms=1000,
     deadline_ms=3000,
@@ -20,7 +20,7 @@
     deduplication_scope=api.DeduplicationScope.CELL,
     deduplication_window_ms=2000,
 )
-UNSAFE = api.RequestClass(
+NOT_IDEMPOTENT_CLASS = api.RequestClass(
     "wipe", latency_objective_ms=1000, deadline_ms=3000, priority_weight=2, effect=api.Effect.NOT_IDEMPOTENT
 )
 BASIC = api.Plan("basic", rate_per_s=2, burst_units=8, overage_cost=1)
@@ -42,7 +42,7 @@
         index=0,
         gateways=2,
         zone="a",
-        classes=(SAFE, KEYED, UNSAFE),
+        classes=(IDEMPOTENT_CLASS, KEYED_CLASS, NOT_IDEMPOTENT_CLASS),
         plans=(BASIC, FIRM, BONUS),
         rules=RULES,
         max_attempts=3,
@@ -65,28 +65,28 @@
     return api.BackendsChanged(scope, entries)
 
 
-class World:
+class GatewayHarness:
     """Feeds events to one gateway and remembers its actions, each with the time it came."""
 
     def __init__(
         self,
         entries: Iterable[api.BackendEntry] = (),
         seed: int = 1,
-        now: float = 10_000.0,
+        now_ms: float = 10_000.0,
         **changes: object,
     ) -> None:
         self.gateway = Gateway(settings(**changes), seed)
-        self.now, self.serial = now, 0
+        self.now_ms, self.request_count = now_ms, 0
         self.timers: list[tuple[float, int, api.Timer]] = []
         self.log: list[tuple[float, api.Action]] = []
         self.give(backends(*(tuple(entries) or (entry(1), entry(2, cell=1), entry(3)))))
 
     def give(self, event: api.Event) -> list[api.Action]:
-        actions = self.gateway.handle(self.now, event)
-        self.log += [(self.now, a) for a in actions]
+        actions = self.gateway.handle(self.now_ms, event)
+        self.log += [(self.now_ms, a) for a in actions]
         for a in actions:
             if isinstance(a, api.SetTimer):
-                heapq.heappush(self.timers, (self.now + a.delay_ms, len(self.log), a.timer))
+                heapq.heappush(self.timers, (self.now_ms + a.delay_ms, len(self.log), a.timer))
         return actions
 
     def ask(
@@ -95,14 +95,16 @@
         plan: str = "basic",
         customer: str = "c",
         spread: int = 2,
-        life: float = 3000,
+        lifetime_ms: float = 3000,
     ) -> list[api.Action]:
-        self.serial += 1
+        self.request_count += 1
         return self.give(
-            api.RequestArrived(f"r{self.serial}", name, plan, customer, self.now + life, 1.0, spread, 0)
+            api.RequestArrived(
+                f"r{self.request_count}", name, plan, customer, self.now_ms + lifetime_ms, 1.0, spread, 0
+            )
         )
 
-    def end(
+    def end_attempt(
         self,
         send: api.Send,
         outcome: api.Outcome = api.Outcome.OK,
@@ -115,12 +117,12 @@
     def pass_time(self, milliseconds: float) -> list[api.Action]:
         """Let time pass, with the timers firing as the gateway asked."""
         actions: list[api.Action] = []
-        end = self.now + milliseconds
+        end = self.now_ms + milliseconds
         while self.timers and self.timers[0][0] <= end:
             at, _, timer = heapq.heappop(self.timers)
-            self.now = max(self.now, at)
+            self.now_ms = max(self.now_ms, at)
             actions += self.give(api.TimerFired(timer))
-        self.now = end
+        self.now_ms = end
         return actions
 
 
@@ -128,9 +130,9 @@
     return [a for a in actions if isinstance(a, api.Send)]
 
 
-def counts(actions: Iterable[api.Action]) -> list[api.AddToCounter]:
+def counter_calls(actions: Iterable[api.Action]) -> list[api.AddToCounter]:
     return [a for a in actions if isinstance(a, api.AddToCounter)]
 
 
-def refusals(actions: Iterable[api.Action]) -> list[api.Reject]:
+def rejections(actions: Iterable[api.Action]) -> list[api.Reject]:
     return [a for a in actions if isinstance(a, api.Reject)]
--- a/tests/operators/test_overrides.py
+++ b/tests/operators/test_overrides.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import World as Decisions
+from helpers import GatewayHarness as Decisions
 from helpers import backends, entry, sends
 from operator_calls import call, stats
 
@@ -145,34 +145,34 @@
 
 def test_the_policy_sends_nothing_to_a_disabled_backend_and_starts_it_slowly_after() -> None:
     world = Decisions([entry(1), entry(2)], plans=(api.Plan("basic"),))
-    world.give(api.BackendOverridden(1, True, world.now))
+    world.give(api.BackendOverridden(1, True, world.now_ms))
     world.give(backends(entry(1, api.BackendState.GONE), scope=api.ListScope.CHANGES))
     world.give(backends(entry(1), entry(2)))
     for _ in range(50):
         for send in sends(world.ask()):
             assert send.backend == 2
-            world.end(send)
-    world.give(api.BackendOverridden(1, False, world.now))
+            world.end_attempt(send)
+    world.give(api.BackendOverridden(1, False, world.now_ms))
     got: list[float] = []
-    back_at = world.now
+    back_at = world.now_ms
     for _ in range(100):
         world.pass_time(50)
         for send in sends(world.ask()):
             if send.backend == 1:
-                got.append(world.now - back_at)
-            world.end(send)
+                got.append(world.now_ms - back_at)
+            world.end_attempt(send)
     assert got and len(got) < 40  # used within 5 s, yet not as the warm one is
 
 
 def test_a_re_enabled_backend_is_used_soon_even_with_little_to_send() -> None:
     for seed in range(20):
         world = Decisions([entry(n) for n in range(10)], seed=seed, plans=(api.Plan("basic"),))
-        world.give(api.BackendOverridden(1, True, world.now))
-        world.give(api.BackendOverridden(1, False, world.now))
+        world.give(api.BackendOverridden(1, True, world.now_ms))
+        world.give(api.BackendOverridden(1, False, world.now_ms))
         used = False
         for _ in range(10):
             world.pass_time(300)
             for send in sends(world.ask()):
                 used |= send.backend == 1
-                world.end(send)
+                world.end_attempt(send)
         assert used
--- a/tests/policy/test_durable_state.py
+++ b/tests/policy/test_durable_state.py
@@ -6,7 +6,7 @@
 import json
 
 import pytest
-from helpers import BASIC, FIRM, World, counts, entry, refusals, sends, settings
+from helpers import BASIC, FIRM, GatewayHarness, counter_calls, entry, rejections, sends, settings
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
@@ -44,16 +44,16 @@
     def start(self) -> None:
         now = self.real_ms + self.clock_offset_ms
         seed = self.seed + len(self.starts_ms) + 1
-        self.world = World(seed=seed, now=now, **self.changes)  # type: ignore[arg-type]
+        self.world = GatewayHarness(seed=seed, now_ms=now, **self.changes)  # type: ignore[arg-type]
         self.uncommitted_records.clear()
         if self.rows:
-            restarts = (*self.starts_ms[1:], self.world.now)
+            restarts = (*self.starts_ms[1:], self.world.now_ms)
             self.give(api.StateFileFound(self.last_commit_ms, restarts[-8:]))
             for kind in ("customer", "backend", "gateway"):
                 for values, at in [row for (k, _), row in self.rows.items() if k == kind]:
                     self.give(api.RecordRestored(decode_record(json.loads(json.dumps(values))), at))
         self.give(api.PersistenceChanged(True))
-        self.starts_ms.append(self.world.now)
+        self.starts_ms.append(self.world.now_ms)
         self.rows.clear()
         self.commit()
 
@@ -71,8 +71,8 @@
                 self.rows.pop((str(record[1]), str(record[2])), None)
             else:
                 name = "" if record[0] == "gateway" else str(record[1])
-                self.rows[str(record[0]), name] = record, self.world.now
-        self.last_commit_ms = self.world.now
+                self.rows[str(record[0]), name] = record, self.world.now_ms
+        self.last_commit_ms = self.world.now_ms
         if self.uncommitted_records:
             last = self.uncommitted_records[-1].serial
             self.uncommitted_records = []
@@ -82,7 +82,7 @@
         attempts = sends(self.collect(self.world.ask(**given)))  # type: ignore[arg-type]
         for send in attempts:
             self.spent.append((self.real_ms, 1.0))
-            self.collect(self.world.end(send))
+            self.collect(self.world.end_attempt(send))
         return bool(attempts)
 
     def pass_time(self, milliseconds: float) -> None:
@@ -161,7 +161,7 @@
     assert admitted >= 3
     disk.crash(100)
     assert not disk.ask()
-    fresh = World(uses_counter=False)  # a gateway without the record
+    fresh = GatewayHarness(uses_counter=False)  # a gateway without the record
     assert sends(fresh.ask())
 
 
@@ -171,7 +171,7 @@
     assert admitted_requests == max(
         1, BASIC.burst_units / 2 * RESERVED_BURST_RATIO
     )  # the first reserve; no request waits for a commit
-    assert len(refusals(disk.world.ask())) == 1
+    assert len(rejections(disk.world.ask())) == 1
     for _ in range(20):
         disk.pass_time(500)
         admitted_requests += disk.ask()
@@ -294,7 +294,7 @@
     disk.crash(100)
     first = disk.world.ask(plan="firm", customer="new")
     assert sends(first)  # a gateway without restored state would reject it
-    assert not sends(World(uses_counter=False).ask(plan="firm", customer="new"))
+    assert not sends(GatewayHarness(uses_counter=False).ask(plan="firm", customer="new"))
 
 
 def test_scores_age_and_latency_are_restored_but_not_scores_of_an_earlier_backend_process() -> None:
@@ -303,7 +303,7 @@
         attempts = sends(disk.collect(disk.world.ask(plan="bonus", customer="x")))
         for send in attempts:
             outcome = api.Outcome.CONNECT_FAILED if send.backend == 1 else api.Outcome.OK
-            disk.collect(disk.world.end(send, outcome, finished=True))
+            disk.collect(disk.world.end_attempt(send, outcome, finished=True))
         disk.pass_time(100)
     disk.commit()
     before = disk.world.gateway
@@ -315,7 +315,7 @@
         and after.latency.mean_ms == before.latency.mean_ms
     )
     assert after.customers.gateway_created_ms == before.customers.gateway_created_ms
-    disk.changes["entries"] = [entry(1, started=disk.world.now), entry(2)]
+    disk.changes["entries"] = [entry(1, started=disk.world.now_ms), entry(2)]
     disk.crash(200)
     assert not disk.world.gateway.backends.by_id[1].scores
 
@@ -327,10 +327,10 @@
         disk.ask()
         disk.commit()
         disk.crash(1_000)
-        start = disk.world.now
-        while not counts(disk.collect(disk.world.ask())):
+        start = disk.world.now_ms
+        while not counter_calls(disk.collect(disk.world.ask())):
             disk.pass_time(100)
-        asked.append(disk.world.now - start)
+        asked.append(disk.world.now_ms - start)
     assert (
         max(sum(at <= t < at + 500 for t in asked) for at in asked) < 20
         and max(asked) <= REFRESH_SPREAD_MS + 100
@@ -368,15 +368,15 @@
     ],
 )
 def test_an_invalid_record_is_refused(values: list[object]) -> None:
-    world = World()
-    world.give(api.StateFileFound(world.now, (world.now,)))
+    world = GatewayHarness()
+    world.give(api.StateFileFound(world.now_ms, (world.now_ms,)))
     with pytest.raises((ValueError, TypeError)):
-        world.give(api.RecordRestored(decode_record(values), world.now))
+        world.give(api.RecordRestored(decode_record(values), world.now_ms))
     assert not world.gateway.customers.by_key
 
 
 def test_without_persistence_nothing_is_stored() -> None:
-    world = World()
+    world = GatewayHarness()
     for _ in range(20):
         world.ask()
         world.pass_time(1_000)
--- a/tests/policy/test_rules_hold.py
+++ b/tests/policy/test_rules_hold.py
@@ -7,7 +7,7 @@
 import sys
 from pathlib import Path
 
-from helpers import FIRM, KEYED, SAFE, UNSAFE, World, backends, entry
+from helpers import FIRM, KEYED_CLASS, IDEMPOTENT_CLASS, NOT_IDEMPOTENT_CLASS, GatewayHarness, backends, entry
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -31,7 +31,7 @@
     """Checks the five rules independently of the gateway while a random history of events runs."""
 
     def __init__(self, seed: int, can_hedge: bool, has_waited: bool) -> None:
-        self.world = World([entry(i, cell=i % 2) for i in range(5)], seed=seed, can_hedge=can_hedge)
+        self.world = GatewayHarness([entry(i, cell=i % 2) for i in range(5)], seed=seed, can_hedge=can_hedge)
         self.can_hedge = can_hedge
         self.requests: dict[str, tuple[str, float]] = {}
         self.answered: set[str] = set()
@@ -39,12 +39,12 @@
         self.calls: list[api.AddToCounter] = []
         self.states = {i: api.BackendState.READY for i in range(5)}
         self.listed_ready_until_ms = {i: -1e9 for i in range(5)}
-        self.ceiling_tokens, self.ceiling_filled_at_ms, self.ceiling_share = 0.0, self.world.now, EVEN_SHARE
+        self.ceiling_tokens, self.ceiling_filled_at_ms, self.ceiling_share = 0.0, self.world.now_ms, EVEN_SHARE
         if has_waited:
             self.apply("t", 0, 400)
 
     def check(self, actions: list[api.Action]) -> None:
-        now = self.world.now
+        now = self.world.now_ms
         for action in actions:
             if isinstance(action, api.Send):
                 name, expires = self.requests[action.request]
@@ -56,7 +56,7 @@
                 assert name != "wipe" or not ran
                 if name == "order":
                     assert all(
-                        b % 2 == action.backend % 2 and now - t <= KEYED.deduplication_window_ms
+                        b % 2 == action.backend % 2 and now - t <= KEYED_CLASS.deduplication_window_ms
                         for b, t in ran
                     )
                 is_ready = self.states[action.backend] is api.BackendState.READY
@@ -79,10 +79,10 @@
                 self.calls.append(action)
 
     def fill_ceiling(self) -> None:
-        elapsed_s = (self.world.now - self.ceiling_filled_at_ms) / 1000
+        elapsed_s = (self.world.now_ms - self.ceiling_filled_at_ms) / 1000
         filled = self.ceiling_tokens + elapsed_s * FIRM.ceiling_rate_per_s * self.ceiling_share
         self.ceiling_tokens = min(FIRM.ceiling_burst_units * self.ceiling_share, filled)
-        self.ceiling_filled_at_ms = self.world.now
+        self.ceiling_filled_at_ms = self.world.now_ms
 
     def attempts_in_flight(self) -> list[tuple[str, int]]:
         return [
@@ -100,8 +100,8 @@
     def apply(self, kind: str, choice: int, amount: int) -> None:
         world = self.world
         if kind == "r":
-            name = (SAFE, KEYED, UNSAFE)[choice % 3].name
-            self.requests[f"r{world.serial + 1}"] = (name, world.now + 500 + amount * 5)
+            name = (IDEMPOTENT_CLASS, KEYED_CLASS, NOT_IDEMPOTENT_CLASS)[choice % 3].name
+            self.requests[f"r{world.request_count + 1}"] = (name, world.now_ms + 500 + amount * 5)
             self.check(world.ask(name, FIRM.name, "c", 2, 500 + amount * 5))
         elif kind == "o" and (in_flight := self.attempts_in_flight()):
             self.end(*in_flight[amount % len(in_flight)], OUTCOMES[choice])
@@ -111,9 +111,9 @@
             state = (api.BackendState.READY, api.BackendState.DRAINING, api.BackendState.GONE)[choice % 3]
             backend = amount % 5
             if self.states[backend] is api.BackendState.READY:
-                self.listed_ready_until_ms[backend] = world.now
+                self.listed_ready_until_ms[backend] = world.now_ms
             self.states[backend] = state
-            started = world.now - 100 if choice > 4 else 0.0
+            started = world.now_ms - 100 if choice > 4 else 0.0
             self.check(
                 world.give(backends(entry(backend, state, started, backend % 2), scope=api.ListScope.CHANGES))
             )
@@ -131,7 +131,7 @@
         for _ in range(int(amount // 50) + 1):
             self.check(self.world.pass_time(50))
             for request, attempt in self.attempts_in_flight():
-                if self.world.now >= self.requests[request][1]:
+                if self.world.now_ms >= self.requests[request][1]:
                     self.end(request, attempt, api.Outcome.TIMED_OUT)
 
 
@@ -149,11 +149,11 @@
 
 
 def history(seed: int) -> list[tuple[float, api.Action]]:
-    world = World(seed=seed)
+    world = GatewayHarness(seed=seed)
     for i in range(400):
         for action in world.ask(("view", "order", "wipe")[i % 3], ("basic", "firm")[i % 2], f"c{i % 17}"):
             if isinstance(action, api.Send) and i % 5:
-                world.end(action, OUTCOMES[i % 4])
+                world.end_attempt(action, OUTCOMES[i % 4])
             elif isinstance(action, api.AddToCounter):
                 world.give(api.CounterReplied(action.name, OUTCOMES[i % 2 * 3], i / 100))
         world.pass_time(60)
--- a/tests/policy/test_zones.py
+++ b/tests/policy/test_zones.py
@@ -11,7 +11,7 @@
 
 import neutral_form
 import pytest
-from connection_figures import config, figures
+from connection_figures import gateway_config, gateway_metrics
 from gateway_fleet import Fleet
 from helpers import settings
 from hypothesis import given
@@ -466,7 +466,7 @@
             for number in range(20):
                 assert await world.ask(peer, id=b"r%d" % number, **NON_IDEMPOTENT_REQUEST) == b"value"
             assert len(servers[0].got) == 20 and not servers[1].got
-            counts = await figures(world)
+            counts = await gateway_metrics(world)
             assert counts["zone.a.attempts"] == 20 and counts["zone.a.share"] == 100
             assert counts["zone.b.state"] == 3 and counts["ejected"] == 1
         async with running(WorldWithTwoZones(*servers)) as world:  # the next process of the same gateway
@@ -489,8 +489,8 @@
 
 
 def test_regions_may_be_configured() -> None:
-    assert parse_config(config()).settings.regions == ()
-    made = parse_config(config(regions={"north": ["a", "b"], "south": ["c"]}))
+    assert parse_config(gateway_config()).settings.regions == ()
+    made = parse_config(gateway_config(regions={"north": ["a", "b"], "south": ["c"]}))
     assert dict(made.settings.regions) == {"a": "north", "b": "north", "c": "south"}
 
 
@@ -499,7 +499,7 @@
 )
 def test_a_malformed_table_of_regions_refuses_the_start_in_one_line(given: object) -> None:
     with pytest.raises(ConfigError, match="regions: ") as caught:
-        parse_config(config(regions=given))
+        parse_config(gateway_config(regions=given))
     assert "\n" not in str(caught.value) and json.dumps(given)
 
 
--- a/tests/support/connection_figures.py
+++ b/tests/support/connection_figures.py
@@ -9,12 +9,12 @@
 from testbed.stand_ins.single_gateway import World
 
 
-def config(**changes: Any) -> dict[str, Any]:
+def gateway_config(**changes: Any) -> dict[str, Any]:
     world = World()
     return {**world.config(), "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", **changes}
 
 
-async def figures(world: World) -> dict[str, int]:
+async def gateway_metrics(world: World) -> dict[str, int]:
     reader, writer = await asyncio.open_connection(LOCAL, world.operator)
     writer.write(b"GET /ops/stats HTTP/1.1\r\nHost: x\r\n\r\n")
     text = (await reader.read()).decode()
--- a/tests/support/lease_answers.py
+++ b/tests/support/lease_answers.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from helpers import World
+from helpers import GatewayHarness
 
 from switchline.policy import interface as api
 
 
 def answer(
-    world: World, call: api.AddToCounter, reading: float, outcome: api.Outcome = api.Outcome.OK
+    world: GatewayHarness, call: api.AddToCounter, reading: float, outcome: api.Outcome = api.Outcome.OK
 ) -> None:
     world.give(api.CounterReplied(call.name, outcome, reading))
--- a/tests/upgrade/test_upgrade.py
+++ b/tests/upgrade/test_upgrade.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 
 import pytest
-from helpers import World as PolicyWorld
-from helpers import counts, entry, refusals, sends
+from helpers import GatewayHarness as PolicyWorld
+from helpers import counter_calls, entry, rejections, sends
 from operator_calls import call
 from upgrade_site import UpgradeSite, running_site
 
@@ -175,7 +175,7 @@
     alone = PolicyWorld(seed=3)
     for world in (old, alone):
         world.pass_time(2_000)
-    new.now = old.now
+    new.now_ms = old.now_ms
     admitted_requests = {"both": 0, "alone": 0}
     admitted_requests["both"] += len(sends(old.ask(plan="firm")))
     admitted_requests["alone"] += len(sends(alone.ask(plan="firm")))
@@ -186,7 +186,7 @@
             sent = sends(world.ask(plan="firm"))
             admitted_requests[name] += len(sent)
             for send in sent:
-                world.end(send)
+                world.end_attempt(send)
         exchange_messages(old, new)
     assert 0 < admitted_requests["both"] <= admitted_requests["alone"]
     mine, theirs = new.gateway.customers.by_key["c"], old.gateway.customers.by_key["c"]
@@ -197,13 +197,13 @@
     old, new = PolicyWorld(), PolicyWorld()
     hand_over_state(old, new)
     asked = [a for _ in range(5) for a in old.ask()]
-    assert not counts(asked) and (sends(asked) or refusals(asked))
+    assert not counter_calls(asked) and (sends(asked) or rejections(asked))
     exchange_messages(old, new)
     assert new.gateway.customers.by_key["c"].unreported_units == 5
     new.give(api.PeerProcessLeft())
     old.give(api.PeerProcessLeft())
     old.pass_time(1_000)
-    assert counts(old.ask())
+    assert counter_calls(old.ask())
 
 
 def test_a_malformed_record_of_a_peer_process_changes_nothing() -> None:
