--- a/switchline/clients/commands.py
+++ b/switchline/clients/commands.py
@@ -14,8 +14,8 @@
 from switchline.clock import now_ms
 from switchline.net.streams import StreamedRequestBody
 
-SAFE_VERB = b"API.READ"
-REQUEST_VERBS = {SAFE_VERB, b"API.WRITE"}
+IDEMPOTENT_VERB = b"API.READ"
+REQUEST_VERBS = {IDEMPOTENT_VERB, b"API.WRITE"}
 HEAD_ARGUMENTS = 4  # before the value
 TIME_LEFT = b"d"
 REQUEST_CLASS = b"c"
@@ -40,11 +40,11 @@
         length: arguments in all.
         id: of the request.
         customer: of the request.
-        safe: whether it arrived as a request that is safe to repeat.
+        idempotent: whether it arrived as a request that is safe to repeat.
         attributes: by name.
         time_left_ms: how long the client waits.
         received_at_ms: by `now_ms`; it may have waited behind others of its connection since.
-        stream: a long value, whose bytes follow what is encoded here.
+        streamed_body: a long value, whose bytes follow what is encoded here.
     """
 
     head: bytes
@@ -54,17 +54,17 @@
     length: int
     id: str
     customer: str
-    safe: bool
+    idempotent: bool
     attributes: dict[bytes, bytes]
     time_left_ms: float
     received_at_ms: float
-    stream: StreamedRequestBody | None = None
+    streamed_body: StreamedRequestBody | None = None
 
     def encode(self, time_left_ms: int) -> bytes:
         """Encode the command with the time left that a backend is told."""
         time_left = min(time_left_ms, math.ceil(self.time_left_ms))
         attributes = b"%b%d%b" % (self.before, time_left, self.after)
-        return b"*%d\r\n%b%b%b" % (self.length, self.head, bulk(attributes), self.body)
+        return b"*%d\r\n%b%b%b" % (self.length, self.head, encode_bulk_string(attributes), self.body)
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,19 +76,19 @@
     after_time_left: bytes
 
 
-def bulk(value: bytes) -> bytes:
+def encode_bulk_string(value: bytes) -> bytes:
     """Encode a bulk string."""
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
 def parse_command(
-    args: list[bytes], stream: StreamedRequestBody | None = None, received_at_ms: float | None = None
+    args: list[bytes], streamed_body: StreamedRequestBody | None = None, received_at_ms: float | None = None
 ) -> Command:
     """Parse a request.
 
     Args:
         args: of the command.
-        stream: a long value that is still arriving, in place of the last argument.
+        streamed_body: a long value that is still arriving, in place of the last argument.
         received_at_ms: by `now_ms`, when its bytes arrived; now by default.
 
     Raises:
@@ -109,18 +109,20 @@
     if not (CUSTOMER.fullmatch(customer) and int(customer, 16) < MAX_CUSTOMERS):
         raise ValueError("malformed customer")
     return Command(
-        head=bulk(verb) + bulk(customer) + bulk(request),
+        head=encode_bulk_string(verb) + encode_bulk_string(customer) + encode_bulk_string(request),
         before=attributes.before_time_left,
         after=attributes.after_time_left,
-        body=b"".join(map(bulk, value)) if stream is None else b"$%d\r\n" % stream.length,
+        body=b"".join(map(encode_bulk_string, value))
+        if streamed_body is None
+        else b"$%d\r\n" % streamed_body.length,
         length=len(args),
         id=id_text,
         customer=customer_text,
-        safe=verb.upper() == SAFE_VERB,
+        idempotent=verb.upper() == IDEMPOTENT_VERB,
         attributes=attributes.values,
         time_left_ms=time_left,
         received_at_ms=now_ms() if received_at_ms is None else received_at_ms,
-        stream=stream,
+        streamed_body=streamed_body,
     )
 
 
--- a/switchline/clients/connection.py
+++ b/switchline/clients/connection.py
@@ -95,13 +95,13 @@
         self.transport.set_write_buffer_limits(high=MAX_UNSENT_BYTES)
         # A peer that has reset the connection by now has no address any more.
         self.peer = (self.transport.get_extra_info("peername") or ("",))[0]
-        self.server.opened(self)
+        self.server.on_connection_opened(self)
 
     def connection_lost(self, error: Exception | None) -> None:
         """See asyncio.BaseProtocol."""
         self.transport = None
         self.lost = True
-        self.server.closed(self)
+        self.server.on_connection_lost(self)
         self._abandon_requests()
 
     def pause_writing(self) -> None:
@@ -195,7 +195,7 @@
         self.body.on_capacity = self.pump
         body = self.body
         slot = self.body_slot = dispatch(self, [*started.items, b""], body)
-        if slot is None or slot.request is None:
+        if slot is None or slot.request_id is None:
             body.drop()  # it has its answer; what still arrives of it is discarded
 
     def _take_streamed(self, body: StreamedRequestBody) -> bool:
@@ -208,8 +208,8 @@
             return False
         else:
             self.body = None
-            if self.body_slot is not None and self.body_slot.request is not None:
-                self.server.handler.on_body_received(self.body_slot.request)
+            if self.body_slot is not None and self.body_slot.request_id is not None:
+                self.server.handler.on_body_received(self.body_slot.request_id)
             body.end()
         return True
 
@@ -242,7 +242,7 @@
             due.append(slot.response.take())
         if not slot.response.written:
             return False
-        slot.request = None
+        slot.request_id = None
         if slot.on_written is not None:
             slot.on_written()
         return True
@@ -284,10 +284,10 @@
         self.body_slot = None
         if body is not None:
             body.drop()
-        if slot is None or slot.request is None:
+        if slot is None or slot.request_id is None:
             return None
-        request = slot.request
-        slot.request = None
+        request = slot.request_id
+        slot.request_id = None
         self.server.handler.on_client_gone(request)
         return slot
 
@@ -304,7 +304,7 @@
         """
         if self.transport is None or self.transport.is_closing():
             return
-        open_requests = [slot.request for slot in self.slots if slot.request is not None]
+        open_requests = [slot.request_id for slot in self.slots if slot.request_id is not None]
         if open_requests:
             self.guard.violated(Invariant.NO_UNANSWERED_CLOSE, f"open: {', '.join(open_requests)}")
             return
@@ -325,7 +325,7 @@
             return
         self.state = ConnectionState.HALF_CLOSED
         self.half_closed_at_s = time.monotonic()
-        self.server.half_closed(self)
+        self.server.on_half_closed(self)
         self._update_reading()
         self.transport.write_eof()
 
@@ -349,12 +349,12 @@
             body.drop()
         for slot in slots:
             slot.answered = True
-            if slot.request is not None:
-                self.server.handler.on_client_gone(slot.request)
+            if slot.request_id is not None:
+                self.server.handler.on_client_gone(slot.request_id)
 
     # ---- what the socket says ----
 
-    def notice_departure(self) -> bool:
+    def detect_client_close(self) -> bool:
         """Whether the client has gone; what it asked for ends then, before its close has been read.
 
         While reading is paused a close would go unnoticed, and else until the event loop's next turn.
--- a/switchline/clients/dispatch.py
+++ b/switchline/clients/dispatch.py
@@ -6,7 +6,7 @@
 import time
 from typing import TYPE_CHECKING, TypeGuard
 
-from switchline.clients.commands import HEAD_ARGUMENTS, REQUEST_VERBS, bulk, parse_command
+from switchline.clients.commands import HEAD_ARGUMENTS, REQUEST_VERBS, encode_bulk_string, parse_command
 from switchline.clients.slot import Slot
 from switchline.net.resp import Item, Value
 from switchline.net.streams import StreamedRequestBody
@@ -46,7 +46,7 @@
     if verb in REQUEST_VERBS:
         _handle_request(connection, slot, value, body, owed_since_s)
     elif verb == b"PING":
-        answer = bulk(value[1]) if len(value) > 1 else PONG
+        answer = encode_bulk_string(value[1]) if len(value) > 1 else PONG
         slot.answer(answer if connection.server.answers_ping else DRAINING)
     elif verb in SETUP_VERBS:
         slot.answer(OK)
@@ -68,13 +68,13 @@
     server = connection.server
     try:
         command = parse_command(arguments, body, connection.received_at_ms)
-        slot.request = command.id
+        slot.request_id = command.id
         if connection.proven or server.prove(connection, command):
             server.handler.on_command(command, slot)
         else:
-            server.handler.on_crowded(command, slot)
+            server.handler.on_no_place(command, slot)
     except ValueError as error:
-        slot.request = None
+        slot.request_id = None
         _reject_command(connection, slot, " ".join(str(error).split()), owed_since_s)
 
 
--- a/switchline/clients/server.py
+++ b/switchline/clients/server.py
@@ -33,7 +33,7 @@
     def on_command(self, command: Command, slot: Slot) -> None:
         """Take a request. Raises ValueError as `check` does."""
 
-    def on_crowded(self, command: Command, slot: Slot) -> None:
+    def on_no_place(self, command: Command, slot: Slot) -> None:
         """Reject a proper request, as its connection gets no place."""
 
     def on_body_received(self, request: str) -> None:
@@ -101,7 +101,7 @@
         return self.handed_over or not self.draining
 
     @property
-    def holds_clients(self) -> bool:
+    def has_connections(self) -> bool:
         """Whether a connection is open, or accepted and being opened."""
         opening = self._acceptor is not None and bool(self._acceptor.opening)
         return bool(self.connections) or opening
@@ -115,7 +115,7 @@
 
     async def wait_until_empty(self) -> None:
         """Wait until no connection is left, nor one that was accepted and is being opened."""
-        while self.holds_clients:
+        while self.has_connections:
             if self._acceptor is not None and self._acceptor.opening:
                 await asyncio.wait(list(self._acceptor.opening))
             await self.empty.wait()
@@ -129,7 +129,7 @@
 
     # ---- connections ----
 
-    def opened(self, connection: ClientConnection) -> None:
+    def on_connection_opened(self, connection: ClientConnection) -> None:
         """Count a new connection and give it a place."""
         self.budget.acquire(Part.CLIENTS)
         self.connections.add(connection)
@@ -147,12 +147,12 @@
             return False
         return self.closing_connections or len(self._half_closed) < MAX_LINGERING
 
-    def half_closed(self, connection: ClientConnection) -> None:
+    def on_half_closed(self, connection: ClientConnection) -> None:
         """Free its place, though its descriptor is not free yet."""
         self.places.forget(connection)
         self._half_closed.add(connection)
 
-    def closed(self, connection: ClientConnection) -> None:
+    def on_connection_lost(self, connection: ClientConnection) -> None:
         """Free the descriptor of a connection that is lost."""
         self.places.forget(connection)
         self.budget.release(Part.CLIENTS)
@@ -193,7 +193,7 @@
     def _begin_closing_connections(self) -> None:
         self.closing_connections = True
 
-    def undrain(self) -> None:
+    def undo_drain(self) -> None:
         """Take clients again; undoes `drain` wherever it has got to."""
         self.draining = False
         self.closing_connections = self.handed_over
@@ -213,7 +213,7 @@
         if self._acceptor is not None:
             self._acceptor.pause()
 
-    def take_back(self) -> None:
+    def undo_hand_over(self) -> None:
         """Accept again: the other process has ended."""
         self.handed_over = False
         if not self.draining:
--- a/switchline/clients/slot.py
+++ b/switchline/clients/slot.py
@@ -19,11 +19,11 @@
         connection: on which the command arrived.
     """
 
-    __slots__ = ("answered", "connection", "on_written", "reply", "request", "response")
+    __slots__ = ("answered", "connection", "on_written", "reply", "request_id", "response")
 
     def __init__(self, connection: ClientConnection) -> None:
         self.connection = connection
-        self.request: str | None = None  # the id of a request that is still open
+        self.request_id: str | None = None  # the id of a request that is still open
         self.answered = False
         self.reply: bytes | None = None
         self.response: StreamedResponse | None = None  # a long answer that is written as it arrives
@@ -34,12 +34,12 @@
         if not self.answered:
             self.answered = True
             self.reply = reply
-            self.request = None
+            self.request_id = None
             self.connection.pump()
         elif self.reply is not None or self.response is not None:
             self.connection.guard.violated(Invariant.ONE_ANSWER, f"a second answer: {reply[:40]!r}")
 
-    def stream(self, response: StreamedResponse, on_written: Callable[[], None]) -> None:
+    def stream_response(self, response: StreamedResponse, on_written: Callable[[], None]) -> None:
         """Give a long answer whose bytes are still arriving."""
         self.answered = True
         self.response = response
@@ -52,7 +52,7 @@
         Args:
             reply: sent in its place if none of it has been written; else the connection is closed.
         """
-        self.request = None
+        self.request_id = None
         if self.response is not None and not self.response.started:  # it waits behind another's
             self.response = None
             self.reply = reply
--- a/switchline/requests/arrivals.py
+++ b/switchline/requests/arrivals.py
@@ -38,19 +38,23 @@
             customer_gateway_count=int(given.get(b"spread", b"1")),
             first_gateway=int(given.get(b"first", b"0")),
             is_repeat=given.get(b"r") == b"1",
-            streamed=command.stream is not None,
+            streamed=command.streamed_body is not None,
         )
         self._check(event, command)
         return event
 
     def _patience_ms(self, command: Command) -> float:
-        return LONGEST_BODY_MS if command.stream is not None else min(command.time_left_ms, LONGEST_WAIT_MS)
+        return (
+            LONGEST_BODY_MS
+            if command.streamed_body is not None
+            else min(command.time_left_ms, LONGEST_WAIT_MS)
+        )
 
     def _check(self, event: api.RequestArrived, command: Command) -> None:
         kind = self.classes.get(event.request_class)
         if kind is None or event.plan not in self._plans:
             raise MalformedCommandError("unknown class or plan")
-        if command.safe is not (kind.effect is api.Effect.IDEMPOTENT):
+        if command.idempotent is not (kind.effect is api.Effect.IDEMPOTENT):
             raise MalformedCommandError("wrong command for the class")
         if kind.effect is api.Effect.IDEMPOTENT_WITH_KEY and not command.attributes.get(b"k"):
             raise MalformedCommandError("idempotency key missing")
--- a/switchline/requests/attempts.py
+++ b/switchline/requests/attempts.py
@@ -7,7 +7,7 @@
 
 from switchline import log_events
 from switchline.backends.attempt import Attempt
-from switchline.clients.commands import bulk
+from switchline.clients.commands import encode_bulk_string
 from switchline.clock import now_ms
 from switchline.guard import Invariant
 from switchline.net.streams import StreamedResponse
@@ -56,7 +56,7 @@
             partial(self.on_written, request, number),
             partial(self.on_streamed_answer, request, number),
             partial(self.reason_not_to_send, request),
-            request.command.stream,
+            request.command.streamed_body,
         )
         self.in_flight[request_id, number] = request.in_flight[number] = attempt
         if 0 < timeout_ms < request.expires - now:
@@ -93,14 +93,14 @@
             return api.Outcome.IGNORED
         if now >= request.retry_until:  # what has run may by then run again
             return api.Outcome.IGNORED
-        if request.slot.connection.notice_departure():
+        if request.slot.connection.detect_client_close():
             return api.Outcome.CANCELLED
         return None
 
     def on_written(self, request: Request, number: int, attempt: Attempt) -> None:
         """An attempt's last byte has left."""
         request.sent_at[number] = now_ms()
-        if request.command.stream is not None:
+        if request.command.streamed_body is not None:
             self.give(api.RequestBodySent(request.id, number))
 
     def on_streamed_answer(
@@ -116,7 +116,7 @@
         if request.expiry_timer is not None:
             request.expiry_timer.cancel()
         response = request.response = StreamedResponse(self.buffers, length, request.slot.connection.pump)
-        request.slot.stream(response, partial(self._on_answer_passed, request))
+        request.slot.stream_response(response, partial(self._on_answer_passed, request))
         self.give(api.StreamedAnswerStarted(request.id, number))
         return response
 
@@ -159,7 +159,7 @@
         if request.streaming_attempt == number and request.response is not None and is_ok:
             request.response.end()  # the request ends once its client has been given the last byte
         elif is_ok and request.streaming_attempt is None:
-            self.requests.finish(request.id, bulk(value), OutcomeKind.SUCCEEDED)
+            self.requests.finish(request.id, encode_bulk_string(value), OutcomeKind.SUCCEEDED)
         elif request.streaming_attempt == number:
             self.requests.fail(request.id)
 
--- a/switchline/requests/lifecycle.py
+++ b/switchline/requests/lifecycle.py
@@ -63,7 +63,7 @@
         """Raise MalformedCommandError if a command is malformed."""
         self.reader.read(command)
 
-    def on_crowded(self, command: Command, slot: Slot) -> None:
+    def on_no_place(self, command: Command, slot: Slot) -> None:
         """A command came on a connection that there is no place for."""
         self._reject_for_capacity(self.reader.read(command).request_class, slot)
 
@@ -143,7 +143,7 @@
 
     def drop_body(self, request: Request) -> None:
         """Nobody needs the rest of a streamed body: nor can an attempt be finished without it."""
-        body = request.command.stream
+        body = request.command.streamed_body
         if body is not None and not body.dropped:
             body.drop()
             if not body.complete or body.sent < body.length:
--- a/switchline/requests/request.py
+++ b/switchline/requests/request.py
@@ -43,7 +43,7 @@
     @property
     def body_is_spent(self) -> bool:
         """Whether a streamed body has been sent so far that no further attempt can send it."""
-        body = self.command.stream
+        body = self.command.streamed_body
         return body is not None and not body.repeatable
 
     @property
--- a/switchline/service/drain.py
+++ b/switchline/service/drain.py
@@ -48,7 +48,7 @@
             return False
         self.drained_by_operator = False
         log.info(log_events.DRAIN_STOPPED)
-        self.clients.undrain()
+        self.clients.undo_drain()
         return True
 
     def begin_quarantine(self) -> None:
@@ -58,7 +58,7 @@
     def end_quarantine(self) -> None:
         """Take clients again, unless an operator or the end of the process forbids it."""
         if not (self.drained_by_operator or self.clients.shutting_down):
-            self.clients.undrain()
+            self.clients.undo_drain()
 
 
 class FinalDrain:
--- a/switchline/service/upgrade.py
+++ b/switchline/service/upgrade.py
@@ -75,7 +75,7 @@
 
     async def _empty(self) -> None:
         """Report the descriptors held here until nothing is open, and then end the process."""
-        while self.parts.clients.holds_clients or self.parts.driver.requests.open:
+        while self.parts.clients.has_connections or self.parts.driver.requests.open:
             self.handover.report_descriptors(self.parts.descriptors.total)
             await asyncio.sleep(DESCRIPTOR_REPORT_INTERVAL_S)
         self.stop.set()
@@ -89,7 +89,7 @@
         self._emptying.cancel()
         self._emptying = None
         self.parts.descriptors.unfreeze()
-        self.parts.clients.take_back()
+        self.parts.clients.undo_hand_over()
         if self.persistence is not None:
             self.persistence.acquire_folder()
         self._joining = self.parts.loop.create_task(self.fleet.join())
--- a/testbed/launch.py
+++ b/testbed/launch.py
@@ -58,7 +58,7 @@
     """It answers with a value of its own."""
     from switchline.requests import attempts
 
-    replace(attempts, "bulk", lambda value: b"$5\r\nhello\r\n")
+    replace(attempts, "encode_bulk_string", lambda value: b"$5\r\nhello\r\n")
 
 
 def twice() -> None:
--- a/tests/clients/test_clients.py
+++ b/tests/clients/test_clients.py
@@ -207,13 +207,13 @@
 def test_a_slow_reader_does_not_grow_memory(monkeypatch: pytest.MonkeyPatch) -> None:
     """A client that asks and never reads is read no further, so that its answers stay few."""
     server: list[clients.ClientServer] = []
-    keep = clients.ClientServer.opened
+    keep = clients.ClientServer.on_connection_opened
 
     def opened(self: clients.ClientServer, connection: connections.ClientConnection) -> None:
         server[:] = [self]
         keep(self, connection)
 
-    monkeypatch.setattr(clients.ClientServer, "opened", opened)
+    monkeypatch.setattr(clients.ClientServer, "on_connection_opened", opened)
 
     async def scenario() -> None:
         async with running(World(Backend())) as world:
--- a/tests/clients/test_connections.py
+++ b/tests/clients/test_connections.py
@@ -208,7 +208,7 @@
     def on_command(self, command: Command, slot: Slot) -> None:
         self.open.setdefault(slot.connection, []).append(slot)
 
-    def on_crowded(self, command: Command, slot: Slot) -> None:
+    def on_no_place(self, command: Command, slot: Slot) -> None:
         self.crowded += 1
         slot.answer(b"-BUSY 200\r\n")
 
--- a/tests/service/test_guard.py
+++ b/tests/service/test_guard.py
@@ -7,7 +7,7 @@
 import pytest
 from driver_scene import Scene
 
-from switchline.clients.commands import bulk
+from switchline.clients.commands import encode_bulk_string
 from switchline.clients.slot import Slot
 from switchline.clock import Timers, now_ms
 from switchline.guard import Guard, Invariant
@@ -89,7 +89,7 @@
         connection.close()
         assert not wire.ended
         assert connection.server.guard.violations[Invariant.NO_UNANSWERED_CLOSE] == 1
-        slot.answer(bulk(b"value"))
+        slot.answer(encode_bulk_string(b"value"))
         connection.close()
         assert wire.ended == "close"
 
--- a/tests/service/test_process.py
+++ b/tests/service/test_process.py
@@ -265,7 +265,7 @@
         port = server.listen(listen((LOCAL, 0), 16))
         sock = socket.create_connection((LOCAL, port))
         server.stop_accepting()
-        assert server.empty.is_set() and server.holds_clients
+        assert server.empty.is_set() and server.has_connections
         ended = asyncio.create_task(server.wait_until_empty())
         await until(lambda: server.connections)
         assert not ended.done()
--- a/tests/support/driver_scene.py
+++ b/tests/support/driver_scene.py
@@ -54,7 +54,7 @@
 
     def ask(self, id: bytes = b"r1", wait: int = 3000) -> Slot:
         slot = Slot(self.connection)
-        slot.request = id.decode()
+        slot.request_id = id.decode()
         self.connection.slots.append(slot)
         self.driver.requests.on_command(parse_command(list(request(id, wait=wait))), slot)
         return slot
