--- a/switchline/clients/commands.py
+++ b/switchline/clients/commands.py
@@ -19,13 +19,18 @@
 HEAD_ARGUMENTS = 4  # before the value
 TIME_LEFT = b"d"
 REQUEST_CLASS = b"c"
-CUSTOMER = re.compile(rb"[0-9a-fA-F]{16}")
+CUSTOMER_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
 MAX_CUSTOMERS = 2**33
 MAX_ID_LENGTH = 64
 # Python reads more as a number (1_0, +2, nan) than a backend does, which gets these as they arrived.
-DECIMAL = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
-INTEGER = re.compile(rb"[0-9]{1,6}")
-NUMERIC_ATTRIBUTES = {TIME_LEFT: DECIMAL, b"units": DECIMAL, b"spread": INTEGER, b"first": INTEGER}
+DECIMAL_PATTERN = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
+INTEGER_PATTERN = re.compile(rb"[0-9]{1,6}")
+NUMERIC_ATTRIBUTE_PATTERNS = {
+    TIME_LEFT: DECIMAL_PATTERN,
+    b"units": DECIMAL_PATTERN,
+    b"spread": INTEGER_PATTERN,
+    b"first": INTEGER_PATTERN,
+}
 
 
 @dataclass(slots=True)
@@ -34,12 +39,12 @@
 
     Attributes:
         head: encoded verb, customer and id.
-        before: of the attributes, what precedes the time left.
-        after: of the attributes, what follows it.
-        body: encoded, what follows the attributes.
-        length: arguments in all.
-        id: of the request.
-        customer: of the request.
+        before_time_left: of the attributes, what precedes the time left.
+        after_time_left: of the attributes, what follows it.
+        encoded_value: encoded, what follows the attributes.
+        argument_count: arguments in all.
+        id: of the request_id.
+        customer: of the request_id.
         idempotent: whether it arrived as a request that is safe to repeat.
         attributes: by name.
         time_left_ms: how long the client waits.
@@ -48,10 +53,10 @@
     """
 
     head: bytes
-    before: bytes
-    after: bytes
-    body: bytes
-    length: int
+    before_time_left: bytes
+    after_time_left: bytes
+    encoded_value: bytes
+    argument_count: int
     id: str
     customer: str
     idempotent: bool
@@ -62,9 +67,14 @@
 
     def encode(self, time_left_ms: int) -> bytes:
         """Encode the command with the time left that a backend is told."""
-        time_left = min(time_left_ms, math.ceil(self.time_left_ms))
-        attributes = b"%b%d%b" % (self.before, time_left, self.after)
-        return b"*%d\r\n%b%b%b" % (self.length, self.head, encode_bulk_string(attributes), self.body)
+        forwarded_time_left_ms = min(time_left_ms, math.ceil(self.time_left_ms))
+        attributes = b"%b%d%b" % (self.before_time_left, forwarded_time_left_ms, self.after_time_left)
+        return b"*%d\r\n%b%b%b" % (
+            self.argument_count,
+            self.head,
+            encode_bulk_string(attributes),
+            self.encoded_value,
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,67 +92,69 @@
 
 
 def parse_command(
-    args: list[bytes], streamed_body: StreamedRequestBody | None = None, received_at_ms: float | None = None
+    arguments: list[bytes],
+    streamed_body: StreamedRequestBody | None = None,
+    received_at_ms: float | None = None,
 ) -> Command:
-    """Parse a request.
+    """Parse a request_id.
 
     Args:
-        args: of the command.
-        streamed_body: a long value that is still arriving, in place of the last argument.
+        arguments: of the command.
+        streamed_body: a long value that is still arriving, in index of the last argument.
         received_at_ms: by `now_ms`, when its bytes arrived; now by default.
 
     Raises:
         ValueError: it is not a request; the text says why, for the client.
     """
-    if not HEAD_ARGUMENTS <= len(args) <= HEAD_ARGUMENTS + 1:
+    if not HEAD_ARGUMENTS <= len(arguments) <= HEAD_ARGUMENTS + 1:
         raise ValueError("wrong number of arguments")
-    verb, customer, request, listed = args[:HEAD_ARGUMENTS]
-    attributes = parse_attributes(listed)
-    time_left = float(attributes.values[TIME_LEFT])
-    if time_left <= 0:
+    verb, customer, request_id, attribute_text = arguments[:HEAD_ARGUMENTS]
+    attributes = parse_attributes(attribute_text)
+    time_left_ms = float(attributes.values[TIME_LEFT])
+    if time_left_ms <= 0:
         raise ValueError("no time left")
-    value = args[HEAD_ARGUMENTS:]
-    id_text = request.decode("ascii")
+    value_arguments = arguments[HEAD_ARGUMENTS:]
+    id_text = request_id.decode("ascii")
     customer_text = customer.decode("ascii")
-    if not (request.isalnum() and len(request) <= MAX_ID_LENGTH):
+    if not (request_id.isalnum() and len(request_id) <= MAX_ID_LENGTH):
         raise ValueError("malformed id")
-    if not (CUSTOMER.fullmatch(customer) and int(customer, 16) < MAX_CUSTOMERS):
+    if not (CUSTOMER_PATTERN.fullmatch(customer) and int(customer, 16) < MAX_CUSTOMERS):
         raise ValueError("malformed customer")
     return Command(
-        head=encode_bulk_string(verb) + encode_bulk_string(customer) + encode_bulk_string(request),
-        before=attributes.before_time_left,
-        after=attributes.after_time_left,
-        body=b"".join(map(encode_bulk_string, value))
+        head=encode_bulk_string(verb) + encode_bulk_string(customer) + encode_bulk_string(request_id),
+        before_time_left=attributes.before_time_left,
+        after_time_left=attributes.after_time_left,
+        encoded_value=b"".join(map(encode_bulk_string, value_arguments))
         if streamed_body is None
         else b"$%d\r\n" % streamed_body.length,
-        length=len(args),
+        argument_count=len(arguments),
         id=id_text,
         customer=customer_text,
         idempotent=verb.upper() == IDEMPOTENT_VERB,
         attributes=attributes.values,
-        time_left_ms=time_left,
+        time_left_ms=time_left_ms,
         received_at_ms=now_ms() if received_at_ms is None else received_at_ms,
         streamed_body=streamed_body,
     )
 
 
-def parse_attributes(listed: bytes) -> Attributes:
+def parse_attributes(attribute_text: bytes) -> Attributes:
     """Parse `name=value` pairs; raises ValueError if they are malformed, or class or time left missing."""
     values: dict[bytes, bytes] = {}
     before = None
     after = b""
-    items = listed.split(b",")
-    for place, item in enumerate(items):
-        name, equals, value = item.partition(b"=")
-        if not equals or name in values:
+    items = attribute_text.split(b",")
+    for index, item in enumerate(items):
+        name, separator, value = item.partition(b"=")
+        if not separator or name in values:
             raise ValueError("malformed attributes")
         values[name] = value
         if name == TIME_LEFT:
-            before = b",".join([*items[:place], TIME_LEFT + b"="])
-            after = b"".join(b"," + other for other in items[place + 1 :])
+            before = b",".join([*items[:index], TIME_LEFT + b"="])
+            after = b"".join(b"," + following for following in items[index + 1 :])
     if before is None or REQUEST_CLASS not in values:
         raise ValueError("class or time left missing")
     for name, value in values.items():
-        if name in NUMERIC_ATTRIBUTES and not NUMERIC_ATTRIBUTES[name].fullmatch(value):
+        if name in NUMERIC_ATTRIBUTE_PATTERNS and not NUMERIC_ATTRIBUTE_PATTERNS[name].fullmatch(value):
             raise ValueError("malformed number")
     return Attributes(values, before, after)
--- a/switchline/clients/connection.py
+++ b/switchline/clients/connection.py
@@ -25,12 +25,14 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PIPELINED = 32  # commands that may wait for their answers before the connection is read no further
+MAX_PIPELINED_COMMANDS = (
+    32  # commands that may wait for their answers before the connection is read no further
+)
 MAX_UNSENT_BYTES = 128 * 1024  # of answers that a client may leave unread, likewise
 MAX_UNSENT_STREAMED_BYTES = 16 * 1024  # of a long answer; the transport adds what was written last
 MAX_COMMAND_BYTES = 128 * 1024  # a streamed value not counted
 MAX_ARGUMENTS = 16  # a request has five, and the commands of connection set-up few more
-READ_BYTES = 64 * 1024
+READ_BUFFER_BYTES = 64 * 1024
 MAX_DISCARDED_BYTES = 256 * 1024  # that a peer may send after its last answer
 
 
@@ -59,23 +61,23 @@
         self.state = ConnectionState.SERVING
         self.transport: asyncio.Transport | None = None
         self.lost = False  # it has ended, by either side
-        self.peer = ""  # its address; connections are shared out among these
-        self.proven = False  # it has sent a proper request
+        self.peer_address = ""  # its address; connections are shared out among these
+        self.validated = False  # it has sent a proper request
         self.surplus = False  # it got no place: it is kept only if a request is the first that arrives
         self.slots: deque[Slot] = deque()
-        self.body: StreamedRequestBody | None = None  # a long value that is arriving
-        self.body_slot: Slot | None = None  # of its command
+        self.streamed_body: StreamedRequestBody | None = None  # a long value that is arriving
+        self.streamed_body_slot: Slot | None = None  # of its command
         self.last_used_s = time.monotonic()  # a command arrived or an answer was written
-        self.receiving = ReceiveWatch(owed_since_s=self.last_used_s)
+        self.receiving = ReceiveWatch(wait_started_at_s=self.last_used_s)
         self.delivery = DeliveryWatch()
         self.received_at_ms = now_ms()  # when bytes last arrived
         self.reading_paused = False
         self.parser = RespParser(MAX_ARGUMENTS, MAX_COMMAND_BYTES, STREAMING_THRESHOLD_BYTES, MAX_VALUE_BYTES)
-        self._has_unparsed = False  # bytes that may hold a command
+        self._has_unparsed_bytes = False  # bytes that may hold a command
         self._writing_paused = False
         self._pumping = False  # guards `pump` against itself
         self.half_closed_at_s = 0.0
-        self._discarded = 0  # bytes that arrived after what closes the connection
+        self._discarded_bytes = 0  # bytes that arrived after what closes the connection
 
     @property
     def guard(self) -> Guard:
@@ -94,7 +96,7 @@
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
         self.transport.set_write_buffer_limits(high=MAX_UNSENT_BYTES)
         # A peer that has reset the connection by now has no address any more.
-        self.peer = (self.transport.get_extra_info("peername") or ("",))[0]
+        self.peer_address = (self.transport.get_extra_info("peername") or ("",))[0]
         self.server.on_connection_opened(self)
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -116,9 +118,9 @@
 
     def get_buffer(self, sizehint: int) -> memoryview:
         """See asyncio.BufferedProtocol."""
-        if self.body is None:
+        if self.streamed_body is None:
             return self.server.read_buffer
-        return self.server.read_buffer[: self.body.buffer_budget.window]
+        return self.server.read_buffer[: self.streamed_body.buffer_budget.window]
 
     def buffer_updated(self, nbytes: int) -> None:
         """See asyncio.BufferedProtocol."""
@@ -131,7 +133,7 @@
             return
         self.received_at_ms = now_ms()
         self.parser.feed(data)
-        self._has_unparsed = True
+        self._has_unparsed_bytes = True
         self.pump()
 
     # ---- commands in, answers out ----
@@ -143,35 +145,35 @@
         self._pumping = True
         try:
             self._write_answers()
-            while self._has_unparsed and not self._is_blocked():
-                self._take_commands()
+            while self._has_unparsed_bytes and not self._is_blocked():
+                self._process_commands()
                 self._write_answers()
         finally:
             self._pumping = False
-        if self.transport is not None and not self.slots and (self.closing or self.ends_by_drain()):
-            self.shut()
-        elif self.surplus and not self.proven and self.body is None:
+        if self.transport is not None and not self.slots and (self.closing or self.closes_for_drain()):
+            self.close_gracefully()
+        elif self.surplus and not self.validated and self.streamed_body is None:
             self.server.places.evict(self, EvictionReason.CROWDED)
         self._update_reading()
 
-    def ends_by_drain(self) -> bool:
+    def closes_for_drain(self) -> bool:
         """Whether a drain ends this connection: not while a request is arriving."""
         return self.server.closing_connections and not self.parser.has_partial_value()
 
     def _is_blocked(self) -> bool:
-        body_full = self.body is not None and self.body.full
-        return body_full or self._writing_paused or self.closing or len(self.slots) >= MAX_PIPELINED
+        body_full = self.streamed_body is not None and self.streamed_body.full
+        return body_full or self._writing_paused or self.closing or len(self.slots) >= MAX_PIPELINED_COMMANDS
 
-    def _take_commands(self) -> None:
+    def _process_commands(self) -> None:
         try:
             while not self._is_blocked():
-                if self.body is not None:
-                    if not self._take_streamed(self.body):
+                if self.streamed_body is not None:
+                    if not self._receive_streamed(self.streamed_body):
                         return
                     continue
                 value = self.parser.next_value()
                 if value is INCOMPLETE:
-                    self._note_incomplete()
+                    self._record_incomplete_command()
                     return
                 self.last_used_s = time.monotonic()
                 if isinstance(value, StreamedStringStarted):
@@ -181,35 +183,35 @@
         except ProtocolError as error:
             self.fail_protocol(str(error))
 
-    def _note_incomplete(self) -> None:
-        self._has_unparsed = False
+    def _record_incomplete_command(self) -> None:
+        self._has_unparsed_bytes = False
         if self.parser.has_partial_value():
-            self.receiving.partial_command(time.monotonic())
+            self.receiving.record_partial_command(time.monotonic())
 
-    def _begin_streamed_request(self, started: StreamedStringStarted) -> None:
+    def _begin_streamed_request(self, streamed_string: StreamedStringStarted) -> None:
         """Decide on a request by its head, as its value is too long to be collected."""
-        if started.missing != 1 or not begins_request(started.items):
+        if streamed_string.missing != 1 or not begins_request(streamed_string.items):
             raise ProtocolError("value too long")
-        self.receiving.stream_started(time.monotonic())
-        self.body = StreamedRequestBody(self.server.buffer_budget, started.length)
-        self.body.on_capacity = self.pump
-        body = self.body
-        slot = self.body_slot = dispatch(self, [*started.items, b""], body)
+        self.receiving.record_stream_start(time.monotonic())
+        self.streamed_body = StreamedRequestBody(self.server.buffer_budget, streamed_string.length)
+        self.streamed_body.on_capacity = self.pump
+        body = self.streamed_body
+        slot = self.streamed_body_slot = dispatch(self, [*streamed_string.items, b""], body)
         if slot is None or slot.request_id is None:
             body.drop()  # it has its answer; what still arrives of it is discarded
 
-    def _take_streamed(self, body: StreamedRequestBody) -> bool:
+    def _receive_streamed(self, body: StreamedRequestBody) -> bool:
         """Take a piece of a streamed value; return whether something arrived."""
-        if piece := self.parser.read_streamed(READ_BYTES):
-            self.receiving.last_bytes_s = time.monotonic()
+        if piece := self.parser.read_streamed(READ_BUFFER_BYTES):
+            self.receiving.last_received_s = time.monotonic()
             body.feed(piece)
         elif self.parser.streamed_remaining > 0 or self.parser.next_value() is INCOMPLETE:
-            self._has_unparsed = False
+            self._has_unparsed_bytes = False
             return False
         else:
-            self.body = None
-            if self.body_slot is not None and self.body_slot.request_id is not None:
-                self.server.handler.on_body_received(self.body_slot.request_id)
+            self.streamed_body = None
+            if self.streamed_body_slot is not None and self.streamed_body_slot.request_id is not None:
+                self.server.handler.on_body_received(self.streamed_body_slot.request_id)
             body.end()
         return True
 
@@ -221,25 +223,25 @@
 
     def _write_answers(self) -> None:
         """Write the answers that are due, in the order of the commands."""
-        due: list[bytes] = []
-        while self.slots and self._collect_answer(self.slots[0], due):
+        ready: list[bytes] = []
+        while self.slots and self._collect_answer(self.slots[0], ready):
             self.slots.popleft()
-        if due and self.transport is not None:
-            answers = due[0] if len(due) == 1 else b"".join(due)
+        if ready and self.transport is not None:
+            answers = ready[0] if len(ready) == 1 else b"".join(ready)
             self.transport.write(answers)
-            self.delivery.written += len(answers)
+            self.delivery.written_bytes += len(answers)
             self.last_used_s = time.monotonic()
-            self.server.places.used(self)
+            self.server.places.record_use(self)
 
-    def _collect_answer(self, slot: Slot, due: list[bytes]) -> bool:
+    def _collect_answer(self, slot: Slot, ready: list[bytes]) -> bool:
         """Add what may be written of an answer; return whether it is complete."""
         if slot.response is None:
             if slot.reply is None:
                 return False
-            due.append(slot.reply)
+            ready.append(slot.reply)
             return True
         if not self._writing_paused:
-            due.append(slot.response.take())
+            ready.append(slot.response.take())
         if not slot.response.written:
             return False
         slot.request_id = None
@@ -251,7 +253,7 @@
         """Pause or resume reading. After the last command it reads on, to discard what arrives."""
         if self.transport is None or self.transport.is_closing():
             return
-        pause = self._discarded > MAX_DISCARDED_BYTES if self.closing else self._is_blocked()
+        pause = self._discarded_bytes > MAX_DISCARDED_BYTES if self.closing else self._is_blocked()
         if pause == self.reading_paused:
             return
         self.reading_paused = pause
@@ -268,7 +270,7 @@
         Earlier requests still get their answers.
         """
         self.begin_closing()
-        slot = self._abandon_body() if self.body is not None else Slot(self)
+        slot = self._abandon_body() if self.streamed_body is not None else Slot(self)
         if slot is not None:
             slot.answered = True
             slot.reply = b"-ERR protocol error\r\n"
@@ -278,10 +280,10 @@
 
     def _abandon_body(self) -> Slot | None:
         """Let go of a command whose value does not arrive; return its slot if it is still owed an answer."""
-        body = self.body
-        slot = self.body_slot
-        self.body = None
-        self.body_slot = None
+        body = self.streamed_body
+        slot = self.streamed_body_slot
+        self.streamed_body = None
+        self.streamed_body_slot = None
         if body is not None:
             body.drop()
         if slot is None or slot.request_id is None:
@@ -310,7 +312,7 @@
             return
         self.transport.close()
 
-    def shut(self) -> None:
+    def close_gracefully(self) -> None:
         """Write what is due, end this side, and close once the peer has read that and closed as well.
 
         A close over unread bytes resets the connection, which discards what the peer has not read yet.
@@ -331,8 +333,8 @@
 
     def _discard(self, length: int) -> None:
         """Read on, so that the peer's close is seen and unread bytes don't reset what it is still to read."""
-        self._discarded += length
-        if self._discarded <= MAX_DISCARDED_BYTES or self.transport is None:
+        self._discarded_bytes += length
+        if self._discarded_bytes <= MAX_DISCARDED_BYTES or self.transport is None:
             return
         if self.state is ConnectionState.HALF_CLOSED:
             self.close()
@@ -343,8 +345,8 @@
         """Note that nobody waits for answers here any more."""
         slots = self.slots
         self.slots = deque()
-        body = self.body
-        self.body = None
+        body = self.streamed_body
+        self.streamed_body = None
         if body is not None:
             body.drop()
         for slot in slots:
@@ -361,7 +363,7 @@
         """
         if self.lost or (self.transport is not None and self.transport.is_closing()):
             return True
-        if self.transport is None or not self._ask_socket(peer_has_closed, unknown=False):
+        if self.transport is None or not self._query_socket(peer_has_closed, if_unavailable=False):
             return False
         self.transport.abort()
         self._abandon_requests()
@@ -370,24 +372,26 @@
     @property
     def has_unread_bytes(self) -> bool:
         """Whether something has arrived that this process has yet to read."""
-        return self._ask_socket(has_unread_bytes, unknown=True)
+        return self._query_socket(has_unread_bytes, if_unavailable=True)
 
-    def _ask_socket(self, question: Callable[[int], bool], unknown: bool) -> bool:
-        """Ask the system about the socket; `unknown` where it does not even give the socket."""
+    def _query_socket(self, query: Callable[[int], bool], if_unavailable: bool) -> bool:
+        """Ask the system about the socket; `if_unavailable` where it does not even give the socket."""
         if self.transport is None:
             return False
         try:
             sock = self.transport.get_extra_info("socket")
         except OSError:
-            return unknown
-        return sock is not None and sock.fileno() >= 0 and question(sock.fileno())
+            return if_unavailable
+        return sock is not None and sock.fileno() >= 0 and query(sock.fileno())
 
     @property
     def idle(self) -> bool:
         """Whether nothing is open on it, partly read or still to be written: it may be closed at any time."""
         if self.transport is None or self.transport.is_closing() or self.closing:
             return False
-        receiving = self.body is not None or self.parser.has_partial_value() or self._has_unparsed
+        receiving = (
+            self.streamed_body is not None or self.parser.has_partial_value() or self._has_unparsed_bytes
+        )
         return not self.slots and not receiving and not self.transport.get_write_buffer_size()
 
     @property
--- a/switchline/clients/dispatch.py
+++ b/switchline/clients/dispatch.py
@@ -19,7 +19,7 @@
 SETUP_VERBS = {b"CLIENT", b"SELECT"}  # of client libraries; answered and otherwise ignored
 OK = b"+OK\r\n"
 PONG = b"+PONG\r\n"
-DRAINING = b"-ERR draining\r\n"
+DRAINING_ERROR = b"-ERR draining\r\n"
 
 
 def dispatch(
@@ -40,21 +40,21 @@
         return None
     slot = Slot(connection)
     connection.slots.append(slot)
-    owed_since_s = connection.receiving.owed_since_s
-    connection.receiving.owed_since_s = None
+    wait_started_at_s = connection.receiving.wait_started_at_s
+    connection.receiving.wait_started_at_s = None
     verb = value[0].upper()
     if verb in REQUEST_VERBS:
-        _handle_request(connection, slot, value, body, owed_since_s)
+        _handle_request(connection, slot, value, body, wait_started_at_s)
     elif verb == b"PING":
         answer = encode_bulk_string(value[1]) if len(value) > 1 else PONG
-        slot.answer(answer if connection.server.answers_ping else DRAINING)
+        slot.answer(answer if connection.server.ping_succeeds else DRAINING_ERROR)
     elif verb in SETUP_VERBS:
         slot.answer(OK)
     elif verb == b"QUIT":
         slot.answer(OK)
         connection.begin_closing()
     else:
-        _reject_command(connection, slot, "unknown command", owed_since_s)
+        _reject_command(connection, slot, "unknown command", wait_started_at_s)
     return slot
 
 
@@ -63,30 +63,32 @@
     slot: Slot,
     arguments: list[bytes],
     body: StreamedRequestBody | None,
-    owed_since_s: float | None,
+    wait_started_at_s: float | None,
 ) -> None:
     server = connection.server
     try:
         command = parse_command(arguments, body, connection.received_at_ms)
         slot.request_id = command.id
-        if connection.proven or server.prove(connection, command):
+        if connection.validated or server.promote(connection, command):
             server.handler.on_command(command, slot)
         else:
             server.handler.on_no_place(command, slot)
     except ValueError as error:
         slot.request_id = None
-        _reject_command(connection, slot, " ".join(str(error).split()), owed_since_s)
+        _reject_command(connection, slot, " ".join(str(error).split()), wait_started_at_s)
 
 
 def _reject_command(
-    connection: ClientConnection, slot: Slot, reason: str, owed_since_s: float | None
+    connection: ClientConnection, slot: Slot, reason: str, wait_started_at_s: float | None
 ) -> None:
     """Answer what is no proper request.
 
-    It buys the peer no time: a peer that has sent nothing better since `owed_since_s` is closed.
+    It buys the peer no time: a peer that has sent nothing better since `wait_started_at_s` is closed.
     """
     log.warning("client sent what is no request: %s", reason)
-    connection.receiving.owed_since_s = time.monotonic() if owed_since_s is None else owed_since_s
+    connection.receiving.wait_started_at_s = (
+        time.monotonic() if wait_started_at_s is None else wait_started_at_s
+    )
     slot.answer(b"-ERR %b\r\n" % reason.encode())
 
 
--- a/switchline/clients/places.py
+++ b/switchline/clients/places.py
@@ -36,9 +36,9 @@
         self.budget = budget
         self.metrics = metrics
         self.young: dict[ClientConnection, None] = {}  # the oldest first
-        self.proven: dict[str, dict[ClientConnection, None]] = {}  # by peer, the longest unused first
+        self.validated: dict[str, dict[ClientConnection, None]] = {}  # by peer, the longest unused first
         self.shares = FairShares(0)  # of proven connections, among peers
-        self._follow_budget()
+        self._update_limits()
         budget.relief_callbacks.append(self.make_room)
 
     @property
@@ -52,86 +52,94 @@
         return max(1, int(self.limit * self.budget.shares.young))
 
     @property
-    def live(self) -> int:
+    def live_count(self) -> int:
         """Connections that are not about to be closed here."""
         return len(self.young) + self.shares.slots_in_use
 
-    def _follow_budget(self) -> None:
+    def _update_limits(self) -> None:
         """Let proven connections have all places but the young ones' before they are shared out."""
         self.shares.limit = self.limit
         self.shares.pressure_threshold = self.limit - self.young_limit
 
-    def opened(self, connection: ClientConnection) -> None:
+    def add(self, connection: ClientConnection) -> None:
         """Give a newcomer a place, or mark it as surplus. Once places are few, young ones have a bound."""
         self.young[connection] = None
         limit = self.limit
         young_limit = self.young_limit
-        crowded_by_young = self.live > limit - young_limit and len(self.young) > young_limit
-        if self.live > limit or crowded_by_young:
+        has_too_many_young = self.live_count > limit - young_limit and len(self.young) > young_limit
+        if self.live_count > limit or has_too_many_young:
             # Proven ones give way only for what they hold of the young ones' places.
             may_evict_idle = self.shares.slots_in_use > limit - young_limit
             evicted = self.evict_young(connection) or (may_evict_idle and self.evict_idle())
             connection.surplus = not evicted
 
-    def prove(self, connection: ClientConnection) -> bool:
+    def promote(self, connection: ClientConnection) -> bool:
         """Give a connection that has sent a proper request a lasting place; return whether it got one."""
-        self._follow_budget()
-        held = self.shares.slots_by_holder.get(connection.peer, 0)
-        if not self.shares.admits(connection.peer) and not self.evict_idle(min_held=held):
+        self._update_limits()
+        held_count = self.shares.slots_by_holder.get(connection.peer_address, 0)
+        if not self.shares.admits(connection.peer_address) and not self.evict_idle(
+            min_connections=held_count
+        ):
             return False
         del self.young[connection]
-        connection.proven = True
-        self.shares.take(connection.peer)
-        self.proven.setdefault(connection.peer, {})[connection] = None
+        connection.validated = True
+        self.shares.take(connection.peer_address)
+        self.validated.setdefault(connection.peer_address, {})[connection] = None
         return True
 
-    def used(self, connection: ClientConnection) -> None:
+    def record_use(self, connection: ClientConnection) -> None:
         """Note that an answer was written: it is the last used one of its peer."""
-        of_peer = self.proven.get(connection.peer)
-        if of_peer and connection in of_peer:
-            del of_peer[connection]
-            of_peer[connection] = None
+        peer_connections = self.validated.get(connection.peer_address)
+        if peer_connections and connection in peer_connections:
+            del peer_connections[connection]
+            peer_connections[connection] = None
 
-    def forget(self, connection: ClientConnection) -> None:
+    def remove(self, connection: ClientConnection) -> None:
         """Free its place. Its descriptor is free once the transport has closed it."""
         self.young.pop(connection, None)
-        of_peer = self.proven.get(connection.peer)
-        if of_peer and connection in of_peer:
-            del of_peer[connection]
-            self.shares.release(connection.peer)
-            if not of_peer:
-                del self.proven[connection.peer]
+        peer_connections = self.validated.get(connection.peer_address)
+        if peer_connections and connection in peer_connections:
+            del peer_connections[connection]
+            self.shares.release(connection.peer_address)
+            if not peer_connections:
+                del self.validated[connection.peer_address]
 
     # ---- eviction ----
 
-    def make_room(self, wanted: int) -> int:
+    def make_room(self, wanted_count: int) -> int:
         """Close up to `wanted` connections that nobody uses; return how many."""
         closed = 0
-        while closed < wanted and (self.evict_young() or self.evict_idle()):
+        while closed < wanted_count and (self.evict_young() or self.evict_idle()):
             closed += 1
         return closed
 
     def evict_young(self, newcomer: ClientConnection | None = None) -> bool:
         """Close the oldest young connection that may be, other than the newcomer; return whether one was."""
-        candidates = (one for one in self.young if one.may_be_evicted and one is not newcomer)
+        candidates = (
+            connection
+            for connection in self.young
+            if connection.may_be_evicted and connection is not newcomer
+        )
         oldest = next(candidates, None)
         if oldest is not None:
             self.evict(oldest, EvictionReason.YOUNG)
         return oldest is not None
 
-    def evict_idle(self, min_held: int = 0) -> bool:
+    def evict_idle(self, min_connections: int = 0) -> bool:
         """Close the longest idle connection of the peer that holds most, of those that hold an idle one.
 
         Args:
-            min_held: a peer with fewer connections gives none up.
+            min_connections: a peer with fewer connections gives none up.
 
         Returns:
             Whether one was closed.
         """
-        for of_peer in sorted(self.proven.values(), key=len, reverse=True):
-            if len(of_peer) < min_held:
+        for peer_connections in sorted(self.validated.values(), key=len, reverse=True):
+            if len(peer_connections) < min_connections:
                 break
-            longest_idle = next((one for one in of_peer if one.may_be_evicted), None)
+            longest_idle = next(
+                (connection for connection in peer_connections if connection.may_be_evicted), None
+            )
             if longest_idle is not None:
                 self.evict(longest_idle, EvictionReason.IDLE)
                 return True
@@ -140,8 +148,8 @@
     def evict(self, connection: ClientConnection, reason: EvictionReason) -> None:
         """Close a connection and count the reason."""
         self.metrics.evictions[reason] += 1
-        log.info("connection of %s is closed: %s", connection.peer, reason.value)
-        self.forget(connection)
+        log.info("connection of %s is closed: %s", connection.peer_address, reason.value)
+        self.remove(connection)
         if reason is EvictionReason.UNREAD:
             connection.begin_closing()
             if connection.transport is not None:
@@ -150,11 +158,15 @@
             connection.begin_closing()
             connection.close()
         else:
-            connection.shut()
+            connection.close_gracefully()
 
     def gauges(self) -> dict[str, int]:
         """Metrics for operators."""
-        in_use = sum(not one.idle for of_peer in self.proven.values() for one in of_peer)
+        in_use = sum(
+            not connection.idle
+            for peer_connections in self.validated.values()
+            for connection in peer_connections
+        )
         return {
             "clients.young": len(self.young),
             "clients.in_use": in_use,
--- a/switchline/clients/server.py
+++ b/switchline/clients/server.py
@@ -8,10 +8,10 @@
 from typing import Protocol
 
 from switchline.clients.commands import Command
-from switchline.clients.connection import READ_BYTES, ClientConnection
+from switchline.clients.connection import READ_BUFFER_BYTES, ClientConnection
 from switchline.clients.places import ConnectionPlaces
 from switchline.clients.slot import Slot
-from switchline.clients.supervision import LINGER_S, check
+from switchline.clients.supervision import LINGER_TIMEOUT_S, check_connection
 from switchline.guard import Guard
 from switchline.net.accept import Acceptor
 from switchline.net.descriptors import Budget, Part
@@ -20,11 +20,13 @@
 
 BACKLOG = 200  # connections that may wait to be accepted
 SWEEP_INTERVAL_S = 0.25
-MAX_LINGERING = 16  # half-closed connections at once, where places are wanted
-HAND_OVER_IDLE_S = 0.5  # after a hand-over most connections close with an answer; idle ones from then on
+MAX_HALF_CLOSED = 16  # half-closed connections at once, where places are wanted
+HAND_OVER_IDLE_DELAY_S = (
+    0.5  # after a hand-over most connections close with an answer; idle ones from then on
+)
 
 
-class Handler(Protocol):
+class RequestHandler(Protocol):
     """What requests are handed to."""
 
     def check(self, command: Command) -> None:
@@ -56,7 +58,7 @@
 
     def __init__(
         self,
-        handler: Handler,
+        handler: RequestHandler,
         budget: Budget,
         buffer_budget: BufferBudget,
         metrics: Metrics,
@@ -67,7 +69,7 @@
         self.buffer_budget = buffer_budget
         self.metrics = metrics
         self.guard = guard or Guard()
-        self.read_buffer = memoryview(bytearray(READ_BYTES))  # of all; taken before the next read
+        self.read_buffer = memoryview(bytearray(READ_BUFFER_BYTES))  # of all; taken before the next read
         self.connections: set[ClientConnection] = set()
         self.places = ConnectionPlaces(budget, metrics)
         self.empty = asyncio.Event()  # there is no connection
@@ -76,8 +78,8 @@
         self.closing_connections = False  # connections are closed after their answers
         self.shutting_down = False  # a drain that is not undone
         self.handed_over = False  # another process takes the clients
-        self.close_idle_from_s = 0.0  # while connections are being closed, idle ones are from then on
-        self._half_closed: set[ClientConnection] = set()
+        self.idle_close_starts_at_s = 0.0  # while connections are being closed, idle ones are from then on
+        self._half_closed_connections: set[ClientConnection] = set()
         self._acceptor: Acceptor | None = None
         self._drain_timer: asyncio.TimerHandle | None = None  # until the front has noticed a drain
         self._sweep_timer: asyncio.TimerHandle | None = None
@@ -96,7 +98,7 @@
         return self._acceptor is not None and self._acceptor.accepting and not self.draining
 
     @property
-    def answers_ping(self) -> bool:
+    def ping_succeeds(self) -> bool:
         """Whether the gateway takes clients, also while its next process does so."""
         return self.handed_over or not self.draining
 
@@ -134,30 +136,30 @@
         self.budget.acquire(Part.CLIENTS)
         self.connections.add(connection)
         self.empty.clear()
-        self.places.opened(connection)
+        self.places.add(connection)
 
-    def prove(self, connection: ClientConnection, command: Command) -> bool:
+    def promote(self, connection: ClientConnection, command: Command) -> bool:
         """Whether a connection's first proper request gets it a place. Raises ValueError if it is none."""
         self.handler.check(command)
-        return self.places.prove(connection)
+        return self.places.promote(connection)
 
     def may_linger(self, connection: ClientConnection) -> bool:
         """Whether it may keep its descriptor for a moment: there is something that the peer may yet read."""
-        if time.monotonic() - connection.last_used_s > LINGER_S:
+        if time.monotonic() - connection.last_used_s > LINGER_TIMEOUT_S:
             return False
-        return self.closing_connections or len(self._half_closed) < MAX_LINGERING
+        return self.closing_connections or len(self._half_closed_connections) < MAX_HALF_CLOSED
 
     def on_half_closed(self, connection: ClientConnection) -> None:
         """Free its place, though its descriptor is not free yet."""
-        self.places.forget(connection)
-        self._half_closed.add(connection)
+        self.places.remove(connection)
+        self._half_closed_connections.add(connection)
 
     def on_connection_lost(self, connection: ClientConnection) -> None:
         """Free the descriptor of a connection that is lost."""
-        self.places.forget(connection)
+        self.places.remove(connection)
         self.budget.release(Part.CLIENTS)
         self.connections.discard(connection)
-        self._half_closed.discard(connection)
+        self._half_closed_connections.discard(connection)
         if not self.connections:
             self.empty.set()
 
@@ -166,9 +168,9 @@
         self._sweep_timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self.sweep)
         now_s = time.monotonic()
         for connection in list(self.connections):
-            self.guard.call("a client's connection", check, connection, now_s)
+            self.guard.call("a client's connection", check_connection, connection, now_s)
         # The budget may have shrunk: by SIGHUP, or by what the other process of an upgrade holds.
-        self.places.make_room(self.places.live - self.places.limit)
+        self.places.make_room(self.places.live_count - self.places.limit)
         self.budget.keep_reserve()
 
     def gauges(self) -> dict[str, int]:
@@ -209,7 +211,7 @@
         """Let another process of this gateway accept; connections here end after their next answers."""
         self.handed_over = True
         self.closing_connections = True
-        self.close_idle_from_s = time.monotonic() + HAND_OVER_IDLE_S
+        self.idle_close_starts_at_s = time.monotonic() + HAND_OVER_IDLE_DELAY_S
         if self._acceptor is not None:
             self._acceptor.pause()
 
--- a/switchline/clients/supervision.py
+++ b/switchline/clients/supervision.py
@@ -10,12 +10,14 @@
 
 log = logging.getLogger(__name__)
 
-LINGER_S = 0.5  # after the last answer, for the peer to read it and to close: a reset would discard it
-DRAIN_IDLE_S = 0.25  # on a drain, a connection on which nothing arrives for this long is closed
-UNUSED_S = 60.0  # a connection without a command for this long is closed; clients open another
+LINGER_TIMEOUT_S = (
+    0.5  # after the last answer, for the peer to read it and to close: a reset would discard it
+)
+DRAIN_IDLE_TIMEOUT_S = 0.25  # on a drain, a connection on which nothing arrives for this long is closed
+UNUSED_TIMEOUT_S = 60.0  # a connection without a command for this long is closed; clients open another
 
 
-def check(connection: ClientConnection, now_s: float) -> None:
+def check_connection(connection: ClientConnection, now_s: float) -> None:
     """End what a peer has left hanging, so that it holds neither memory nor a descriptor for ever.
 
     Args:
@@ -24,29 +26,29 @@
     """
     if connection.transport is None:
         return
-    unsent = connection.transport.get_write_buffer_size()
-    if connection.delivery.is_late(now_s, unsent, is_streaming(connection)):
-        unread_s = now_s - connection.delivery.behind_since_s
+    unsent_bytes = connection.transport.get_write_buffer_size()
+    if connection.delivery.has_timed_out(now_s, unsent_bytes, is_streaming(connection)):
+        unread_s = now_s - connection.delivery.unread_started_at_s
         log.warning("client left its answers unread for %.0f s", unread_s)
         connection.server.places.evict(connection, EvictionReason.UNREAD)
     elif connection.state is ConnectionState.HALF_CLOSED:
-        if now_s - connection.half_closed_at_s > LINGER_S and not unsent:
+        if now_s - connection.half_closed_at_s > LINGER_TIMEOUT_S and not unsent_bytes:
             connection.close()
     elif connection.closing or connection.reading_paused:
         return  # its answers are due first, and it is read no further until then
-    elif is_receiving_late(connection, now_s):
+    elif has_receive_timed_out(connection, now_s):
         connection.server.metrics.evictions[EvictionReason.OWING] += 1
         connection.fail_protocol("no whole command in time")
         connection.pump()
-    elif not connection.slots and not unsent:
-        check_unused(connection, now_s)
+    elif not connection.slots and not unsent_bytes:
+        close_if_unused(connection, now_s)
 
 
-def check_unused(connection: ClientConnection, now_s: float) -> None:
+def close_if_unused(connection: ClientConnection, now_s: float) -> None:
     """Close a connection that nobody has used for long; on a drain much sooner."""
-    draining = connection.ends_by_drain() and now_s > connection.server.close_idle_from_s
-    limit_s = DRAIN_IDLE_S if draining else UNUSED_S
-    if now_s - connection.last_used_s > limit_s and not connection.has_unread_bytes:
+    draining = connection.closes_for_drain() and now_s > connection.server.idle_close_starts_at_s
+    timeout_s = DRAIN_IDLE_TIMEOUT_S if draining else UNUSED_TIMEOUT_S
+    if now_s - connection.last_used_s > timeout_s and not connection.has_unread_bytes:
         reason = EvictionReason.PARTING if draining else EvictionReason.UNUSED
         connection.server.places.evict(connection, reason)
 
@@ -56,10 +58,10 @@
     return bool(connection.slots) and connection.slots[0].response is not None
 
 
-def is_receiving_late(connection: ClientConnection, now_s: float) -> bool:
+def has_receive_timed_out(connection: ClientConnection, now_s: float) -> bool:
     """Whether the peer has left a command unfinished for too long."""
-    if connection.body is not None:
-        return connection.receiving.is_stream_late(now_s)
+    if connection.streamed_body is not None:
+        return connection.receiving.has_stream_timed_out(now_s)
     items = connection.parser.array_items or []
     in_value = connection.parser.bulk_length >= 0 and is_request_head(items)
-    return connection.receiving.is_command_late(now_s, in_value)
+    return connection.receiving.has_command_timed_out(now_s, in_value)
--- a/tests/clients/test_clients.py
+++ b/tests/clients/test_clients.py
@@ -230,7 +230,7 @@
             held = connection.transport.get_write_buffer_size() + sum(
                 len(slot.reply or b"") for slot in connection.slots
             )
-            assert held <= connections.MAX_UNSENT_BYTES + (connections.MAX_PIPELINED + 2) * 66_000
+            assert held <= connections.MAX_UNSENT_BYTES + (connections.MAX_PIPELINED_COMMANDS + 2) * 66_000
             for _ in range(written):  # once it reads, it gets all of them
                 assert await peer.receive() == b"x" * 65536
 
@@ -248,7 +248,7 @@
         backend = Backend(script)
         async with running(World(backend)) as world:
             peer = await world.client()
-            count = connections.MAX_PIPELINED * 2
+            count = connections.MAX_PIPELINED_COMMANDS * 2
             ids = [b"%04d" % n for n in range(count)]
             peer.writer.write(b"".join(encode(*request(id)) for id in ids))
             await until(lambda: backend.got)
@@ -403,9 +403,9 @@
         connection, wire = connections.ClientConnection(server), Wire()
         connection.connection_made(wire)
         connection.data_received(encode(b"PING"))
-        supervision.check(connection, connection.last_used_s + supervision.UNUSED_S - 1)
+        supervision.check_connection(connection, connection.last_used_s + supervision.UNUSED_TIMEOUT_S - 1)
         assert wire.ended == ""
-        supervision.check(connection, connection.last_used_s + supervision.UNUSED_S + 1)
+        supervision.check_connection(connection, connection.last_used_s + supervision.UNUSED_TIMEOUT_S + 1)
         assert wire.ended == "close"
 
         connection, wire = connections.ClientConnection(server), Wire()
@@ -413,13 +413,13 @@
         connection.data_received(encode(b"PING"))
         wire.left = 100  # of an answer, and nobody reads
         start = connection.last_used_s
-        supervision.check(connection, start)
-        supervision.check(connection, start + watchdog.UNREAD_TIMEOUT_S - 1)
+        supervision.check_connection(connection, start)
+        supervision.check_connection(connection, start + watchdog.UNREAD_TIMEOUT_S - 1)
         wire.left = 90  # slow, but alive
-        supervision.check(connection, start + watchdog.UNREAD_TIMEOUT_S)
-        supervision.check(connection, start + 2 * watchdog.UNREAD_TIMEOUT_S - 1)
+        supervision.check_connection(connection, start + watchdog.UNREAD_TIMEOUT_S)
+        supervision.check_connection(connection, start + 2 * watchdog.UNREAD_TIMEOUT_S - 1)
         assert wire.ended == ""
-        supervision.check(connection, start + 2 * watchdog.UNREAD_TIMEOUT_S + 1)
+        supervision.check_connection(connection, start + 2 * watchdog.UNREAD_TIMEOUT_S + 1)
         assert wire.ended == "abort"
 
     in_loop(scenario)
@@ -431,12 +431,12 @@
         server = clients.ClientServer(handler, Budget(256), BufferBudget(2**26), Metrics([]))
         connection, wire = connections.ClientConnection(server), Wire()
         connection.connection_made(wire)
-        owed = connection.receiving.owed_since_s
+        owed = connection.receiving.wait_started_at_s
         for _ in range(3):
             connection.data_received(encode(b"NONSENSE"))
-            assert connection.receiving.owed_since_s == owed
+            assert connection.receiving.wait_started_at_s == owed
         connection.data_received(encode(b"PING"))
-        assert connection.receiving.owed_since_s is None
+        assert connection.receiving.wait_started_at_s is None
 
     in_loop(scenario)
 
@@ -487,8 +487,8 @@
 
 
 def test_a_peer_that_never_closes_after_the_end_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(supervision, "LINGER_S", 0.05)
-    monkeypatch.setattr(clients, "LINGER_S", 0.05)
+    monkeypatch.setattr(supervision, "LINGER_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(clients, "LINGER_TIMEOUT_S", 0.05)
     monkeypatch.setattr(clients, "SWEEP_INTERVAL_S", 0.02)
 
     async def scenario() -> None:
@@ -540,7 +540,7 @@
         backend = Backend(script)
         async with running(World(backend, sockets=1, connect_ms=60_000.0)) as world:  # eight to backends
             peer = await world.client()
-            for number in range(connections.MAX_PIPELINED + 10):
+            for number in range(connections.MAX_PIPELINED_COMMANDS + 10):
                 peer.send(*request(b"r%d" % number, name=b"wipe", wait=60_000, body=b"x"))
             await until(lambda: len(backend.got) == 8)
             peer.writer.close()
@@ -575,9 +575,9 @@
     server = clients.ClientServer(handler, Budget(256), BufferBudget(2**26), Metrics([]))
     connection = connections.ClientConnection(server)
     connection.connection_made(Wire())
-    commands = [encode(*request(b"r%d" % n)) for n in range(connections.MAX_PIPELINED + 1)]
+    commands = [encode(*request(b"r%d" % n)) for n in range(connections.MAX_PIPELINED_COMMANDS + 1)]
     connection.data_received(b"".join(commands))
-    assert len(taken) == connections.MAX_PIPELINED
+    assert len(taken) == connections.MAX_PIPELINED_COMMANDS
     now[0] += 300.0
     slots[0].answer(b"+OK\r\n")
     assert [command.received_at_ms for command in taken] == [1_000.0] * len(commands)
--- a/tests/clients/test_connections.py
+++ b/tests/clients/test_connections.py
@@ -265,7 +265,7 @@
         return "gone"
     if not connection.idle:
         return "busy"
-    return "idle" if connection.proven else "young"
+    return "idle" if connection.validated else "young"
 
 
 def test_peers_that_say_nothing_displace_each_other_and_no_proven_one() -> None:
@@ -326,7 +326,7 @@
     place = Place()
     connection = place.connect()
     place.ask(connection, name=b"none")
-    assert not connection.proven and connection in place.server.places.young
+    assert not connection.validated and connection in place.server.places.young
     assert state(connection) == "young"
 
 
@@ -342,7 +342,7 @@
         before = {c: state(c) for c in known}
         young = [c for c in place.server.places.young if before[c] == "young"]
         oldest = young[0] if young else None
-        held = {peer: list(place.server.places.proven[peer]) for peer in place.server.places.proven}
+        held = {peer: list(place.server.places.validated[peer]) for peer in place.server.places.validated}
         evicted, crowded = dict(place.figures.evictions), place.handler.crowded
         there = [c for c in known if before[c] != "gone"]
         chosen = there[number % len(there)] if there else None
@@ -372,16 +372,18 @@
             else:
                 assert what == "ask" or (oldest is None and sum(map(len, held.values())) > 6)
                 rivals = [h for h in held.values() if any(before[r] == "idle" for r in h)]
-                assert len(held[c.peer]) == max(map(len, rivals))
-                assert c is next(r for r in held[c.peer] if before[r] == "idle")
+                assert len(held[c.peer_address]) == max(map(len, rivals))
+                assert c is next(r for r in held[c.peer_address] if before[r] == "idle")
         if place.handler.crowded > crowded and chosen is not None:
-            assert chosen.peer in held or sum(map(len, held.values())) >= place.server.places.limit
+            assert chosen.peer_address in held or sum(map(len, held.values())) >= place.server.places.limit
         place.settle()
-        assert place.server.places.live == len(place.server.connections) <= place.server.places.limit + 1
-        assert len(place.server.places.young) <= 2 or place.server.places.live <= 7
+        assert (
+            place.server.places.live_count == len(place.server.connections) <= place.server.places.limit + 1
+        )
+        assert len(place.server.places.young) <= 2 or place.server.places.live_count <= 7
         assert place.budget.in_use[Part.CLIENTS] == len(place.server.connections)
         assert place.server.places.shares.slots_by_holder == {
-            p: len(h) for p, h in place.server.places.proven.items()
+            p: len(h) for p, h in place.server.places.validated.items()
         }
 
 
@@ -428,9 +430,9 @@
     start = 1_000_000.0
 
     def set_back(connection: ClientConnection) -> ClientConnection:
-        connection.last_used_s = connection.receiving.last_bytes_s = start
-        if connection.receiving.owed_since_s is not None:
-            connection.receiving.owed_since_s = start
+        connection.last_used_s = connection.receiving.last_received_s = start
+        if connection.receiving.wait_started_at_s is not None:
+            connection.receiving.wait_started_at_s = start
         return connection
 
     idle, middle, unread = set_back(place.idle()), place.connect(), set_back(place.idle())
@@ -439,20 +441,20 @@
     assert isinstance(unread.transport, Wire)
     unread.transport.left = 50
     for connection, limit, reason in (
-        (idle, supervision.UNUSED_S, EvictionReason.UNUSED),
+        (idle, supervision.UNUSED_TIMEOUT_S, EvictionReason.UNUSED),
         (middle, watchdog.COMMAND_TIMEOUT_S, EvictionReason.OWING),
         (unread, watchdog.UNREAD_TIMEOUT_S, EvictionReason.UNREAD),
     ):
-        supervision.check(connection, start)
-        supervision.check(connection, start + limit - 0.1)
+        supervision.check_connection(connection, start)
+        supervision.check_connection(connection, start + limit - 0.1)
         assert not ended(connection), reason
-        supervision.check(connection, start + limit + 0.1)
+        supervision.check_connection(connection, start + limit + 0.1)
         assert ended(connection) and place.figures.evictions[reason] == 1, reason
     place.settle()
     assert (
         place.budget.in_use[Part.CLIENTS] == 0
         and not place.server.places.shares.slots_by_holder
-        and not place.server.places.proven
+        and not place.server.places.validated
     )
 
 
@@ -461,11 +463,11 @@
     slow = place.idle()
     assert isinstance(slow.transport, Wire)
     at = 1_000_000.0  # whole seconds: of other times, at + 60 - at may come to a little over 60
-    for second in range(int(watchdog.MAX_UNREAD_S) + 1):
+    for second in range(int(watchdog.MAX_UNREAD_DURATION_S) + 1):
         slow.transport.left = 1_000 - second
-        supervision.check(slow, at + second)
+        supervision.check_connection(slow, at + second)
         assert not ended(slow)
-    supervision.check(slow, at + watchdog.MAX_UNREAD_S + 1)
+    supervision.check_connection(slow, at + watchdog.MAX_UNREAD_DURATION_S + 1)
     assert ended(slow) == "abort"
 
 
@@ -474,14 +476,20 @@
     slow = place.connect()
     head = encode(*request(body=b"x" * 100_000))[:400]
     slow.data_received(head)
-    assert slow.body is not None and not slow.idle
-    slow.receiving.last_bytes_s = slow.receiving.stream_started_s + watchdog.MAX_STREAMED_VALUE_S - 1
-    supervision.check(slow, slow.receiving.stream_started_s + watchdog.MAX_STREAMED_VALUE_S - 1)
+    assert slow.streamed_body is not None and not slow.idle
+    slow.receiving.last_received_s = (
+        slow.receiving.stream_started_at_s + watchdog.MAX_STREAMED_VALUE_DURATION_S - 1
+    )
+    supervision.check_connection(
+        slow, slow.receiving.stream_started_at_s + watchdog.MAX_STREAMED_VALUE_DURATION_S - 1
+    )
     assert not ended(slow)
-    slow.receiving.last_bytes_s = (
-        slow.receiving.stream_started_s + watchdog.MAX_STREAMED_VALUE_S + 1
+    slow.receiving.last_received_s = (
+        slow.receiving.stream_started_at_s + watchdog.MAX_STREAMED_VALUE_DURATION_S + 1
     )  # a byte just now
-    supervision.check(slow, slow.receiving.stream_started_s + watchdog.MAX_STREAMED_VALUE_S + 1)
+    supervision.check_connection(
+        slow, slow.receiving.stream_started_at_s + watchdog.MAX_STREAMED_VALUE_DURATION_S + 1
+    )
     assert ended(slow) and place.server.buffer_budget.values == 0
 
 
@@ -492,10 +500,10 @@
     came = slow.last_used_s
     for second in (0, 2):
         slow.data_received(whole[second : second + 1])
-        slow.receiving.last_bytes_s = came + second
-        supervision.check(slow, came + second)
+        slow.receiving.last_received_s = came + second
+        supervision.check_connection(slow, came + second)
         assert not ended(slow)
-    supervision.check(slow, came + watchdog.COMMAND_TIMEOUT_S + 0.1)
+    supervision.check_connection(slow, came + watchdog.COMMAND_TIMEOUT_S + 0.1)
     assert ended(slow) and wrote(slow) == [b"-ERR protocol error\r\n"]
 
 
