--- a/switchline/clients/__init__.py
+++ b/switchline/clients/__init__.py
@@ -1,1 +1,1 @@
-"""The server that clients connect to, and the requests they send."""
+"""The RESP server that clients connect to, and the parsing of their requests."""
--- a/switchline/clients/commands.py
+++ b/switchline/clients/commands.py
@@ -1,8 +1,8 @@
-"""Requests as clients send them: parsing a command, and encoding it for a backend.
+"""Parsing of the requests that clients send, and their encoding for a backend.
 
     API.READ|API.WRITE CUSTOMER REQUEST-ID ATTRIBUTES [VALUE]
 
-Attributes are `name=value` pairs, separated by commas; `d` is the time left, `c` the request class.
+Attributes are `name=value` pairs, separated by commas; `d` is the time left in ms, `c` the request class.
 """
 
 from __future__ import annotations
@@ -16,13 +16,15 @@
 
 IDEMPOTENT_VERB = b"API.READ"
 REQUEST_VERBS = {IDEMPOTENT_VERB, b"API.WRITE"}
-HEAD_ARGUMENTS = 4  # before the value
-TIME_LEFT = b"d"
-REQUEST_CLASS = b"c"
+HEAD_ARGUMENTS = 4  # number of arguments before the value
+TIME_LEFT = b"d"  # name of the attribute
+REQUEST_CLASS = b"c"  # name of the attribute
 CUSTOMER_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
+# Customer ids are hexadecimal numbers below this bound.
 MAX_CUSTOMERS = 2**33
 MAX_ID_LENGTH = 64
-# Python reads more as a number (1_0, +2, nan) than a backend does, which gets these as they arrived.
+# Attributes are forwarded to backends as they arrived. Python accepts more spellings of numbers (1_0, +2,
+# nan) than a backend does, so numbers must match these patterns.
 DECIMAL_PATTERN = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
 INTEGER_PATTERN = re.compile(rb"[0-9]{1,6}")
 NUMERIC_ATTRIBUTE_PATTERNS = {
@@ -35,21 +37,23 @@
 
 @dataclass(slots=True)
 class Command:
-    """A request as it arrived; all but the time left is forwarded unchanged.
+    """A request as it arrived from a client. All of it but the time left is forwarded unchanged.
 
     Attributes:
-        head: encoded verb, customer and id.
-        before_time_left: of the attributes, what precedes the time left.
-        after_time_left: of the attributes, what follows it.
-        encoded_value: encoded, what follows the attributes.
-        argument_count: arguments in all.
-        id: of the request_id.
-        customer: of the request_id.
-        idempotent: whether it arrived as a request that is safe to repeat.
-        attributes: by name.
-        time_left_ms: how long the client waits.
-        received_at_ms: by `now_ms`; it may have waited behind others of its connection since.
-        streamed_body: a long value, whose bytes follow what is encoded here.
+        head: verb, customer and request id, encoded as bulk strings.
+        before_time_left: text of the attributes up to the value of the time left.
+        after_time_left: text of the attributes that follow the time left.
+        encoded_value: the value as a bulk string; only its header if the value is streamed; empty if the
+            request has no value.
+        argument_count: number of arguments, including the verb and the value.
+        id: id of the request, unique among those in flight.
+        customer: id of the customer, in hexadecimal.
+        idempotent: whether the verb was API.READ, for requests that are safe to repeat.
+        attributes: values by attribute name.
+        time_left_ms: how long the client waits for the answer.
+        received_at_ms: time by `now_ms` at which the bytes arrived. The command may have waited since then
+            behind others of its connection.
+        streamed_body: a long value, whose bytes follow those encoded here; None if there is none.
     """
 
     head: bytes
@@ -66,7 +70,12 @@
     streamed_body: StreamedRequestBody | None = None
 
     def encode(self, time_left_ms: int) -> bytes:
-        """Encode the command with the time left that a backend is told."""
+        """Encode the command for a backend.
+
+        Args:
+            time_left_ms: time left for the attempt. The backend receives the lesser of this and the time left
+                that the client sent.
+        """
         forwarded_time_left_ms = min(time_left_ms, math.ceil(self.time_left_ms))
         attributes = b"%b%d%b" % (self.before_time_left, forwarded_time_left_ms, self.after_time_left)
         return b"*%d\r\n%b%b%b" % (
@@ -79,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Attributes:
-    """The attributes of a request, and their text round the time left."""
+    """The attributes of a request, and their text before and after the value of the time left."""
 
     values: dict[bytes, bytes]
     before_time_left: bytes
@@ -96,15 +105,15 @@
     streamed_body: StreamedRequestBody | None = None,
     received_at_ms: float | None = None,
 ) -> Command:
-    """Parse a request_id.
+    """Parse a request.
 
     Args:
-        arguments: of the command.
-        streamed_body: a long value that is still arriving, in index of the last argument.
-        received_at_ms: by `now_ms`, when its bytes arrived; now by default.
+        arguments: the verb and the other arguments of the command.
+        streamed_body: a long value that is still arriving, in place of the last argument.
+        received_at_ms: time by `now_ms` at which the bytes arrived; now by default.
 
     Raises:
-        ValueError: it is not a request; the text says why, for the client.
+        ValueError: the command is not a valid request. The client receives the message.
     """
     if not HEAD_ARGUMENTS <= len(arguments) <= HEAD_ARGUMENTS + 1:
         raise ValueError("wrong number of arguments")
@@ -139,7 +148,11 @@
 
 
 def parse_attributes(attribute_text: bytes) -> Attributes:
-    """Parse `name=value` pairs; raises ValueError if they are malformed, or class or time left missing."""
+    """Parse `name=value` pairs.
+
+    Raises:
+        ValueError: a pair or a number is malformed, or the request class or the time left is missing.
+    """
     values: dict[bytes, bytes] = {}
     before = None
     after = b""
--- a/switchline/clients/connection.py
+++ b/switchline/clients/connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: commands in, answers out in the same order, and its orderly end."""
+"""One client connection: it parses commands, writes answers in their order, and closes gracefully."""
 
 from __future__ import annotations
 
@@ -25,23 +25,27 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PIPELINED_COMMANDS = (
-    32  # commands that may wait for their answers before the connection is read no further
-)
-MAX_UNSENT_BYTES = 128 * 1024  # of answers that a client may leave unread, likewise
-MAX_UNSENT_STREAMED_BYTES = 16 * 1024  # of a long answer; the transport adds what was written last
-MAX_COMMAND_BYTES = 128 * 1024  # a streamed value not counted
-MAX_ARGUMENTS = 16  # a request has five, and the commands of connection set-up few more
+# While this many commands wait for their answers, the connection is read no further.
+MAX_PIPELINED_COMMANDS = 32
+# While more bytes of answers wait in the transport, the connection is read no further.
+MAX_UNSENT_BYTES = 128 * 1024
+# While more bytes of a long answer wait in the transport, no more of it is written. The last piece may exceed
+# this limit.
+MAX_UNSENT_STREAMED_BYTES = 16 * 1024
+MAX_COMMAND_BYTES = 128 * 1024  # without a streamed value
+MAX_ARGUMENTS = 16  # a request has at most five, and the set-up commands of client libraries few more
 READ_BUFFER_BYTES = 64 * 1024
-MAX_DISCARDED_BYTES = 256 * 1024  # that a peer may send after its last answer
+# Bytes that are read and discarded after the last command. A peer that sends more is read no further while
+# answers are due, and disconnected after the last one.
+MAX_DISCARDED_BYTES = 256 * 1024
 
 
 class ConnectionState(IntEnum):
-    """SERVING -> CLOSING -> HALF_CLOSED, and from each of them the connection may be lost.
+    """States of a connection, in the order SERVING, CLOSING, HALF_CLOSED. In each it may be lost.
 
     SERVING: commands are read and answered.
-    CLOSING: no further command is answered; those before still are.
-    HALF_CLOSED: the last answer is written and this side is shut; the peer may read and close.
+    CLOSING: no further command is answered; earlier ones still are.
+    HALF_CLOSED: the last answer and the end of the stream are written; the peer may read them and close.
     """
 
     SERVING = auto()
@@ -50,52 +54,53 @@
 
 
 class ClientConnection(asyncio.BufferedProtocol):
-    """Owns the commands of one client that are read and not answered.
+    """Owns the commands of one client that are read and not yet answered.
 
     Args:
-        server: that the connection belongs to.
+        server: the server that the connection belongs to.
     """
 
     def __init__(self, server: ClientServer) -> None:
         self.server = server
         self.state = ConnectionState.SERVING
         self.transport: asyncio.Transport | None = None
-        self.lost = False  # it has ended, by either side
-        self.peer_address = ""  # its address; connections are shared out among these
-        self.validated = False  # it has sent a proper request
-        self.surplus = False  # it got no place: it is kept only if a request is the first that arrives
+        self.lost = False  # the connection has ended, closed by either side
+        self.peer_address = ""  # places for connections are divided among peers by their addresses
+        self.validated = False  # it has sent a valid request and got a place for it
+        # It got no place when it was opened, and is closed unless what arrives first is a request.
+        self.surplus = False
         self.slots: deque[Slot] = deque()
-        self.streamed_body: StreamedRequestBody | None = None  # a long value that is arriving
-        self.streamed_body_slot: Slot | None = None  # of its command
-        self.last_used_s = time.monotonic()  # a command arrived or an answer was written
+        self.streamed_body: StreamedRequestBody | None = None  # a long value that is still arriving
+        self.streamed_body_slot: Slot | None = None  # slot of the command with that value
+        self.last_used_s = time.monotonic()  # last time a command arrived or an answer was written
         self.receiving = ReceiveWatch(wait_started_at_s=self.last_used_s)
         self.delivery = DeliveryWatch()
-        self.received_at_ms = now_ms()  # when bytes last arrived
+        self.received_at_ms = now_ms()  # time at which bytes last arrived
         self.reading_paused = False
         self.parser = RespParser(MAX_ARGUMENTS, MAX_COMMAND_BYTES, STREAMING_THRESHOLD_BYTES, MAX_VALUE_BYTES)
-        self._has_unparsed_bytes = False  # bytes that may hold a command
+        self._has_unparsed_bytes = False  # bytes were received that may contain a complete command
         self._writing_paused = False
-        self._pumping = False  # guards `pump` against itself
+        self._pumping = False  # `pump` is running; prevents recursion
         self.half_closed_at_s = 0.0
-        self._discarded_bytes = 0  # bytes that arrived after what closes the connection
+        self._discarded_bytes = 0  # received after the last command that is answered
 
     @property
     def guard(self) -> Guard:
-        """Counts violated invariants."""
+        """The guard of the server, which counts violated invariants."""
         return self.server.guard
 
     @property
     def closing(self) -> bool:
-        """Whether no further command is answered."""
+        """Whether the connection answers no further command."""
         return self.state >= ConnectionState.CLOSING
 
     # ---- called by the event loop ----
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """See asyncio.BaseProtocol."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
         self.transport.set_write_buffer_limits(high=MAX_UNSENT_BYTES)
-        # A peer that has reset the connection by now has no address any more.
+        # If the peer has already reset the connection, its address is not available.
         self.peer_address = (self.transport.get_extra_info("peername") or ("",))[0]
         self.server.on_connection_opened(self)
 
@@ -107,7 +112,7 @@
         self._abandon_requests()
 
     def pause_writing(self) -> None:
-        """See asyncio.BaseProtocol. A client that asks and does not read would make us hold its answers."""
+        """See asyncio.BaseProtocol. Reading pauses too: answers to further commands would fill memory."""
         self._writing_paused = True
         self._update_reading()
 
@@ -127,9 +132,9 @@
         self.data_received(self.server.read_buffer[:nbytes])
 
     def data_received(self, data: bytes | memoryview) -> None:
-        """Parse and answer what has arrived."""
+        """Parse the bytes that have arrived, and answer the commands in them."""
         if self.closing:
-            self._discard(len(data))  # nothing more is answered here, and it must not pile up either
+            self._discard(len(data))  # no further command is answered, and the bytes must not fill memory
             return
         self.received_at_ms = now_ms()
         self.parser.feed(data)
@@ -139,7 +144,10 @@
     # ---- commands in, answers out ----
 
     def pump(self) -> None:
-        """Take commands and write answers, as far as both go; answers given at once are written together."""
+        """Process received commands and write answers that are due, until neither is possible.
+
+        Answers that are available at the same time are written together.
+        """
         if self._pumping:
             return
         self._pumping = True
@@ -157,7 +165,7 @@
         self._update_reading()
 
     def closes_for_drain(self) -> bool:
-        """Whether a drain ends this connection: not while a request is arriving."""
+        """Whether a drain closes this connection now: it does not while a request is arriving."""
         return self.server.closing_connections and not self.parser.has_partial_value()
 
     def _is_blocked(self) -> bool:
@@ -189,19 +197,19 @@
             self.receiving.record_partial_command(time.monotonic())
 
     def _begin_streamed_request(self, streamed_string: StreamedStringStarted) -> None:
-        """Decide on a request by its head, as its value is too long to be collected."""
+        """Dispatch a request whose value is too long to be collected, before the value has arrived."""
         if streamed_string.missing != 1 or not begins_request(streamed_string.items):
-            raise ProtocolError("value too long")
+            raise ProtocolError("long value that is not the last argument of a request")
         self.receiving.record_stream_start(time.monotonic())
         self.streamed_body = StreamedRequestBody(self.server.buffer_budget, streamed_string.length)
         self.streamed_body.on_capacity = self.pump
         body = self.streamed_body
         slot = self.streamed_body_slot = dispatch(self, [*streamed_string.items, b""], body)
         if slot is None or slot.request_id is None:
-            body.drop()  # it has its answer; what still arrives of it is discarded
+            body.drop()  # the request has its answer already; the rest of its value is discarded
 
     def _receive_streamed(self, body: StreamedRequestBody) -> bool:
-        """Take a piece of a streamed value; return whether something arrived."""
+        """Pass one piece of a streamed value on; return False if no bytes of it have arrived."""
         if piece := self.parser.read_streamed(READ_BUFFER_BYTES):
             self.receiving.last_received_s = time.monotonic()
             body.feed(piece)
@@ -216,7 +224,7 @@
         return True
 
     def begin_streaming(self) -> None:
-        """Note that a long answer begins: from now on little of it may wait here."""
+        """Prepare for a long answer: from now on only a few bytes may wait in the transport."""
         if self.transport is not None:
             self.transport.set_write_buffer_limits(high=MAX_UNSENT_STREAMED_BYTES)
         self.pump()
@@ -234,7 +242,7 @@
             self.server.places.record_use(self)
 
     def _collect_answer(self, slot: Slot, ready: list[bytes]) -> bool:
-        """Add what may be written of an answer; return whether it is complete."""
+        """Add the bytes of an answer that may be written to `ready`; return whether all are added."""
         if slot.response is None:
             if slot.reply is None:
                 return False
@@ -250,7 +258,7 @@
         return True
 
     def _update_reading(self) -> None:
-        """Pause or resume reading. After the last command it reads on, to discard what arrives."""
+        """Pause or resume reading. After the last command reading goes on, to discard further bytes."""
         if self.transport is None or self.transport.is_closing():
             return
         pause = self._discarded_bytes > MAX_DISCARDED_BYTES if self.closing else self._is_blocked()
@@ -265,9 +273,12 @@
     # ---- errors of the peer ----
 
     def fail_protocol(self, reason: str) -> None:
-        """Answer with an error and close: what follows can't be told from the rest of a command.
+        """Answer with an error and close, as the beginning of the next command can't be found.
 
         Earlier requests still get their answers.
+
+        Args:
+            reason: what broke the protocol, for the log.
         """
         self.begin_closing()
         slot = self._abandon_body() if self.streamed_body is not None else Slot(self)
@@ -279,7 +290,7 @@
         log.warning("client broke the protocol: %s", " ".join(reason.split()))
 
     def _abandon_body(self) -> Slot | None:
-        """Let go of a command whose value does not arrive; return its slot if it is still owed an answer."""
+        """Abandon a command whose value does not arrive; return its slot if it has no answer yet."""
         body = self.streamed_body
         slot = self.streamed_body_slot
         self.streamed_body = None
@@ -296,26 +307,31 @@
     # ---- the end ----
 
     def begin_closing(self) -> None:
-        """Answer no further command."""
+        """Answer no further command; earlier ones still get their answers."""
         self.state = max(self.state, ConnectionState.CLOSING)
 
     def close(self) -> None:
-        """End this connection: the one place where this side does so between answers.
+        """Close this connection. All closes by this side between answers go through here.
 
-        A request that is open here would be lost with it, so then it stays open.
+        With a request in flight the connection stays open, as the answer would be lost; this is counted as a
+        violated invariant.
         """
         if self.transport is None or self.transport.is_closing():
             return
         open_requests = [slot.request_id for slot in self.slots if slot.request_id is not None]
         if open_requests:
-            self.guard.violated(Invariant.NO_UNANSWERED_CLOSE, f"open: {', '.join(open_requests)}")
+            self.guard.violated(
+                Invariant.NO_UNANSWERED_CLOSE,
+                f"close refused with requests in flight: {', '.join(open_requests)}",
+            )
             return
         self.transport.close()
 
     def close_gracefully(self) -> None:
-        """Write what is due, end this side, and close once the peer has read that and closed as well.
+        """Half-close the connection after its last answer, and close it once the peer has closed too.
 
-        A close over unread bytes resets the connection, which discards what the peer has not read yet.
+        Closing a socket with unread bytes resets the connection, and the peer loses the answers that it has
+        not read yet. Without time or place to linger the connection is closed at once.
         """
         self.begin_closing()
         if self.transport is None or self.transport.is_closing():
@@ -332,7 +348,11 @@
         self.transport.write_eof()
 
     def _discard(self, length: int) -> None:
-        """Read on, so that the peer's close is seen and unread bytes don't reset what it is still to read."""
+        """Discard bytes that arrive after the last command, up to a limit.
+
+        Reading goes on so that the close by the peer is noticed, and so that no unread bytes are left. They
+        would reset the connection before the peer has read its answers.
+        """
         self._discarded_bytes += length
         if self._discarded_bytes <= MAX_DISCARDED_BYTES or self.transport is None:
             return
@@ -342,7 +362,7 @@
             self._update_reading()
 
     def _abandon_requests(self) -> None:
-        """Note that nobody waits for answers here any more."""
+        """Abandon all requests of this connection, as no client waits for the answers."""
         slots = self.slots
         self.slots = deque()
         body = self.streamed_body
@@ -354,12 +374,13 @@
             if slot.request_id is not None:
                 self.server.handler.on_client_gone(slot.request_id)
 
-    # ---- what the socket says ----
+    # ---- state of the socket ----
 
     def detect_client_close(self) -> bool:
-        """Whether the client has gone; what it asked for ends then, before its close has been read.
+        """Return whether the client has closed its connection; if so, abandon its requests.
 
-        While reading is paused a close would go unnoticed, and else until the event loop's next turn.
+        This asks the socket, because a close goes unnoticed while reading is paused, and otherwise until the
+        next turn of the event loop.
         """
         if self.lost or (self.transport is not None and self.transport.is_closing()):
             return True
@@ -371,11 +392,16 @@
 
     @property
     def has_unread_bytes(self) -> bool:
-        """Whether something has arrived that this process has yet to read."""
+        """Whether the socket has received bytes that this process has not read yet."""
         return self._query_socket(has_unread_bytes, if_unavailable=True)
 
     def _query_socket(self, query: Callable[[int], bool], if_unavailable: bool) -> bool:
-        """Ask the system about the socket; `if_unavailable` where it does not even give the socket."""
+        """Query the system about the socket.
+
+        Args:
+            query: takes the file descriptor.
+            if_unavailable: returned if the system can't provide the socket, for lack of a descriptor.
+        """
         if self.transport is None:
             return False
         try:
@@ -386,7 +412,10 @@
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is open on it, partly read or still to be written: it may be closed at any time."""
+        """Whether no request is in flight, no command partly read and no answer unwritten.
+
+        An idle connection may be closed at any time.
+        """
         if self.transport is None or self.transport.is_closing() or self.closing:
             return False
         receiving = (
@@ -396,5 +425,5 @@
 
     @property
     def may_be_evicted(self) -> bool:
-        """Whether it is idle, and nothing has arrived that this process has yet to read."""
+        """Whether the connection is idle, and the socket has no bytes that this process has not read yet."""
         return self.idle and not self.has_unread_bytes
--- a/switchline/clients/dispatch.py
+++ b/switchline/clients/dispatch.py
@@ -1,4 +1,4 @@
-"""Commands of clients: requests go to the handler, those of connection set-up are answered here."""
+"""Dispatch of client commands: requests go to the handler, all other commands are answered here."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 
 log = logging.getLogger(__name__)
 
-SETUP_VERBS = {b"CLIENT", b"SELECT"}  # of client libraries; answered and otherwise ignored
+# Client libraries send these when they connect. They are answered with +OK and have no other effect.
+SETUP_VERBS = {b"CLIENT", b"SELECT"}
 OK = b"+OK\r\n"
 PONG = b"+PONG\r\n"
 DRAINING_ERROR = b"-ERR draining\r\n"
@@ -25,15 +26,15 @@
 def dispatch(
     connection: ClientConnection, value: Value, body: StreamedRequestBody | None = None
 ) -> Slot | None:
-    """Answer a command, or hand it to the handler if it is a request.
+    """Answer one parsed command, or pass it to the request handler if it is a request.
 
     Args:
-        connection: on which it arrived.
-        value: as parsed.
-        body: a long value that is still arriving, the last argument.
+        connection: the connection on which the command arrived.
+        value: the RESP value, as parsed.
+        body: the last argument, if it is a long value that is still arriving.
 
     Returns:
-        The command's slot; None if it is no command.
+        The slot of the command; None if the value is not a command, which is a protocol error.
     """
     if not is_command(value):
         connection.fail_protocol("not an array of bulk strings")
@@ -81,11 +82,12 @@
 def _reject_command(
     connection: ClientConnection, slot: Slot, reason: str, wait_started_at_s: float | None
 ) -> None:
-    """Answer what is no proper request.
+    """Answer an invalid request or an unknown command with an error.
 
-    It buys the peer no time: a peer that has sent nothing better since `wait_started_at_s` is closed.
+    Such a command does not restart the command timeout: a peer that has sent nothing valid since
+    `wait_started_at_s` (monotonic seconds) is disconnected when the timeout has passed.
     """
-    log.warning("client sent what is no request: %s", reason)
+    log.warning("client sent an invalid command: %s", reason)
     connection.receiving.wait_started_at_s = (
         time.monotonic() if wait_started_at_s is None else wait_started_at_s
     )
@@ -93,15 +95,15 @@
 
 
 def is_command(value: Value) -> TypeGuard[list[bytes]]:
-    """Whether a value is an array of bulk strings, and not empty."""
+    """Whether a value is a non-empty array of bulk strings."""
     return isinstance(value, list) and bool(value) and all(isinstance(item, bytes) for item in value)
 
 
 def begins_request(items: list[Item]) -> bool:
-    """Whether the items before a long value are the arguments of a request."""
+    """Whether the array items that precede a long value begin with the verb of a request."""
     return is_command(items) and items[0].upper() in REQUEST_VERBS
 
 
 def is_request_head(items: list[Item]) -> bool:
-    """Whether items are just the arguments of a request that go before its value."""
+    """Whether the items are exactly the arguments that precede the value of a request."""
     return len(items) == HEAD_ARGUMENTS and items[0] in REQUEST_VERBS
--- a/switchline/clients/places.py
+++ b/switchline/clients/places.py
@@ -1,9 +1,10 @@
-"""Which client connections may stay when descriptors are short, and which gives way.
+"""Places for client connections in the descriptor budget, and eviction when places are scarce.
 
-A connection is young until its peer has sent a proper request, then it is proven. The descriptor budget's
-part for clients is shared out under pressure alone: most places may be proven connections of any peer, the
-rest is for young ones and for peers that hold little. Who gives way: the oldest young one, then the longest
-idle one of the peer that holds most; never one with a request open or partly read.
+A connection is young until its peer has sent a valid request; from then on it is validated. The places for
+clients are divided only when few are free: most of them may go to validated connections of any peer, and
+the rest is for young connections and for peers with few connections. The oldest young connection is evicted
+first, then the longest idle one of the peer that has most. A connection with a request in flight or partly
+read is never evicted.
 """
 
 from __future__ import annotations
@@ -20,15 +21,16 @@
 
 log = logging.getLogger(__name__)
 
-# Closed without a wait: descriptors are wanted, or the last answer was read long ago.
+# Evicted for these reasons, a connection is closed without lingering: its descriptor is needed at once, or
+# its last answer was read long ago.
 CLOSED_AT_ONCE = {EvictionReason.YOUNG, EvictionReason.IDLE, EvictionReason.UNUSED}
 
 
 class ConnectionPlaces:
-    """Owns which connections are young and which are proven.
+    """Owns the sets of young and of validated connections.
 
     Args:
-        budget: of descriptors.
+        budget: the descriptor budget, which limits the number of connections.
         metrics: counts evictions.
     """
 
@@ -36,45 +38,58 @@
         self.budget = budget
         self.metrics = metrics
         self.young: dict[ClientConnection, None] = {}  # the oldest first
-        self.validated: dict[str, dict[ClientConnection, None]] = {}  # by peer, the longest unused first
-        self.shares = FairShares(0)  # of proven connections, among peers
+        self.validated: dict[
+            str, dict[ClientConnection, None]
+        ] = {}  # by peer address, the longest unused first
+        self.shares = FairShares(0)  # divides validated connections among peers
         self._update_limits()
         budget.relief_callbacks.append(self.make_room)
 
     @property
     def limit(self) -> int:
-        """How many connections there may be."""
+        """Maximum number of client connections."""
         return self.budget.limit_of(Part.CLIENTS)
 
     @property
     def young_limit(self) -> int:
-        """How many of them may be young under pressure."""
+        """Maximum number of young connections when places are scarce."""
         return max(1, int(self.limit * self.budget.shares.young))
 
     @property
     def live_count(self) -> int:
-        """Connections that are not about to be closed here."""
+        """Number of connections that are not being closed by this side."""
         return len(self.young) + self.shares.slots_in_use
 
     def _update_limits(self) -> None:
-        """Let proven connections have all places but the young ones' before they are shared out."""
+        """Take the limits over from the budget.
+
+        Places of validated connections are divided among peers only once all places but those for young
+        connections are in use.
+        """
         self.shares.limit = self.limit
         self.shares.pressure_threshold = self.limit - self.young_limit
 
     def add(self, connection: ClientConnection) -> None:
-        """Give a newcomer a place, or mark it as surplus. Once places are few, young ones have a bound."""
+        """Give a new connection a place, or mark it as surplus.
+
+        Once places are scarce, the number of young connections is limited too.
+        """
         self.young[connection] = None
         limit = self.limit
         young_limit = self.young_limit
         has_too_many_young = self.live_count > limit - young_limit and len(self.young) > young_limit
         if self.live_count > limit or has_too_many_young:
-            # Proven ones give way only for what they hold of the young ones' places.
+            # Validated connections are evicted only while they use places meant for young ones.
             may_evict_idle = self.shares.slots_in_use > limit - young_limit
             evicted = self.evict_young(connection) or (may_evict_idle and self.evict_idle())
             connection.surplus = not evicted
 
     def promote(self, connection: ClientConnection) -> bool:
-        """Give a connection that has sent a proper request a lasting place; return whether it got one."""
+        """Give a connection that has sent a valid request a place as a validated one.
+
+        Returns:
+            Whether it got a place; else it stays young.
+        """
         self._update_limits()
         held_count = self.shares.slots_by_holder.get(connection.peer_address, 0)
         if not self.shares.admits(connection.peer_address) and not self.evict_idle(
@@ -88,14 +103,14 @@
         return True
 
     def record_use(self, connection: ClientConnection) -> None:
-        """Note that an answer was written: it is the last used one of its peer."""
+        """Record that an answer was written: the connection is now the most recently used of its peer."""
         peer_connections = self.validated.get(connection.peer_address)
         if peer_connections and connection in peer_connections:
             del peer_connections[connection]
             peer_connections[connection] = None
 
     def remove(self, connection: ClientConnection) -> None:
-        """Free its place. Its descriptor is free once the transport has closed it."""
+        """Free the place of a connection. Its descriptor is freed once the transport has closed it."""
         self.young.pop(connection, None)
         peer_connections = self.validated.get(connection.peer_address)
         if peer_connections and connection in peer_connections:
@@ -107,14 +122,18 @@
     # ---- eviction ----
 
     def make_room(self, wanted_count: int) -> int:
-        """Close up to `wanted` connections that nobody uses; return how many."""
+        """Close up to `wanted_count` young or idle connections; return how many were closed."""
         closed = 0
         while closed < wanted_count and (self.evict_young() or self.evict_idle()):
             closed += 1
         return closed
 
     def evict_young(self, newcomer: ClientConnection | None = None) -> bool:
-        """Close the oldest young connection that may be, other than the newcomer; return whether one was."""
+        """Close the oldest young connection that may be evicted, other than `newcomer`.
+
+        Returns:
+            Whether a connection was closed.
+        """
         candidates = (
             connection
             for connection in self.young
@@ -126,13 +145,13 @@
         return oldest is not None
 
     def evict_idle(self, min_connections: int = 0) -> bool:
-        """Close the longest idle connection of the peer that holds most, of those that hold an idle one.
+        """Close the longest idle connection of the peer with most connections, of those with an idle one.
 
         Args:
-            min_connections: a peer with fewer connections gives none up.
+            min_connections: peers with fewer connections are skipped.
 
         Returns:
-            Whether one was closed.
+            Whether a connection was closed.
         """
         for peer_connections in sorted(self.validated.values(), key=len, reverse=True):
             if len(peer_connections) < min_connections:
@@ -146,14 +165,14 @@
         return False
 
     def evict(self, connection: ClientConnection, reason: EvictionReason) -> None:
-        """Close a connection and count the reason."""
+        """Close a connection and count the eviction by its reason."""
         self.metrics.evictions[reason] += 1
-        log.info("connection of %s is closed: %s", connection.peer_address, reason.value)
+        log.info("client connection from %s is evicted, reason: %s", connection.peer_address, reason.value)
         self.remove(connection)
         if reason is EvictionReason.UNREAD:
             connection.begin_closing()
             if connection.transport is not None:
-                connection.transport.abort()  # it reads nothing: no answer can reach it, whatever is open
+                connection.transport.abort()  # it reads nothing, so no pending answer can reach it
         elif reason in CLOSED_AT_ONCE:
             connection.begin_closing()
             connection.close()
@@ -161,7 +180,7 @@
             connection.close_gracefully()
 
     def gauges(self) -> dict[str, int]:
-        """Metrics for operators."""
+        """Number of connections by state, as metrics for operators."""
         in_use = sum(
             not connection.idle
             for peer_connections in self.validated.values()
--- a/switchline/clients/server.py
+++ b/switchline/clients/server.py
@@ -1,4 +1,4 @@
-"""The RESP server that clients connect to: accepting, drain, and the hand-over in an upgrade."""
+"""The RESP server that clients connect to: it accepts, drains, and hands over in an upgrade."""
 
 from __future__ import annotations
 
@@ -18,42 +18,43 @@
 from switchline.net.streams import BufferBudget
 from switchline.operators.metrics import Metrics
 
-BACKLOG = 200  # connections that may wait to be accepted
+BACKLOG = 200  # listen backlog: connections that may wait to be accepted
 SWEEP_INTERVAL_S = 0.25
-MAX_HALF_CLOSED = 16  # half-closed connections at once, where places are wanted
-HAND_OVER_IDLE_DELAY_S = (
-    0.5  # after a hand-over most connections close with an answer; idle ones from then on
-)
+# Half-closed connections keep their descriptors. Except while all connections are being closed, at most this
+# many may do so at once.
+MAX_HALF_CLOSED = 16
+# After a hand-over connections close with their next answers. Idle ones are closed after this delay.
+HAND_OVER_IDLE_DELAY_S = 0.5
 
 
 class RequestHandler(Protocol):
-    """What requests are handed to."""
+    """Receives the requests of all clients, and the events that concern them."""
 
     def check(self, command: Command) -> None:
-        """Raise ValueError, with the reason, for a request that the settings know nothing of."""
+        """Raise ValueError, with the reason, for a request that does not match the settings."""
 
     def on_command(self, command: Command, slot: Slot) -> None:
-        """Take a request. Raises ValueError as `check` does."""
+        """Process a request and answer it through its slot. Raises ValueError as `check` does."""
 
     def on_no_place(self, command: Command, slot: Slot) -> None:
-        """Reject a proper request, as its connection gets no place."""
+        """Reject a valid request because there is no place for its connection."""
 
-    def on_body_received(self, request: str) -> None:
-        """Note that the last byte of a request with a long value has arrived."""
+    def on_body_received(self, request_id: str) -> None:
+        """Process the arrival of the last byte of a request with a streamed value."""
 
-    def on_client_gone(self, request: str) -> None:
-        """Note that nobody waits for the answer any more."""
+    def on_client_gone(self, request_id: str) -> None:
+        """Abandon a request in flight: its client has closed the connection."""
 
 
 class ClientServer:
-    """Owns the connections of clients, and whether it takes clients.
+    """Owns the connections of clients, and whether the gateway accepts new ones.
 
     Args:
-        handler: takes requests.
-        budget: of descriptors.
-        buffer_budget: of long values.
+        handler: receives the requests.
+        budget: the descriptor budget.
+        buffer_budget: limits the memory of streamed values.
         metrics: counts evictions.
-        guard: contains faults; one of its own by default.
+        guard: contains faults and counts violated invariants; a new one by default.
     """
 
     def __init__(
@@ -69,61 +70,63 @@
         self.buffer_budget = buffer_budget
         self.metrics = metrics
         self.guard = guard or Guard()
-        self.read_buffer = memoryview(bytearray(READ_BUFFER_BYTES))  # of all; taken before the next read
+        self.read_buffer = memoryview(bytearray(READ_BUFFER_BYTES))  # shared: each read is parsed at once
         self.connections: set[ClientConnection] = set()
         self.places = ConnectionPlaces(budget, metrics)
-        self.empty = asyncio.Event()  # there is no connection
+        self.empty = asyncio.Event()  # set while there is no connection
         self.empty.set()
-        self.draining = False  # PING is answered with an error
-        self.closing_connections = False  # connections are closed after their answers
-        self.shutting_down = False  # a drain that is not undone
-        self.handed_over = False  # another process takes the clients
-        self.idle_close_starts_at_s = 0.0  # while connections are being closed, idle ones are from then on
+        self.draining = False  # PING is answered with an error, except after a hand-over
+        self.closing_connections = False  # connections are closed after their next answers
+        self.shutting_down = False  # the drain is final, as the process will end
+        self.handed_over = False  # the peer process of an upgrade accepts clients
+        # While connections are being closed, idle ones are closed from this monotonic time on.
+        self.idle_close_starts_at_s = 0.0
         self._half_closed_connections: set[ClientConnection] = set()
         self._acceptor: Acceptor | None = None
-        self._drain_timer: asyncio.TimerHandle | None = None  # until the front has noticed a drain
+        # Runs while the load balancers before this gateway may not have noticed a drain yet.
+        self._drain_timer: asyncio.TimerHandle | None = None
         self._sweep_timer: asyncio.TimerHandle | None = None
 
     # ---- accepting ----
 
     def listen(self, listener: socket.socket) -> int:
-        """Start to accept; return the port."""
+        """Start to accept connections on a listening socket; return its port."""
         self._acceptor = Acceptor(listener, lambda: ClientConnection(self), self.budget)
         self.sweep()
         return self._acceptor.port
 
     @property
     def takes_clients(self) -> bool:
-        """Whether this process accepts clients and is not draining."""
+        """Whether this process accepts new clients and is not draining."""
         return self._acceptor is not None and self._acceptor.accepting and not self.draining
 
     @property
     def ping_succeeds(self) -> bool:
-        """Whether the gateway takes clients, also while its next process does so."""
+        """Whether PING gets a success answer: the gateway accepts clients, here or in its next process."""
         return self.handed_over or not self.draining
 
     @property
     def has_connections(self) -> bool:
-        """Whether a connection is open, or accepted and being opened."""
+        """Whether any connection is open, or is accepted and being opened."""
         opening = self._acceptor is not None and bool(self._acceptor.opening)
         return bool(self.connections) or opening
 
     def stop_accepting(self) -> None:
-        """Take what has arrived so far, and nothing after that."""
+        """Accept the connections that already wait in the backlog, then close the listening socket."""
         if self._acceptor is not None:
             if not self.handed_over:
                 self._acceptor.accept_backlog()
             self._acceptor.close()
 
     async def wait_until_empty(self) -> None:
-        """Wait until no connection is left, nor one that was accepted and is being opened."""
+        """Wait until no connection is open, and none is accepted and being opened."""
         while self.has_connections:
             if self._acceptor is not None and self._acceptor.opening:
                 await asyncio.wait(list(self._acceptor.opening))
             await self.empty.wait()
 
     def close(self) -> None:
-        """Stop accepting and supervising."""
+        """Stop accepting connections and checking them."""
         for timer in (self._sweep_timer, self._drain_timer):
             if timer is not None:
                 timer.cancel()
@@ -132,30 +135,37 @@
     # ---- connections ----
 
     def on_connection_opened(self, connection: ClientConnection) -> None:
-        """Count a new connection and give it a place."""
+        """Count the descriptor of a new connection and give the connection a place."""
         self.budget.acquire(Part.CLIENTS)
         self.connections.add(connection)
         self.empty.clear()
         self.places.add(connection)
 
     def promote(self, connection: ClientConnection, command: Command) -> bool:
-        """Whether a connection's first proper request gets it a place. Raises ValueError if it is none."""
+        """Give a connection a place as a validated one, if its first request is valid.
+
+        Returns:
+            Whether it got a place.
+
+        Raises:
+            ValueError: the request is not valid, as `RequestHandler.check` reports it.
+        """
         self.handler.check(command)
         return self.places.promote(connection)
 
     def may_linger(self, connection: ClientConnection) -> bool:
-        """Whether it may keep its descriptor for a moment: there is something that the peer may yet read."""
+        """Whether a connection may stay half-closed for LINGER_TIMEOUT_S: its peer may still be reading."""
         if time.monotonic() - connection.last_used_s > LINGER_TIMEOUT_S:
             return False
         return self.closing_connections or len(self._half_closed_connections) < MAX_HALF_CLOSED
 
     def on_half_closed(self, connection: ClientConnection) -> None:
-        """Free its place, though its descriptor is not free yet."""
+        """Free the place of a half-closed connection, whose descriptor stays in use until it is closed."""
         self.places.remove(connection)
         self._half_closed_connections.add(connection)
 
     def on_connection_lost(self, connection: ClientConnection) -> None:
-        """Free the descriptor of a connection that is lost."""
+        """Free the place and the descriptor of a connection that has ended."""
         self.places.remove(connection)
         self.budget.release(Part.CLIENTS)
         self.connections.discard(connection)
@@ -164,12 +174,12 @@
             self.empty.set()
 
     def sweep(self) -> None:
-        """Supervise all connections, again and again."""
+        """Check all connections, keep their number within the budget, and schedule the next sweep."""
         self._sweep_timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self.sweep)
         now_s = time.monotonic()
         for connection in list(self.connections):
             self.guard.call("a client's connection", check_connection, connection, now_s)
-        # The budget may have shrunk: by SIGHUP, or by what the other process of an upgrade holds.
+        # The budget may have shrunk: by SIGHUP, or by the descriptors of the peer process of an upgrade.
         self.places.make_room(self.places.live_count - self.places.limit)
         self.budget.keep_reserve()
 
@@ -180,12 +190,12 @@
     # ---- drain and hand-over ----
 
     def drain(self, notice_s: float) -> None:
-        """Send clients away: PING is answered with an error, and after a notice connections are closed.
+        """Begin to drain: PING is answered with an error, and after `notice_s` connections are closed.
 
-        Whoever still connects is accepted and answered, as the front needs a moment to notice.
+        New connections are still accepted and answered, as load balancers need a moment to notice the drain.
 
         Args:
-            notice_s: until connections are closed after their answers.
+            notice_s: time until connections begin to be closed after their answers.
         """
         if not self.draining:
             self.draining = True
@@ -196,19 +206,23 @@
         self.closing_connections = True
 
     def undo_drain(self) -> None:
-        """Take clients again; undoes `drain` wherever it has got to."""
+        """Undo `drain` at any of its stages: accept clients again and keep their connections."""
         self.draining = False
         self.closing_connections = self.handed_over
         if self._drain_timer is not None:
             self._drain_timer.cancel()
 
     def shut_down(self, notice_s: float) -> None:
-        """Send clients away for good."""
+        """Drain without a return, before the process ends.
+
+        Args:
+            notice_s: time until connections begin to be closed after their answers.
+        """
         self.shutting_down = True
         self.drain(notice_s)
 
     def hand_over(self) -> None:
-        """Let another process of this gateway accept; connections here end after their next answers."""
+        """Let the peer process of an upgrade accept; connections here are closed after their next answers."""
         self.handed_over = True
         self.closing_connections = True
         self.idle_close_starts_at_s = time.monotonic() + HAND_OVER_IDLE_DELAY_S
@@ -216,7 +230,7 @@
             self._acceptor.pause()
 
     def undo_hand_over(self) -> None:
-        """Accept again: the other process has ended."""
+        """Accept again, after the peer process of an upgrade has ended."""
         self.handed_over = False
         if not self.draining:
             self.closing_connections = False
--- a/switchline/clients/slot.py
+++ b/switchline/clients/slot.py
@@ -1,4 +1,4 @@
-"""The place of one command among the answers of its connection."""
+"""The slot that holds the answer of one command until it can be written in order."""
 
 from __future__ import annotations
 
@@ -13,47 +13,59 @@
 
 
 class Slot:
-    """Holds the answer of one command until those before it are written (commands may be pipelined).
+    """Holds the answer of one command until the answers of earlier commands are written.
+
+    Commands may be pipelined, and a client gets its answers in the order of its commands.
 
     Args:
-        connection: on which the command arrived.
+        connection: the connection on which the command arrived.
     """
 
     __slots__ = ("answered", "connection", "on_written", "reply", "request_id", "response")
 
     def __init__(self, connection: ClientConnection) -> None:
         self.connection = connection
-        self.request_id: str | None = None  # the id of a request that is still open
+        self.request_id: str | None = None  # set while the command is a request in flight
         self.answered = False
         self.reply: bytes | None = None
-        self.response: StreamedResponse | None = None  # a long answer that is written as it arrives
-        self.on_written: Callable[[], None] | None = None  # called when all of it has been written
+        self.response: StreamedResponse | None = None  # a long answer, written as its bytes arrive
+        self.on_written: Callable[[], None] | None = (
+            None  # called after the last byte of `response` is written
+        )
 
     def answer(self, reply: bytes) -> None:
-        """Give the final answer; a second one is not sent."""
+        """Set the final answer. A second answer is not sent; it is counted as a violated invariant."""
         if not self.answered:
             self.answered = True
             self.reply = reply
             self.request_id = None
             self.connection.pump()
         elif self.reply is not None or self.response is not None:
-            self.connection.guard.violated(Invariant.ONE_ANSWER, f"a second answer: {reply[:40]!r}")
+            self.connection.guard.violated(
+                Invariant.ONE_ANSWER, f"second answer to one command: {reply[:40]!r}"
+            )
 
     def stream_response(self, response: StreamedResponse, on_written: Callable[[], None]) -> None:
-        """Give a long answer whose bytes are still arriving."""
+        """Set a long answer whose bytes are still arriving.
+
+        Args:
+            response: the answer, written to the client as its bytes arrive.
+            on_written: called after its last byte is written.
+        """
         self.answered = True
         self.response = response
         self.on_written = on_written
         self.connection.begin_streaming()
 
     def abort_stream(self, reply: bytes) -> None:
-        """Give up a long answer that can't be finished, so that the client can tell.
+        """Abandon a long answer that can't be completed, in a way that the client can detect.
 
         Args:
-            reply: sent in its place if none of it has been written; else the connection is closed.
+            reply: sent in its place if none of the long answer has been written. Otherwise the connection is
+                closed.
         """
         self.request_id = None
-        if self.response is not None and not self.response.started:  # it waits behind another's
+        if self.response is not None and not self.response.started:  # an earlier answer is still due
             self.response = None
             self.reply = reply
             self.connection.pump()
--- a/switchline/clients/supervision.py
+++ b/switchline/clients/supervision.py
@@ -1,4 +1,4 @@
-"""What is done about a connection whose peer has left something hanging."""
+"""Periodic check of client connections: those whose peers stop sending, reading or closing are ended."""
 
 from __future__ import annotations
 
@@ -10,32 +10,33 @@
 
 log = logging.getLogger(__name__)
 
-LINGER_TIMEOUT_S = (
-    0.5  # after the last answer, for the peer to read it and to close: a reset would discard it
-)
-DRAIN_IDLE_TIMEOUT_S = 0.25  # on a drain, a connection on which nothing arrives for this long is closed
-UNUSED_TIMEOUT_S = 60.0  # a connection without a command for this long is closed; clients open another
+# Time that a peer gets after the last answer to read it and to close: a reset would discard the answer.
+LINGER_TIMEOUT_S = 0.5
+# During a drain, a connection on which nothing arrives for this long is closed.
+DRAIN_IDLE_TIMEOUT_S = 0.25
+# A connection without a command for this long is closed. Clients open another when they need one.
+UNUSED_TIMEOUT_S = 60.0
 
 
 def check_connection(connection: ClientConnection, now_s: float) -> None:
-    """End what a peer has left hanging, so that it holds neither memory nor a descriptor for ever.
+    """End a connection whose peer has exceeded a timeout, so that its memory and descriptor are freed.
 
     Args:
-        connection: to look at.
-        now_s: monotonic seconds.
+        connection: the connection to check.
+        now_s: current time, in monotonic seconds.
     """
     if connection.transport is None:
         return
     unsent_bytes = connection.transport.get_write_buffer_size()
     if connection.delivery.has_timed_out(now_s, unsent_bytes, is_streaming(connection)):
         unread_s = now_s - connection.delivery.unread_started_at_s
-        log.warning("client left its answers unread for %.0f s", unread_s)
+        log.warning("client has not read its answers for %.0f s; its connection is aborted", unread_s)
         connection.server.places.evict(connection, EvictionReason.UNREAD)
     elif connection.state is ConnectionState.HALF_CLOSED:
         if now_s - connection.half_closed_at_s > LINGER_TIMEOUT_S and not unsent_bytes:
             connection.close()
     elif connection.closing or connection.reading_paused:
-        return  # its answers are due first, and it is read no further until then
+        return  # its answers are due first, and nothing more is read from it until then
     elif has_receive_timed_out(connection, now_s):
         connection.server.metrics.evictions[EvictionReason.OWING] += 1
         connection.fail_protocol("no whole command in time")
@@ -45,7 +46,7 @@
 
 
 def close_if_unused(connection: ClientConnection, now_s: float) -> None:
-    """Close a connection that nobody has used for long; on a drain much sooner."""
+    """Close a connection that has been unused for too long; the timeout is much shorter during a drain."""
     draining = connection.closes_for_drain() and now_s > connection.server.idle_close_starts_at_s
     timeout_s = DRAIN_IDLE_TIMEOUT_S if draining else UNUSED_TIMEOUT_S
     if now_s - connection.last_used_s > timeout_s and not connection.has_unread_bytes:
@@ -54,12 +55,12 @@
 
 
 def is_streaming(connection: ClientConnection) -> bool:
-    """Whether a long answer is on its way: it may take as long as its bytes move."""
+    """Whether a long answer is being written: it may take any time as long as its bytes move."""
     return bool(connection.slots) and connection.slots[0].response is not None
 
 
 def has_receive_timed_out(connection: ClientConnection, now_s: float) -> bool:
-    """Whether the peer has left a command unfinished for too long."""
+    """Whether the peer has left a command incomplete for too long."""
     if connection.streamed_body is not None:
         return connection.receiving.has_stream_timed_out(now_s)
     items = connection.parser.array_items or []
--- a/switchline/clients/watchdog.py
+++ b/switchline/clients/watchdog.py
@@ -1,27 +1,34 @@
-"""How long a peer may leave a command unfinished, or its answers unread. Pure: times are handed in.
+"""Timeouts for peers that leave a command incomplete or their answers unread.
 
-All times are monotonic seconds.
+Nothing here reads a clock: callers pass the time, in monotonic seconds.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-COMMAND_TIMEOUT_S = 2.5  # for a head or the next piece of a value; a peer is owed an error within 3 s
-MAX_VALUE_DURATION_S = 30.0  # for a value that is collected, however steadily it is_arriving
-MAX_STREAMED_VALUE_DURATION_S = 120.0  # for a value that is streamed: longer than its request is kept
-UNREAD_TIMEOUT_S = 15.0  # that a client may read nothing of an answer: nobody waits that long for one
-MAX_UNREAD_DURATION_S = 60.0  # that a client may take to read all it has been answered, however steadily
+# Limits the time for the arguments before a value, and for each further piece of a value. A peer that
+# exceeds it must receive an error within 3 s.
+COMMAND_TIMEOUT_S = 2.5
+# Limits the time in which a value that is collected in memory must arrive, however steadily it does.
+MAX_VALUE_DURATION_S = 30.0
+# Limits the time in which a streamed value must arrive. It is longer than the lifetime of its request.
+MAX_STREAMED_VALUE_DURATION_S = 120.0
+# Limits the time in which a client reads nothing of its answers: no client waits that long for an answer.
+UNREAD_TIMEOUT_S = 15.0
+# Limits the time in which a client must read all its answers, however steadily it reads.
+MAX_UNREAD_DURATION_S = 60.0
 
 
 @dataclass(slots=True)
 class ReceiveWatch:
-    """What a peer owes: its first command, or the rest of one.
+    """Tracks how long a peer takes to send its first command, or the rest of an incomplete one.
 
     Attributes:
-        wait_started_at_s: since when; None if it owes nothing.
-        last_received_s: when bytes of an unfinished command last arrived.
-        stream_started_at_s: when the value that is being streamed began.
+        wait_started_at_s: time at which the wait for a complete, valid command began; None if none is
+            awaited.
+        last_received_s: time at which bytes of an incomplete command last arrived.
+        stream_started_at_s: time at which the value that is being streamed began.
     """
 
     wait_started_at_s: float | None
@@ -29,27 +36,27 @@
     stream_started_at_s: float = 0.0
 
     def record_partial_command(self, now_s: float) -> None:
-        """Note that bytes of an unfinished command have arrived."""
+        """Record that bytes of an incomplete command have arrived."""
         self.last_received_s = now_s
         self.wait_started_at_s = self.wait_started_at_s or now_s
 
     def record_stream_start(self, now_s: float) -> None:
-        """Note that a value to be streamed has begun."""
+        """Record that a value to be streamed has begun."""
         self.last_received_s = now_s
         self.stream_started_at_s = now_s
 
     def has_stream_timed_out(self, now_s: float) -> bool:
-        """Whether a value that is being streamed stalls, or takes too long."""
+        """Whether the value that is being streamed has stalled, or takes too long in all."""
         has_stalled = now_s - self.last_received_s > COMMAND_TIMEOUT_S
         return has_stalled or now_s - self.stream_started_at_s > MAX_STREAMED_VALUE_DURATION_S
 
     def has_command_timed_out(self, now_s: float, in_value: bool) -> bool:
-        """Whether the peer has left a command unfinished for too long.
+        """Whether the peer has left a command incomplete for too long.
 
         Args:
-            now_s: the time.
-            in_value: what is arriving is the value of something that begins as a request; it may take
-                longer as long as it is_arriving steadily.
+            now_s: the current time.
+            in_value: whether the bytes that arrive are the value of a request. A value may take up to
+                MAX_VALUE_DURATION_S as long as it arrives steadily.
         """
         if self.wait_started_at_s is None or now_s - self.wait_started_at_s <= COMMAND_TIMEOUT_S:
             return False
@@ -60,25 +67,28 @@
 
 @dataclass(slots=True)
 class DeliveryWatch:
-    """How a peer reads what it has been answered.
+    """Tracks how a peer reads its answers.
 
     Attributes:
-        written_bytes: bytes given to the transport, in all.
-        unread_started_at_s: since when bytes wait to be read by the peer; 0 if none do.
+        written_bytes: number of bytes given to the transport since the connection opened.
+        unread_started_at_s: time from which bytes have been waiting for the peer to read them; 0 if none
+            are waiting.
     """
 
     written_bytes: int = 0
     unread_started_at_s: float = 0.0
-    _last_sent_bytes: int = 0  # bytes that have left for the peer, when last looked at
+    # Number of bytes that had left the transport at the last check.
+    _last_sent_bytes: int = 0
     _last_progress_s: float = 0.0
 
     def has_timed_out(self, now_s: float, unsent_bytes: int, streaming: bool) -> bool:
-        """Whether the peer has left its answers unread: it has vanished, or reads too slowly.
+        """Whether the peer has left its answers unread for too long: it has vanished, or reads too slowly.
 
         Args:
-            now_s: the time.
-            unsent_bytes: bytes that still wait in the transport.
-            streaming: a long answer is on its way, which may take as long as its bytes move.
+            now_s: the current time.
+            unsent_bytes: number of bytes that still wait in the transport.
+            streaming: whether a long answer is being written, which may take any time as long as its bytes
+                move.
         """
         if not unsent_bytes:
             self.unread_started_at_s = 0.0
