--- a/tests/clients/test_connections.py
+++ b/tests/clients/test_connections.py
@@ -1,4 +1,4 @@
-"""Who gets a connection and who gives way: budget, states, shares, half-open peers and rushes."""
+"""Client and backend connections: descriptor budget, fair shares, eviction, timeouts and bursts."""
 
 from __future__ import annotations
 
@@ -44,21 +44,25 @@
 from testbed.stand_ins.backends import Backend
 from testbed.stand_ins.single_gateway import Wire, World, in_loop, request, running
 
-# ---- the budget ----
+# ---- descriptor budget ----
 
 
 @given(st.integers(150, 4096), st.integers(0, 4096), st.floats(0.05, 0.6), st.floats(0.05, 0.3))
-def test_the_parts_fit_into_the_limit(limit: int, beside: int, clients: float, backends: float) -> None:
+def test_descriptor_budgets_of_all_parts_fit_into_the_limit(
+    limit: int, peer_process_descriptors: int, clients: float, backends: float
+) -> None:
     budget = Budget(limit, Shares(clients=clients, backends=backends))
-    budget.peer_process_descriptors = beside
+    budget.peer_process_descriptors = peer_process_descriptors
     parts = PROCESS_DESCRIPTORS + sum(budget.limit_of(part) for part in Part)
-    least = PROCESS_DESCRIPTORS + sum(FIXED_PARTS.values()) + 2 * MIN_CONNECTIONS
-    assert parts <= max(limit - beside, least) and all(
+    minimum = PROCESS_DESCRIPTORS + sum(FIXED_PARTS.values()) + 2 * MIN_CONNECTIONS
+    assert parts <= max(limit - peer_process_descriptors, minimum) and all(
         budget.limit_of(part) >= MIN_CONNECTIONS for part in budget.in_use
     )
 
 
-def test_the_budget_follows_the_limits_and_the_other_process(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_budget_follows_changed_limits_and_the_descriptors_of_the_peer_process(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     budget = Budget(256)
     assert (budget.limit_of(Part.CLIENTS), budget.limit_of(Part.BACKENDS)) == (128, 64)
     budget.peer_process_descriptors = 100
@@ -70,11 +74,11 @@
     )
     budget.peer_process_descriptors, budget.configured_limit = 0, 1024
     assert budget.limit_of(Part.CLIENTS) == 512
-    monkeypatch.setattr("resource.getrlimit", lambda _: (300, 400))  # less than configured
+    monkeypatch.setattr("resource.getrlimit", lambda _: (300, 400))  # lower than the configured limit
     assert budget.limit_of(Part.CLIENTS) == 150 and budget.gauges()["descriptors.limit"] == 300
 
 
-def test_the_old_process_of_an_upgrade_does_not_grow() -> None:
+def test_frozen_budget_of_the_old_process_of_an_upgrade_does_not_grow() -> None:
     budget = Budget(256)
     for _ in range(20):
         budget.acquire(Part.BACKENDS)
@@ -86,34 +90,34 @@
     assert budget.limit_of(Part.BACKENDS) == 64
 
 
-def test_a_shortage_closes_what_can_be_spared_and_no_more() -> None:
+def test_descriptor_shortage_asks_each_callback_only_for_what_is_still_missing() -> None:
     budget = Budget(256)
-    asked: list[int] = []
+    requested_counts: list[int] = []
 
-    def gives(n: int) -> Callable[[int], int]:
-        def spare(wanted: int) -> int:
-            asked.append(wanted)
-            return n
+    def releases(released_count: int) -> Callable[[int], int]:
+        def relieve(wanted_count: int) -> int:
+            requested_counts.append(wanted_count)
+            return released_count
 
-        return spare
+        return relieve
 
-    budget.relief_callbacks = [gives(3), gives(2)]
+    budget.relief_callbacks = [releases(3), releases(2)]
     assert not budget.relieve(OSError(errno.ECONNREFUSED, "refused"))
-    assert budget.relieve(OSError(errno.EMFILE, "none left")) and asked == [8, 5]
+    assert budget.relieve(OSError(errno.EMFILE, "none left")) and requested_counts == [8, 5]
     assert budget.shortages == 1
 
 
 # ---- settings ----
 
 
-def test_connections_may_be_configured() -> None:
+def test_connection_shares_are_read_from_the_configuration() -> None:
     assert parse_config(gateway_config()).shares == Shares()
     made = parse_config(gateway_config(connections={"clients": 0.6, "connects": 2}))
     assert made.shares == Shares(clients=0.6, connects=2)
 
 
 @pytest.mark.parametrize(
-    "given",
+    "connection_settings",
     [
         [],
         "half",
@@ -128,10 +132,10 @@
         {"backends": float("nan")},
     ],
 )
-def test_a_malformed_setting_refuses_the_start_in_one_line(given: object) -> None:
-    with pytest.raises(ConfigError, match="connections: ") as caught:
-        parse_config(gateway_config(connections=given))
-    assert "\n" not in str(caught.value)
+def test_malformed_connection_setting_is_rejected_with_a_one_line_error(connection_settings: object) -> None:
+    with pytest.raises(ConfigError, match="connections: ") as error_info:
+        parse_config(gateway_config(connections=connection_settings))
+    assert "\n" not in str(error_info.value)
 
 
 # ---- fair shares ----
@@ -140,340 +144,365 @@
 
 
 @given(st.integers(1, 40), st.lists(st.tuples(st.booleans(), HOLDERS), max_size=200))
-def test_shares_are_max_min_fair_under_pressure_alone(most: int, steps: list[tuple[bool, str]]) -> None:
-    shares, held = FairShares(most), Counts[str]()
-    for takes, who in steps:
-        total = held.total()
-        if takes:
-            admitted = shares.admits(who)
-            if total < int(most * 0.75):
-                assert admitted  # no limit while there is room
-            elif total < most and not held[who]:
-                assert admitted  # the last one's first finds a place as long as there is any
+def test_shares_are_max_min_fair_only_under_pressure(limit: int, steps: list[tuple[bool, str]]) -> None:
+    shares, held_counts = FairShares(limit), Counts[str]()
+    for takes_slot, holder in steps:
+        total_count = held_counts.total()
+        if takes_slot:
+            admitted = shares.admits(holder)
+            if total_count < int(limit * 0.75):
+                assert admitted  # there is no limit while enough slots are free
+            elif total_count < limit and not held_counts[holder]:
+                assert admitted  # the first slot of a holder is granted while any is free
             elif admitted:
-                assert held[who] < most - total  # who holds much waits until it has given back
+                # A holder of many slots gets no more until it has released some.
+                assert held_counts[holder] < limit - total_count
             else:
-                assert held[who] >= most - total
+                assert held_counts[holder] >= limit - total_count
             if admitted:
-                shares.take(who)
-                held[who] += 1
-        elif held[who]:
-            shares.release(who)
-            held[who] -= 1
-        assert shares.slots_in_use == held.total() <= most and shares.slots_by_holder == +held
+                shares.take(holder)
+                held_counts[holder] += 1
+        elif held_counts[holder]:
+            shares.release(holder)
+            held_counts[holder] -= 1
+        assert shares.slots_in_use == held_counts.total() <= limit and shares.slots_by_holder == +held_counts
 
 
-def test_one_with_a_thousand_leaves_room_for_a_thousand_with_one_each() -> None:
+def test_holder_of_many_slots_leaves_room_for_a_thousand_holders_of_one() -> None:
     shares = FairShares(100)
     for _ in range(1000):
         if shares.admits("greedy"):
             shares.take("greedy")
     assert shares.slots_by_holder["greedy"] == 75
-    small = [f"small{number}" for number in range(1000)]
-    for number, who in enumerate(small):  # each holds its place while ten more come
-        assert shares.admits(who)
-        shares.take(who)
+    small_holders = [f"small{number}" for number in range(1000)]
+    for number, holder in enumerate(small_holders):  # each keeps its slot while ten more arrive
+        assert shares.admits(holder)
+        shares.take(holder)
         if number >= 10:
-            shares.release(small[number - 10])
+            shares.release(small_holders[number - 10])
         if shares.admits("greedy"):
             shares.take("greedy")
     assert 75 <= shares.slots_by_holder["greedy"] <= 100 - 11
 
 
-def test_all_that_want_what_they_can_get_end_up_with_as_many() -> None:
+def test_holders_with_unlimited_demand_get_equal_shares() -> None:
     shares = FairShares(96)
-    for turn in range(4000):  # every place taken is given back in turn; all ask again and again
-        for who in "abcd":
-            if shares.admits(who):
-                shares.take(who)
+    for turn in range(4000):  # each holder asks in every turn, and one slot is released
+        for holder in "abcd":
+            if shares.admits(holder):
+                shares.take(holder)
         holders = sorted(shares.slots_by_holder)
         shares.release(holders[turn % len(holders)])
     assert max(shares.slots_by_holder.values()) - min(shares.slots_by_holder.values()) <= 2
 
 
-# ---- states of clients' connections, and who gives way ----
+# ---- states of client connections, and eviction ----
 
 
-class Takes:
-    """Takes every request and leaves it open."""
+class RecordingHandler:
+    """Records each request and leaves it without an answer."""
 
     def __init__(self) -> None:
-        self.open: dict[ClientConnection, list[Slot]] = {}
-        self.crowded = 0
+        self.open_slots: dict[ClientConnection, list[Slot]] = {}
+        self.rejected_count = 0
 
     def check(self, command: Command) -> None:
         if command.attributes[b"c"] == b"none":
             raise ValueError("unknown class or plan")
 
     def on_command(self, command: Command, slot: Slot) -> None:
-        self.open.setdefault(slot.connection, []).append(slot)
+        self.open_slots.setdefault(slot.connection, []).append(slot)
 
     def on_no_place(self, command: Command, slot: Slot) -> None:
-        self.crowded += 1
+        self.rejected_count += 1
         slot.answer(b"-BUSY 200\r\n")
 
-    def on_whole(self, request: str) -> None: ...
+    def on_body_received(self, request_id: str) -> None: ...
 
-    def on_client_gone(self, request: str) -> None: ...
+    def on_client_gone(self, request_id: str) -> None: ...
 
 
-class Place:
-    """A server without a socket, of `limit` descriptors: half of them for clients."""
+class ServerHarness:
+    """A client server without a socket. Half of its `limit` descriptors are for clients."""
 
     def __init__(self, limit: int = 256) -> None:
-        self.handler, self.budget, self.figures = Takes(), Budget(limit), Metrics([])
-        self.server = ClientServer(self.handler, self.budget, BufferBudget(2**26), self.figures)
-        self.ids = 0
+        self.handler, self.budget, self.metrics = RecordingHandler(), Budget(limit), Metrics([])
+        self.server = ClientServer(self.handler, self.budget, BufferBudget(2**26), self.metrics)
+        self.request_count = 0
 
     def connect(self, peer: str = LOCAL) -> ClientConnection:
-        made = ClientConnection(self.server)
-        made.connection_made(Wire(peer))
-        return made
+        connection = ClientConnection(self.server)
+        connection.connection_made(Wire(peer))
+        return connection
 
-    def ask(self, connection: ClientConnection, name: bytes = b"view") -> None:
-        self.ids += 1
-        connection.data_received(encode(*request(b"r%d" % self.ids, name=name)))
+    def send_request(self, connection: ClientConnection, name: bytes = b"view") -> None:
+        self.request_count += 1
+        connection.data_received(encode(*request(b"r%d" % self.request_count, name=name)))
 
-    def answer(self, connection: ClientConnection) -> None:
-        for slot in self.handler.open.pop(connection, ()):
+    def answer_requests(self, connection: ClientConnection) -> None:
+        for slot in self.handler.open_slots.pop(connection, ()):
             slot.answer(b"$2\r\nok\r\n")
 
-    def idle(self, peer: str = LOCAL) -> ClientConnection:
-        made = self.connect(peer)
-        self.ask(made)
-        self.answer(made)
-        return made
+    def connect_idle(self, peer: str = LOCAL) -> ClientConnection:
+        connection = self.connect(peer)
+        self.send_request(connection)
+        self.answer_requests(connection)
+        return connection
 
-    def settle(self) -> None:
-        """The event loop tells of what has been closed."""
+    def report_closed(self) -> None:
+        """Call connection_lost for each closed connection, as the event loop would."""
         for connection in list(self.server.connections):
-            if ended(connection):
+            if end_kind(connection):
                 connection.connection_lost(None)
 
 
-def ended(connection: ClientConnection) -> str:
+def end_kind(connection: ClientConnection) -> str:
     return connection.transport.ended if isinstance(connection.transport, Wire) else "lost"
 
 
-def wrote(connection: ClientConnection) -> list[bytes]:
+def written_replies(connection: ClientConnection) -> list[bytes]:
     assert isinstance(connection.transport, Wire)
     return connection.transport.wrote
 
 
-def state(connection: ClientConnection) -> str:
-    if ended(connection):
+def connection_state(connection: ClientConnection) -> str:
+    if end_kind(connection):
         return "gone"
     if not connection.idle:
         return "busy"
     return "idle" if connection.validated else "young"
 
 
-def test_peers_that_say_nothing_displace_each_other_and_no_proven_one() -> None:
-    place = Place()  # 128 places, 32 of them for young ones once places are few
-    proven = [place.idle() for _ in range(96)]
-    silent = [place.connect("127.0.0.9") for _ in range(100)]
-    assert not any(map(ended, proven)) and [bool(ended(c)) for c in silent] == [True] * 68 + [False] * 32
-    assert place.figures.evictions[EvictionReason.YOUNG] == 68
-    place.settle()
-    assert place.budget.in_use[Part.CLIENTS] == 128
-    assert place.server.gauges() == {"clients.young": 32, "clients.in_use": 0, "clients.idle": 96}
+def test_silent_connections_evict_each_other_and_no_validated_connection() -> None:
+    harness = ServerHarness()  # 128 places, 32 of them for young ones when places are scarce
+    validated = [harness.connect_idle() for _ in range(96)]
+    silent = [harness.connect("127.0.0.9") for _ in range(100)]
+    assert (
+        not any(map(end_kind, validated))
+        and [bool(end_kind(c)) for c in silent] == [True] * 68 + [False] * 32
+    )
+    assert harness.metrics.evictions[EvictionReason.YOUNG] == 68
+    harness.report_closed()
+    assert harness.budget.in_use[Part.CLIENTS] == 128
+    assert harness.server.gauges() == {"clients.young": 32, "clients.in_use": 0, "clients.idle": 96}
 
 
-def test_young_ones_are_left_alone_while_there_is_room() -> None:
-    place = Place()
-    silent = [place.connect() for _ in range(96)]
-    assert not any(map(ended, silent))
+def test_young_connections_stay_open_while_places_are_free() -> None:
+    harness = ServerHarness()
+    silent = [harness.connect() for _ in range(96)]
+    assert not any(map(end_kind, silent))
 
 
-def test_a_front_that_brings_everybody_meets_no_limit_while_there_is_room() -> None:
-    place = Place()
-    busy = [place.connect() for _ in range(96)]
+def test_single_peer_may_use_all_places_but_those_for_young_connections() -> None:
+    harness = ServerHarness()
+    busy = [harness.connect() for _ in range(96)]
     for connection in busy:
-        place.ask(connection)
-    assert place.handler.crowded == 0 and not any(map(ended, busy))
-    late = place.connect()
-    place.ask(late)
-    assert place.handler.crowded == 1 and wrote(late) == [b"-BUSY 200\r\n"]
-    place.answer(busy[5])
-    place.ask(late)  # the place of one that nobody uses
-    assert place.handler.crowded == 1 and [bool(ended(c)) for c in busy].index(True) == 5
-
-
-def test_another_s_first_request_finds_a_place_while_one_holds_hundreds() -> None:
-    place = Place(1024)
+        harness.send_request(connection)
+    assert harness.handler.rejected_count == 0 and not any(map(end_kind, busy))
+    late = harness.connect()
+    harness.send_request(late)
+    assert harness.handler.rejected_count == 1 and written_replies(late) == [b"-BUSY 200\r\n"]
+    harness.answer_requests(busy[5])
+    harness.send_request(late)  # gets the place of an idle connection
+    assert harness.handler.rejected_count == 1 and [bool(end_kind(c)) for c in busy].index(True) == 5
+
+
+def test_first_request_of_another_peer_gets_a_place_while_one_peer_has_hundreds() -> None:
+    harness = ServerHarness(1024)
     for _ in range(500):
-        place.ask(place.connect("127.0.0.9"))
-    assert place.server.places.shares.slots_by_holder["127.0.0.9"] == 384 and place.handler.crowded == 116
+        harness.send_request(harness.connect("127.0.0.9"))
+    assert (
+        harness.server.places.shares.slots_by_holder["127.0.0.9"] == 384
+        and harness.handler.rejected_count == 116
+    )
     for number in range(20):
-        place.ask(place.connect(f"127.0.1.{number}"))
-    assert place.handler.crowded == 116
+        harness.send_request(harness.connect(f"127.0.1.{number}"))
+    assert harness.handler.rejected_count == 116
 
 
-def test_the_peer_that_holds_most_gives_its_longest_idle_one_and_no_smaller_one_does() -> None:
-    place = Place()
-    many = [place.idle("127.0.0.9") for _ in range(64)]
-    few = [place.idle("127.0.0.8") for _ in range(32)]
-    place.ask(many[0])
-    place.ask(place.connect("127.0.0.9"))
-    assert [ended(c) for c in many].index("close") == 1 and not any(map(ended, few))
+def test_longest_idle_connection_of_the_peer_with_most_is_evicted_and_none_of_a_smaller_peer() -> None:
+    harness = ServerHarness()
+    many = [harness.connect_idle("127.0.0.9") for _ in range(64)]
+    few = [harness.connect_idle("127.0.0.8") for _ in range(32)]
+    harness.send_request(many[0])
+    harness.send_request(harness.connect("127.0.0.9"))
+    assert [end_kind(c) for c in many].index("close") == 1 and not any(map(end_kind, few))
     for connection in many[2:]:
-        place.ask(connection)
-    place.ask(place.connect("127.0.0.9"))  # holds 64, all in use: who holds 32 keeps its idle ones
-    assert place.handler.crowded == 1 and not any(map(ended, few))
+        harness.send_request(connection)
+    # All 64 connections of this peer are in use. The peer with 32 connections keeps its idle ones.
+    harness.send_request(harness.connect("127.0.0.9"))
+    assert harness.handler.rejected_count == 1 and not any(map(end_kind, few))
 
 
-def test_a_proper_form_with_an_unknown_class_proves_nothing() -> None:
-    place = Place()
-    connection = place.connect()
-    place.ask(connection, name=b"none")
-    assert not connection.validated and connection in place.server.places.young
-    assert state(connection) == "young"
+def test_request_of_an_unknown_class_leaves_its_connection_young() -> None:
+    harness = ServerHarness()
+    connection = harness.connect()
+    harness.send_request(connection, name=b"none")
+    assert not connection.validated and connection in harness.server.places.young
+    assert connection_state(connection) == "young"
 
 
-STEPS = st.sampled_from(["come", "come", "ask", "answer", "part", "ping", "leave"])
+EVENT_KINDS = st.sampled_from(["come", "come", "ask", "answer", "part", "ping", "leave"])
 
 
-@given(st.lists(st.tuples(STEPS, st.integers(0, 40)), max_size=120))
-def test_who_gives_way(steps: list[tuple[str, int]]) -> None:
-    place = Place(1)  # the least: eight places, two of them for young ones
-    known: list[ClientConnection] = []
-    part = encode(*request(b"part"))[:-9]
-    for what, number in steps:
-        before = {c: state(c) for c in known}
-        young = [c for c in place.server.places.young if before[c] == "young"]
+@given(st.lists(st.tuples(EVENT_KINDS, st.integers(0, 40)), max_size=120))
+def test_random_events_evict_only_the_connection_that_is_next_in_order(events: list[tuple[str, int]]) -> None:
+    harness = ServerHarness(1)  # the minimum: eight places, two of them for young connections
+    connections: list[ClientConnection] = []
+    partial_command = encode(*request(b"part"))[:-9]
+    for event, number in events:
+        states_before = {c: connection_state(c) for c in connections}
+        young = [c for c in harness.server.places.young if states_before[c] == "young"]
         oldest = young[0] if young else None
-        held = {peer: list(place.server.places.validated[peer]) for peer in place.server.places.validated}
-        evicted, crowded = dict(place.figures.evictions), place.handler.crowded
-        there = [c for c in known if before[c] != "gone"]
-        chosen = there[number % len(there)] if there else None
-        if what == "come":
-            known.append(place.connect(f"127.0.0.{number % 3}"))
+        validated_before = {
+            peer: list(harness.server.places.validated[peer]) for peer in harness.server.places.validated
+        }
+        evictions_before, rejections_before = dict(harness.metrics.evictions), harness.handler.rejected_count
+        open_connections = [c for c in connections if states_before[c] != "gone"]
+        chosen = open_connections[number % len(open_connections)] if open_connections else None
+        if event == "come":
+            connections.append(harness.connect(f"127.0.0.{number % 3}"))
         elif chosen is None:
             continue
-        elif what == "ask" and not chosen.parser.has_partial_value():
-            place.ask(chosen)
-        elif what == "answer":
-            place.answer(chosen)
-        elif what == "part" and not chosen.parser.has_partial_value():
-            chosen.data_received(part)
-        elif what == "ping" and not chosen.parser.has_partial_value():
+        elif event == "ask" and not chosen.parser.has_partial_value():
+            harness.send_request(chosen)
+        elif event == "answer":
+            harness.answer_requests(chosen)
+        elif event == "part" and not chosen.parser.has_partial_value():
+            chosen.data_received(partial_command)
+        elif event == "ping" and not chosen.parser.has_partial_value():
             chosen.data_received(encode(b"PING"))
-        elif what == "leave":
+        elif event == "leave":
             chosen.connection_lost(None)
-        gone = [c for c in known[:-1] if before.get(c) != "gone" and state(c) == "gone"]
-        gone = [c for c in gone if what != "leave" or c is not chosen]
-        if place.figures.evictions[EvictionReason.CROWDED] > evicted[EvictionReason.CROWDED]:
-            assert gone == [chosen] and gone[0].surplus and what != "come"
-            gone = []
-        assert len(gone) <= 1 and all(before[c] in ("young", "idle") for c in gone)
-        for c in gone:
-            if before[c] == "young":
-                assert c is oldest and what == "come"
+        closed = [
+            c for c in connections[:-1] if states_before.get(c) != "gone" and connection_state(c) == "gone"
+        ]
+        closed = [c for c in closed if event != "leave" or c is not chosen]
+        if harness.metrics.evictions[EvictionReason.CROWDED] > evictions_before[EvictionReason.CROWDED]:
+            assert closed == [chosen] and closed[0].surplus and event != "come"
+            closed = []
+        assert len(closed) <= 1 and all(states_before[c] in ("young", "idle") for c in closed)
+        for c in closed:
+            if states_before[c] == "young":
+                assert c is oldest and event == "come"
             else:
-                assert what == "ask" or (oldest is None and sum(map(len, held.values())) > 6)
-                rivals = [h for h in held.values() if any(before[r] == "idle" for r in h)]
-                assert len(held[c.peer_address]) == max(map(len, rivals))
-                assert c is next(r for r in held[c.peer_address] if before[r] == "idle")
-        if place.handler.crowded > crowded and chosen is not None:
-            assert chosen.peer_address in held or sum(map(len, held.values())) >= place.server.places.limit
-        place.settle()
+                assert event == "ask" or (oldest is None and sum(map(len, validated_before.values())) > 6)
+                peers_with_idle = [
+                    h for h in validated_before.values() if any(states_before[r] == "idle" for r in h)
+                ]
+                assert len(validated_before[c.peer_address]) == max(map(len, peers_with_idle))
+                assert c is next(r for r in validated_before[c.peer_address] if states_before[r] == "idle")
+        if harness.handler.rejected_count > rejections_before and chosen is not None:
+            assert (
+                chosen.peer_address in validated_before
+                or sum(map(len, validated_before.values())) >= harness.server.places.limit
+            )
+        harness.report_closed()
         assert (
-            place.server.places.live_count == len(place.server.connections) <= place.server.places.limit + 1
+            harness.server.places.live_count
+            == len(harness.server.connections)
+            <= harness.server.places.limit + 1
         )
-        assert len(place.server.places.young) <= 2 or place.server.places.live_count <= 7
-        assert place.budget.in_use[Part.CLIENTS] == len(place.server.connections)
-        assert place.server.places.shares.slots_by_holder == {
-            p: len(h) for p, h in place.server.places.validated.items()
+        assert len(harness.server.places.young) <= 2 or harness.server.places.live_count <= 7
+        assert harness.budget.in_use[Part.CLIENTS] == len(harness.server.connections)
+        assert harness.server.places.shares.slots_by_holder == {
+            p: len(h) for p, h in harness.server.places.validated.items()
         }
 
 
-def test_a_budget_that_shrinks_takes_back_what_is_idle_and_nothing_else() -> None:
+def test_shrinking_budget_closes_idle_connections_only() -> None:
     async def scenario() -> None:
-        place = Place()
-        busy = [place.connect() for _ in range(20)]
+        harness = ServerHarness()
+        busy = [harness.connect() for _ in range(20)]
         for connection in busy:
-            place.ask(connection)
-        idle = [place.idle() for _ in range(60)]
-        place.budget.configured_limit = 100  # by SIGHUP: 32 places
-        place.server.sweep()
+            harness.send_request(connection)
+        idle = [harness.connect_idle() for _ in range(60)]
+        harness.budget.configured_limit = 100  # as after SIGHUP; leaves 32 places
+        harness.server.sweep()
         assert (
-            not any(map(ended, busy)) and sum(map(bool, map(ended, idle))) == 80 - place.server.places.limit
+            not any(map(end_kind, busy))
+            and sum(map(bool, map(end_kind, idle))) == 80 - harness.server.places.limit
         )
-        place.budget.peer_process_descriptors = 90  # by the other process of an upgrade
-        place.server.sweep()
-        assert not any(map(ended, busy)) and all(map(ended, idle))
-        place.server.close()
+        harness.budget.peer_process_descriptors = 90  # descriptors of the peer process of an upgrade
+        harness.server.sweep()
+        assert not any(map(end_kind, busy)) and all(map(end_kind, idle))
+        harness.server.close()
 
     in_loop(scenario)
 
 
-def test_the_pool_shrinks_with_its_budget() -> None:
+def test_backend_pool_shrinks_with_its_budget() -> None:
     async def scenario() -> None:
         server = Backend()
-        async with pool(server) as made:
-            await asyncio.gather(*(Try(made).result() for _ in range(20)))
-            opened = len(made.connections)
+        async with pool(server) as backend_pool:
+            await asyncio.gather(*(Try(backend_pool).result() for _ in range(20)))
+            opened = len(backend_pool.connections)
             assert opened > 8
-            await until(lambda: len(made.endpoints[0].idle) == opened)
-            made.budget.peer_process_descriptors = 2_000
-            made.sweep()
-            assert len(made.connections) == 8
+            await until(lambda: len(backend_pool.endpoints[0].idle) == opened)
+            backend_pool.budget.peer_process_descriptors = 2_000
+            backend_pool.sweep()
+            assert len(backend_pool.connections) == 8
 
     in_loop(scenario)
 
 
-# ---- half-open peers ----
+# ---- timeouts of half-open connections ----
 
 
-def test_each_half_open_peer_gives_back_its_place_in_time() -> None:
-    place = Place()
+def test_unused_incomplete_and_unread_connections_are_closed_after_their_timeouts() -> None:
+    harness = ServerHarness()
     start = 1_000_000.0
 
-    def set_back(connection: ClientConnection) -> ClientConnection:
+    def reset_times(connection: ClientConnection) -> ClientConnection:
         connection.last_used_s = connection.receiving.last_received_s = start
         if connection.receiving.wait_started_at_s is not None:
             connection.receiving.wait_started_at_s = start
         return connection
 
-    idle, middle, unread = set_back(place.idle()), place.connect(), set_back(place.idle())
-    middle.data_received(encode(*request())[:40])
-    set_back(middle)
+    idle, incomplete, unread = (
+        reset_times(harness.connect_idle()),
+        harness.connect(),
+        reset_times(harness.connect_idle()),
+    )
+    incomplete.data_received(encode(*request())[:40])
+    reset_times(incomplete)
     assert isinstance(unread.transport, Wire)
     unread.transport.left = 50
     for connection, limit, reason in (
         (idle, supervision.UNUSED_TIMEOUT_S, EvictionReason.UNUSED),
-        (middle, watchdog.COMMAND_TIMEOUT_S, EvictionReason.OWING),
+        (incomplete, watchdog.COMMAND_TIMEOUT_S, EvictionReason.OWING),
         (unread, watchdog.UNREAD_TIMEOUT_S, EvictionReason.UNREAD),
     ):
         supervision.check_connection(connection, start)
         supervision.check_connection(connection, start + limit - 0.1)
-        assert not ended(connection), reason
+        assert not end_kind(connection), reason
         supervision.check_connection(connection, start + limit + 0.1)
-        assert ended(connection) and place.figures.evictions[reason] == 1, reason
-    place.settle()
+        assert end_kind(connection) and harness.metrics.evictions[reason] == 1, reason
+    harness.report_closed()
     assert (
-        place.budget.in_use[Part.CLIENTS] == 0
-        and not place.server.places.shares.slots_by_holder
-        and not place.server.places.validated
+        harness.budget.in_use[Part.CLIENTS] == 0
+        and not harness.server.places.shares.slots_by_holder
+        and not harness.server.places.validated
     )
 
 
-def test_one_that_reads_by_dribbles_is_let_go_in_the_end() -> None:
-    place = Place()
-    slow = place.idle()
+def test_client_that_reads_too_slowly_is_disconnected_after_the_maximum_duration() -> None:
+    harness = ServerHarness()
+    slow = harness.connect_idle()
     assert isinstance(slow.transport, Wire)
-    at = 1_000_000.0  # whole seconds: of other times, at + 60 - at may come to a little over 60
+    # Whole seconds, because for other times at_s + 60 - at_s may exceed 60 by a rounding error.
+    at_s = 1_000_000.0
     for second in range(int(watchdog.MAX_UNREAD_DURATION_S) + 1):
         slow.transport.left = 1_000 - second
-        supervision.check_connection(slow, at + second)
-        assert not ended(slow)
-    supervision.check_connection(slow, at + watchdog.MAX_UNREAD_DURATION_S + 1)
-    assert ended(slow) == "abort"
+        supervision.check_connection(slow, at_s + second)
+        assert not end_kind(slow)
+    supervision.check_connection(slow, at_s + watchdog.MAX_UNREAD_DURATION_S + 1)
+    assert end_kind(slow) == "abort"
 
 
-def test_a_long_value_that_comes_byte_by_byte_ends() -> None:
-    place = Place()
-    slow = place.connect()
+def test_long_value_that_arrives_too_slowly_ends_its_connection() -> None:
+    harness = ServerHarness()
+    slow = harness.connect()
     head = encode(*request(body=b"x" * 100_000))[:400]
     slow.data_received(head)
     assert slow.streamed_body is not None and not slow.idle
@@ -483,164 +512,176 @@
     supervision.check_connection(
         slow, slow.receiving.stream_started_at_s + watchdog.MAX_STREAMED_VALUE_DURATION_S - 1
     )
-    assert not ended(slow)
+    assert not end_kind(slow)
+    # A byte has arrived just now.
     slow.receiving.last_received_s = (
         slow.receiving.stream_started_at_s + watchdog.MAX_STREAMED_VALUE_DURATION_S + 1
-    )  # a byte just now
+    )
     supervision.check_connection(
         slow, slow.receiving.stream_started_at_s + watchdog.MAX_STREAMED_VALUE_DURATION_S + 1
     )
-    assert ended(slow) and place.server.buffer_budget.values == 0
+    assert end_kind(slow) and harness.server.buffer_budget.values == 0
 
 
-def test_one_byte_every_two_seconds_is_no_head() -> None:
-    place = Place()
-    slow = place.connect()
-    whole = encode(*request())
-    came = slow.last_used_s
+def test_command_sent_byte_by_byte_exceeds_the_command_timeout() -> None:
+    harness = ServerHarness()
+    slow = harness.connect()
+    command = encode(*request())
+    opened_at_s = slow.last_used_s
     for second in (0, 2):
-        slow.data_received(whole[second : second + 1])
-        slow.receiving.last_received_s = came + second
-        supervision.check_connection(slow, came + second)
-        assert not ended(slow)
-    supervision.check_connection(slow, came + watchdog.COMMAND_TIMEOUT_S + 0.1)
-    assert ended(slow) and wrote(slow) == [b"-ERR protocol error\r\n"]
+        slow.data_received(command[second : second + 1])
+        slow.receiving.last_received_s = opened_at_s + second
+        supervision.check_connection(slow, opened_at_s + second)
+        assert not end_kind(slow)
+    supervision.check_connection(slow, opened_at_s + watchdog.COMMAND_TIMEOUT_S + 0.1)
+    assert end_kind(slow) and written_replies(slow) == [b"-ERR protocol error\r\n"]
 
 
-# ---- rushes ----
+# ---- bursts of connections ----
 
 
-def test_the_pace_of_accepting_follows_the_length_of_a_turn() -> None:
-    pace, now = AcceptRate(), 100.0
-    assert pace.next_batch(now, backlogged=False) == accept.MAX_BATCH
-    for most in (4, 2, 1, 1):  # turns that come late
-        now += 0.05
-        assert pace.next_batch(now, backlogged=True) == most
-    for most in (2, 3, 4):
-        now += 0.001
-        assert pace.next_batch(now, backlogged=True) == most
-    assert pace.next_batch(now + 5, backlogged=False) == accept.MAX_BATCH  # there was nothing to do meanwhile
+def test_accept_batch_size_follows_the_duration_of_event_loop_turns() -> None:
+    rate, now_s = AcceptRate(), 100.0
+    assert rate.next_batch(now_s, backlogged=False) == accept.MAX_BATCH
+    for batch in (4, 2, 1, 1):  # turns that take too long
+        now_s += 0.05
+        assert rate.next_batch(now_s, backlogged=True) == batch
+    for batch in (2, 3, 4):
+        now_s += 0.001
+        assert rate.next_batch(now_s, backlogged=True) == batch
+    # The event loop had nothing to do meanwhile.
+    assert rate.next_batch(now_s + 5, backlogged=False) == accept.MAX_BATCH
 
 
-def test_a_rush_beyond_the_backlog_is_answered_in_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_burst_beyond_the_backlog_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("switchline.service.service.BACKLOG", 4)
 
     async def scenario() -> None:
         async with running(World(Backend())) as world:
 
-            async def come(number: int) -> object:
+            async def connect_and_ask(number: int) -> object:
                 peer = await world.client()
                 return await world.ask(peer, id=b"r%d" % number, wait=8000)
 
-            answers = await asyncio.gather(*(come(number) for number in range(9)))
+            answers = await asyncio.gather(*(connect_and_ask(number) for number in range(9)))
             assert all(answer == b"value" or str(answer).startswith("BUSY ") for answer in answers)
 
     in_loop(scenario)
 
 
-def test_a_peer_that_resets_before_it_is_accepted_harms_nobody() -> None:
+def test_peers_that_reset_before_accept_do_not_affect_others() -> None:
     async def scenario() -> None:
         async with running(World(Backend())) as world:
             for _ in range(20):
                 gone = socket.create_connection((LOCAL, world.port))
                 gone.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-                gone.close()  # this blocks the event loop, so nothing has been accepted yet
+                gone.close()  # nothing has been accepted yet, as this code blocks the event loop
             peer = await world.client()
             assert await world.ask(peer) == b"value"
 
     in_loop(scenario)
 
 
-def test_without_a_descriptor_accepting_rests_and_operators_still_get_in() -> None:
-    """The system refuses: the listening socket is not asked in a busy loop, and the spare one is lent."""
+def test_descriptor_shortage_pauses_accepting_except_for_operators() -> None:
+    """Without a pause, accept would be called in a busy loop. Operators get the reserved descriptor."""
 
-    class Short:
-        """Gives no descriptor a number of times."""
+    class ScarceSocket:
+        """Its accept fails for lack of descriptors `failure_count` times."""
 
-        def __init__(self, times: int) -> None:
-            self.asked, self.times = 0, times
+        def __init__(self, failure_count: int) -> None:
+            self.call_count, self.failure_count = 0, failure_count
 
         def __call__(self) -> tuple[socket.socket, Any]:
-            self.asked += 1
-            if self.asked <= self.times:
+            self.call_count += 1
+            if self.call_count <= self.failure_count:
                 raise OSError(errno.EMFILE, "none left")
             raise BlockingIOError
 
     async def scenario() -> None:
-        for first, asked in ((False, 1), (True, 2)):
-            budget, made = Budget(256), listen((LOCAL, 0), 5)
+        for may_use_reserve, call_count in ((False, 1), (True, 2)):
+            budget, listener = Budget(256), listen((LOCAL, 0), 5)
             budget.keep_reserve()
-            acceptor = Acceptor(made, asyncio.Protocol, budget, first)
-            short = Short(1)
-            acceptor.socket = SimpleNamespace(accept=short, fileno=made.fileno)  # type: ignore[assignment]
+            acceptor = Acceptor(listener, asyncio.Protocol, budget, may_use_reserve)
+            scarce_socket = ScarceSocket(1)
+            acceptor.socket = SimpleNamespace(accept=scarce_socket, fileno=listener.fileno)  # type: ignore[assignment]
             acceptor._accept()
-            assert short.asked == asked and (acceptor.paused_by_shortage is None) is first
-            assert (budget.reserve is None) is first and budget.shortages == 1
-            acceptor.socket = made
+            assert (
+                scarce_socket.call_count == call_count
+                and (acceptor.paused_by_shortage is None) is may_use_reserve
+            )
+            assert (budget.reserve is None) is may_use_reserve and budget.shortages == 1
+            acceptor.socket = listener
             acceptor.close()
             budget.close()
 
     in_loop(scenario)
 
 
-def test_when_the_process_runs_out_service_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Real shortage: the process's own limit is lower than what is configured, and all of it is taken."""
+def test_gateway_keeps_serving_when_the_process_runs_out_of_descriptors(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The limit of the process is lower than the configured one, and all its descriptors are in use."""
 
-    # Work that is sent once: a safe request's attempt is called off after five times the usual answer's time,
-    # here a few milliseconds, and there is no second backend to try.
-    once: dict[str, Any] = {"name": b"wipe", "body": b"x"}
+    # A request that is not idempotent is sent once. An attempt of an idempotent one is cancelled after five
+    # times the usual latency, a few milliseconds here, and there is no second backend for a retry.
+    not_idempotent: dict[str, Any] = {"name": b"wipe", "body": b"x"}
 
     async def scenario() -> None:
         async with running(World(Backend())) as world:
             held = [await world.client() for _ in range(10)]
             for number, peer in enumerate(held):
-                assert await world.ask(peer, id=b"r%d" % number, **once) == b"value"
-            outside = socket.create_connection((LOCAL, world.port))  # before the limit, which is theirs too
-            caller = socket.create_connection((LOCAL, world.operator))
+                assert await world.ask(peer, id=b"r%d" % number, **not_idempotent) == b"value"
+            waiting = socket.create_connection(
+                (LOCAL, world.port)
+            )  # opened before the limit, which this process shares
+            operator = socket.create_connection((LOCAL, world.operator))
             soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-            taken = max(int(name) for name in os.listdir("/proc/self/fd"))
-            resource.setrlimit(resource.RLIMIT_NOFILE, (taken, hard))
+            highest_descriptor = max(int(name) for name in os.listdir("/proc/self/fd"))
+            resource.setrlimit(resource.RLIMIT_NOFILE, (highest_descriptor, hard))
             try:
-                for peer in held[:8]:  # in use or idle, they stay where nothing must give way
-                    assert await world.ask(peer, id=b"again", **once) in (b"value", None)
+                for peer in held[:8]:  # connections that need not be evicted stay open
+                    assert await world.ask(peer, id=b"again", **not_idempotent) in (b"value", None)
                 loop = asyncio.get_running_loop()
-                caller.setblocking(False)
-                await loop.sock_sendall(caller, b"GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n")
-                assert (await loop.sock_recv(caller, 100)).startswith(b"HTTP/1.1 200")
+                operator.setblocking(False)
+                await loop.sock_sendall(operator, b"GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n")
+                assert (await loop.sock_recv(operator, 100)).startswith(b"HTTP/1.1 200")
             finally:
                 resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-                outside.close()
-                caller.close()
-            assert await world.ask(await world.client(), **once) == b"value"
+                waiting.close()
+                operator.close()
+            assert await world.ask(await world.client(), **not_idempotent) == b"value"
 
     in_loop(scenario)
 
 
-# ---- the pool ----
+# ---- backend pool ----
 
 
 async def silent(command: list[bytes]) -> Reply:
     return None
 
 
-def test_few_handshakes_go_to_one_backend_at_a_time() -> None:
+def test_concurrent_handshakes_with_one_backend_are_limited() -> None:
     async def scenario() -> None:
         server = Backend(silent)
-        async with pool(server) as made:
-            tries = [Try(made) for _ in range(10)]
-            assert made.gauges()["backends.opening"] == 4 and made.gauges()["backends.waiting"] == 10
+        async with pool(server) as backend_pool:
+            attempts = [Try(backend_pool) for _ in range(10)]
+            assert (
+                backend_pool.gauges()["backends.opening"] == 4
+                and backend_pool.gauges()["backends.waiting"] == 10
+            )
             await until(lambda: len(server.got) == 10)
             assert (
-                made.metrics.handshakes_begun == 10
-                and made.metrics.handshake_waits == 10
-                and not made.metrics.handshakes_failed
+                backend_pool.metrics.handshakes_begun == 10
+                and backend_pool.metrics.handshake_waits == 10
+                and not backend_pool.metrics.handshakes_failed
             )
-            assert not any(t.endings for t in tries)
+            assert not any(t.endings for t in attempts)
 
     in_loop(scenario)
 
 
-def test_an_attempt_takes_a_connection_that_becomes_free_before_its_handshake() -> None:
+def test_waiting_attempt_uses_a_connection_that_is_free_before_its_handshake() -> None:
     async def scenario() -> None:
         go_on = asyncio.Event()
 
@@ -649,41 +690,44 @@
             return b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
         server = Backend(script)
-        async with pool(server, budget=Budget(1024, Shares(connects=1)), connect_timeout=5_000) as made:
-            first = Try(made)
+        async with pool(
+            server, budget=Budget(1024, Shares(connects=1)), connect_timeout=5_000
+        ) as backend_pool:
+            first = Try(backend_pool)
             await until(lambda: server.got)
-            # A handshake that never comes up: nobody accepts, and the backlog is full.
-            with socket.create_server((LOCAL, 0), backlog=0) as deaf:
-                filler = [socket.socket() for _ in range(3)]
-                for sock in filler:
+            # A handshake that never completes: nobody accepts, and the backlog is full.
+            with socket.create_server((LOCAL, 0), backlog=0) as unanswered:
+                backlog_fillers = [socket.socket() for _ in range(3)]
+                for sock in backlog_fillers:
                     sock.setblocking(False)
-                    sock.connect_ex(deaf.getsockname())
-                made.endpoints[0].address = deaf.getsockname()
-                waits = Try(made)
+                    sock.connect_ex(unanswered.getsockname())
+                backend_pool.endpoints[0].address = unanswered.getsockname()
+                second = Try(backend_pool)
                 await asyncio.sleep(0.01)
-                made.endpoints[0].address = (LOCAL, server.port)
+                backend_pool.endpoints[0].address = (LOCAL, server.port)
                 go_on.set()
                 assert (await first.result())[0] is Outcome.OK
-                assert (await waits.result())[0] is Outcome.OK
+                assert (await second.result())[0] is Outcome.OK
                 assert server.accepted == 1
-                for sock in filler:
+                for sock in backlog_fillers:
                     sock.close()
 
     in_loop(scenario)
 
 
-def test_no_room_is_no_mark_against_a_backend_and_the_request_is_refused_at_once() -> None:
+def test_full_pool_rejects_requests_at_once_without_a_failure_of_the_backends() -> None:
     async def scenario() -> None:
         backends = [Backend(silent), Backend(silent)]
-        # Work that is sent once holds its place however long this takes: a safe request's attempt is called
-        # off after 0.6 s and sent anew, and a handshake that the machine holds up is given up after 0.25 s.
-        world = World(*backends, sockets=1, connect_ms=2000.0)  # eight connections to backends
+        # A request that is not idempotent keeps its connection however long it takes, while an attempt of an
+        # idempotent one is cancelled after 0.6 s and retried. A handshake delayed by a busy machine would be
+        # abandoned after 0.25 s, so the timeout is longer.
+        world = World(*backends, sockets=1, connect_ms=2000.0)  # at most eight connections to backends
         async with running(world):
             for number in range(4):
                 peer = await world.client()
-                for more in range(2):
-                    held = b"r%d" % (number * 2 + more)
-                    peer.send(*request(held, name=b"wipe", wait=60_000, body=b"x"))
+                for index in range(2):
+                    request_id = b"r%d" % (number * 2 + index)
+                    peer.send(*request(request_id, name=b"wipe", wait=60_000, body=b"x"))
             await until(lambda: sum(len(b.got) for b in backends) == 8)
             late = await world.client()
             for number in range(4):
@@ -691,67 +735,69 @@
             for _ in range(4):
                 assert str(await late.receive()).startswith("BUSY ")
             stats = await gateway_metrics(world)
-            assert stats["outstanding"] == 8 == sum(len(b.got) for b in backends)  # no place was left
+            assert stats["outstanding"] == 8 == sum(len(b.got) for b in backends)  # no connection was free
             assert stats["ejected"] == 0 and stats["handshakes.failed"] == 0 and stats["declined.wipe"] == 4
-            assert stats["crowded"] == 0  # each was refused as it found no connection
+            assert stats["crowded"] == 0  # each was rejected for want of a backend connection
 
     in_loop(scenario)
 
 
-def test_a_drain_told_while_attempts_wait_sends_them_nowhere() -> None:
+def test_attempts_that_wait_for_a_draining_backend_are_not_sent() -> None:
     async def scenario() -> None:
         server = Backend()
-        async with pool(server) as made:
-            tries = [Try(made) for _ in range(8)]
-            made.update(0, (LOCAL, server.port), BackendState.DRAINING)
-            assert [(await t.result())[0] for t in tries] == [Outcome.CONNECT_FAILED] * 8
-            assert not server.got and not made.endpoints[0].waiting
+        async with pool(server) as backend_pool:
+            attempts = [Try(backend_pool) for _ in range(8)]
+            backend_pool.update(0, (LOCAL, server.port), BackendState.DRAINING)
+            assert [(await t.result())[0] for t in attempts] == [Outcome.CONNECT_FAILED] * 8
+            assert not server.got and not backend_pool.endpoints[0].waiting
 
     in_loop(scenario)
 
 
-def test_one_that_leaves_while_it_waits_makes_no_place_for_itself() -> None:
+def test_cancelled_waiting_attempts_are_not_sent() -> None:
     async def scenario() -> None:
         server = Backend()
-        async with pool(server) as made:
-            tries = [Try(made) for _ in range(6)]
-            for left in tries[1:]:
-                made.give_up(left.attempt, Outcome.CANCELLED)
-                assert left.endings == [(Outcome.CANCELLED, b"")]
-            assert (await tries[0].result())[0] is Outcome.OK
-            await until(lambda: made.gauges()["backends.opening"] == 0)
-            assert len(server.got) == 1 and made.gauges()["backends.waiting"] == 0
+        async with pool(server) as backend_pool:
+            attempts = [Try(backend_pool) for _ in range(6)]
+            for cancelled in attempts[1:]:
+                backend_pool.give_up(cancelled.attempt, Outcome.CANCELLED)
+                assert cancelled.endings == [(Outcome.CANCELLED, b"")]
+            assert (await attempts[0].result())[0] is Outcome.OK
+            await until(lambda: backend_pool.gauges()["backends.opening"] == 0)
+            assert len(server.got) == 1 and backend_pool.gauges()["backends.waiting"] == 0
 
     in_loop(scenario)
 
 
-def test_256_descriptors_and_40_backends_that_all_answer_late() -> None:
-    """More backends than the pool holds at once in a burst: places pass from one to the next."""
+def test_burst_to_40_backends_succeeds_with_256_descriptors() -> None:
+    """The burst needs more connections than the pool may have: they pass from one backend to the next."""
 
     async def scenario() -> None:
         servers = [Backend() for _ in range(40)]
-        async with pool(*servers, budget=Budget(256), connect_timeout=5_000) as made:
-            tries = [Try(made, backend=n % 40, wait=8_000) for n in range(400)]
-            outcomes = Counts([(await t.result())[0] for t in tries])
+        async with pool(*servers, budget=Budget(256), connect_timeout=5_000) as backend_pool:
+            attempts = [Try(backend_pool, backend=n % 40, wait=8_000) for n in range(400)]
+            outcomes = Counts([(await t.result())[0] for t in attempts])
             assert outcomes == {Outcome.OK: 400}
-            assert len(made.connections) <= 64 and made.budget.in_use[Part.BACKENDS] == len(made.connections)
+            assert len(backend_pool.connections) <= 64 and backend_pool.budget.in_use[Part.BACKENDS] == len(
+                backend_pool.connections
+            )
 
     in_loop(scenario)
 
 
-# ---- one gateway on loopback ----
+# ---- a gateway over loopback sockets ----
 
 
-def test_the_last_customer_s_first_request_finds_a_place_while_another_holds_all_it_can() -> None:
+def test_first_request_of_a_customer_is_admitted_while_another_has_its_maximum() -> None:
     async def scenario() -> None:
         scene = Scene(max_open=16)
         slots = [scene.ask(b"r%d" % number) for number in range(20)]
         assert [slot.reply for slot in slots] == [None] * 12 + [b"-BUSY 200\r\n"] * 8
-        small = Slot(scene.connection)
-        words = list(request(b"small"))
-        words[1] = b"00000000b4d65522"
-        scene.driver.requests.on_command(parse_command(words), small)
-        assert small.reply is None and len(scene.driver.requests.open) == 13
+        other_customer_slot = Slot(scene.connection)
+        arguments = list(request(b"small"))
+        arguments[1] = b"00000000b4d65522"
+        scene.driver.requests.on_command(parse_command(arguments), other_customer_slot)
+        assert other_customer_slot.reply is None and len(scene.driver.requests.open) == 13
         scene.driver.requests.on_client_gone("r0")
         assert scene.driver.requests.shares.slots_by_holder == {"00000000b4d65521": 11, "00000000b4d65522": 1}
         scene.driver.requests.end_all()
@@ -760,7 +806,7 @@
     in_loop(scenario)
 
 
-def test_pipelined_requests_keep_their_connection_when_places_are_few() -> None:
+def test_connection_with_a_partial_request_is_not_evicted_when_places_are_scarce() -> None:
     async def scenario() -> None:
         async with running(World(Backend(), sockets=1)) as world:
             busy = await world.client()
@@ -777,8 +823,8 @@
     in_loop(scenario)
 
 
-def test_a_client_that_half_closes_counts_as_gone_and_gives_its_place_back() -> None:
-    """A half-close can't be told from a close, and a backend must not go on for one who has left."""
+def test_half_close_by_a_client_cancels_its_request_and_frees_its_place() -> None:
+    """A half-close looks like a close, and a backend must not go on working for a client that left."""
 
     async def scenario() -> None:
         async with running(World(Backend(silent))) as world:
@@ -787,7 +833,7 @@
             await until(lambda: world.backends[0].got)
             peer.writer.write_eof()
             assert await peer.receive() is None
-            await until(lambda: world.backends[0].ended)  # the attempt was called off
+            await until(lambda: world.backends[0].ended)  # the attempt was cancelled
             counts = await gateway_metrics(world)
             assert counts["aborted.view"] == 1 and counts["outstanding"] == 0
             assert counts["clients.in_use"] == counts["clients.idle"] == counts["clients.young"] == 0
@@ -795,20 +841,22 @@
     in_loop(scenario)
 
 
-def test_bad_peers_get_what_they_are_owed_while_all_places_are_taken(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_invalid_peers_get_an_error_or_a_close_while_all_places_are_in_use(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(watchdog, "COMMAND_TIMEOUT_S", 0.2)
     monkeypatch.setattr(clients, "SWEEP_INTERVAL_S", 0.02)
 
     async def scenario() -> None:
-        async with running(World(Backend(), sockets=1)) as world:  # eight places
+        async with running(World(Backend(), sockets=1)) as world:  # eight places for clients
             held = [await world.client() for _ in range(6)]
             for number, peer in enumerate(held):
                 assert await world.ask(peer, id=b"r%d" % number) == b"value"
-            sent = [b"", b"*5\r\n$8\r\nAPI.READ\r\n", b"GET / HTTP/1.1\r\n\r\n", encode(b"WHAT")]
-            bad = [await world.client() for _ in range(24)]
-            for number, peer in enumerate(bad):
-                peer.writer.write(sent[number % 4])
-            for peer in bad:  # each gets an error line or a close
+            invalid_commands = [b"", b"*5\r\n$8\r\nAPI.READ\r\n", b"GET / HTTP/1.1\r\n\r\n", encode(b"WHAT")]
+            invalid_peers = [await world.client() for _ in range(24)]
+            for number, peer in enumerate(invalid_peers):
+                peer.writer.write(invalid_commands[number % 4])
+            for peer in invalid_peers:  # each gets an error reply or a close
                 answer = await peer.receive()
                 assert answer is None or str(answer).startswith("ERR")
             for number, peer in enumerate(held):
@@ -817,14 +865,14 @@
     in_loop(scenario)
 
 
-def test_a_close_that_crosses_a_request_costs_its_client_one_new_connection() -> None:
+def test_request_sent_on_an_evicted_connection_succeeds_on_a_new_one() -> None:
     async def scenario() -> None:
         async with running(World(Backend(), sockets=1)) as world:
             peers = [await world.client() for _ in range(6)]
             for number, peer in enumerate(peers):
                 assert await world.ask(peer, id=b"r%d" % number) == b"value"
             assert await world.ask(await world.client(), id=b"more") == b"value"
-            peers[0].send(*request(b"crosses"))  # its connection has just given way
+            peers[0].send(*request(b"crosses"))  # its connection has just been evicted
             assert await peers[0].receive() is None
             assert await world.ask(await world.client(), id=b"crosses") == b"value"
             assert sum(command[2] == b"crosses" for command in world.backends[0].got) == 1
@@ -832,46 +880,48 @@
     in_loop(scenario)
 
 
-def test_a_changed_file_with_a_malformed_share_is_not_taken(tmp_path: Path) -> None:
+def test_configuration_file_with_a_malformed_share_is_rejected(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(gateway_config(connections={"young": 2})))
     with pytest.raises(ConfigError, match="young"):
         load_config(str(path))
 
 
-def test_a_long_value_either_way_outlasts_a_flood() -> None:
-    long = bytes(1_000_000)
-    reply = b"*3\r\n$%d\r\n%b\r\n$-1\r\n$-1\r\n" % (len(long), long)
+def test_long_values_in_both_directions_complete_during_a_connection_flood() -> None:
+    long_value = bytes(1_000_000)
+    reply = b"*3\r\n$%d\r\n%b\r\n$-1\r\n$-1\r\n" % (len(long_value), long_value)
 
     async def scenario() -> None:
         backend = Cutting(reply, [500_000])
         async with running(World(backend, sockets=1)) as world:
             peer = await world.client()
-            sent = encode(*request(name=b"wipe", body=long))
-            peer.writer.write(sent[:400_000])
-            flood = [await world.client() for _ in range(30)]  # while it comes in
-            peer.writer.write(sent[400_000:])
+            command = encode(*request(name=b"wipe", body=long_value))
+            peer.writer.write(command[:400_000])
+            flood = [await world.client() for _ in range(30)]  # while the request arrives
+            peer.writer.write(command[400_000:])
             await until(lambda: backend.got)
-            flood += [await world.client() for _ in range(30)]  # while the answer comes
+            flood += [await world.client() for _ in range(30)]  # while the answer arrives
             backend.go_on.release()
-            assert await peer.receive() == long and backend.got[0][4] == long
+            assert await peer.receive() == long_value and backend.got[0][4] == long_value
             assert (await gateway_metrics(world))["evicted.young"] >= 40 and len(flood) == 60
 
     in_loop(scenario)
 
 
-def test_an_upgrade_with_both_processes_at_their_share_fits_into_the_limit() -> None:
+def test_budgets_of_both_upgrade_processes_fit_into_the_limit() -> None:
     old, new = Budget(256), Budget(256)
-    usual = {Part.OPERATORS: 2, Part.COUNTER: 4, Part.DISCOVERY: 1}  # of the fixed parts, what is in use
+    # Descriptors in use by the parts with fixed limits.
+    usual_counts = {Part.OPERATORS: 2, Part.COUNTER: 4, Part.DISCOVERY: 1}
     for budget in (old, new):
-        for part, number in usual.items():
+        for part, number in usual_counts.items():
             for _ in range(number):
                 budget.acquire(part)
     for part in (Part.CLIENTS, Part.BACKENDS):
         while old.has_free(part):
             old.acquire(part)
     old.freeze()
-    while old.in_use[Part.CLIENTS]:  # its clients leave one by one; the new one grows into their places
+    # The clients of the old process leave one by one, and the new process takes over their descriptors.
+    while old.in_use[Part.CLIENTS]:
         new.peer_process_descriptors = old.total
         for part in (Part.CLIENTS, Part.BACKENDS):
             while new.has_free(part):
@@ -883,7 +933,7 @@
         assert not old.has_free(Part.BACKENDS)
 
 
-def test_sighup_in_a_rush_harms_nobody_and_a_drain_in_one_ends(tmp_path: Path) -> None:
+def test_bursts_during_sighup_and_drain_get_answers_and_the_process_ends(tmp_path: Path) -> None:
     async def scenario() -> None:
         world = World(Backend())
         servers = (world.backends[0], world.counter, world.discovery)
@@ -891,36 +941,36 @@
             await server.start()
         port, world.operator = claimed_port(), claimed_port()
         path = tmp_path / "config.json"
-        given = {**world.config(), "listen": f"{LOCAL}:{port}"}
-        path.write_text(json.dumps(given))
+        config = {**world.config(), "listen": f"{LOCAL}:{port}"}
+        path.write_text(json.dumps(config))
         process = await start(path)
         try:
             await (await connect(port)).writer.drain()
 
-            async def rush(number: int) -> object:
+            async def connect_and_ask(number: int) -> object:
                 peer = await connect(port)
                 peer.send(*request(b"r%d" % number))
                 answer = await peer.receive()
                 peer.close()
                 return answer
 
-            coming = [asyncio.create_task(rush(number)) for number in range(60)]
-            path.write_text(json.dumps({**given, "connections": {"clients": 7}}))
-            process.send_signal(signal.SIGHUP)  # changes nothing
+            tasks = [asyncio.create_task(connect_and_ask(number)) for number in range(60)]
+            path.write_text(json.dumps({**config, "connections": {"clients": 7}}))
+            process.send_signal(signal.SIGHUP)  # the malformed file changes nothing
             await asyncio.sleep(0)
-            path.write_text(json.dumps({**given, "connections": {"connects": 1}}))
+            path.write_text(json.dumps({**config, "connections": {"connects": 1}}))
             process.send_signal(signal.SIGHUP)
-            answers = await asyncio.gather(*coming)
+            answers = await asyncio.gather(*tasks)
             assert all(a == b"value" or str(a).startswith("BUSY ") for a in answers)
-            coming = [asyncio.create_task(rush(number)) for number in range(60, 100)]
-            await until(lambda: any(task.done() for task in coming))
+            tasks = [asyncio.create_task(connect_and_ask(number)) for number in range(60, 100)]
+            await until(lambda: any(task.done() for task in tasks))
             process.send_signal(signal.SIGTERM)
-            late = [task for task in coming if not task.done()]
-            await asyncio.wait({*late, asyncio.create_task(process.wait())})
-            for task in coming:
+            pending = [task for task in tasks if not task.done()]
+            await asyncio.wait({*pending, asyncio.create_task(process.wait())})
+            for task in tasks:
                 if not task.done():
-                    task.cancel()  # came after the end
-            done = [task.result() for task in coming if task.done() and not task.cancelled()]
+                    task.cancel()  # connected after the process had ended
+            done = [task.result() for task in tasks if task.done() and not task.cancelled()]
             assert all(a is None or a == b"value" or str(a).startswith("BUSY ") for a in done)
             assert await process.wait() == 0
         finally:
