--- a/tests/clients/test_clients.py
+++ b/tests/clients/test_clients.py
@@ -1,4 +1,4 @@
-"""The client side of a running gateway, over loopback sockets."""
+"""How a gateway treats its clients: commands, answers, timeouts and closes, mostly over loopback sockets."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 from testbed.stand_ins.single_gateway import Wire, World, in_loop, request, running
 
 
-def array(value: bytes) -> bytes:
+def backend_reply(value: bytes) -> bytes:
     return b"*3\r\n$%d\r\n%b\r\n$-1\r\n$-1\r\n" % (len(value), value)
 
 
-def failed(reply: object) -> bool:
+def is_error_reply(reply: object) -> bool:
     return isinstance(reply, hiredis.ReplyError) and str(reply).startswith("ERR")
 
 
-def test_answers_come_in_the_order_of_the_commands() -> None:
+def test_pipelined_commands_are_answered_in_their_order() -> None:
     async def scenario() -> None:
         second_served = asyncio.Event()
 
@@ -42,7 +42,7 @@
                 await second_served.wait()
             else:
                 second_served.set()
-            return array(command[2])
+            return backend_reply(command[2])
 
         async with running(World(Backend(script))) as world:
             peer = await world.client()
@@ -54,7 +54,7 @@
     in_loop(scenario)
 
 
-def test_commands_may_come_in_pieces_and_together() -> None:
+def test_commands_split_into_bytes_or_sent_together_are_answered() -> None:
     async def scenario() -> None:
         async with running(World(Backend())) as world:
             peer = await world.client()
@@ -70,23 +70,26 @@
     in_loop(scenario)
 
 
-def test_values_and_bodies_pass_untouched_and_backends_learn_the_time_left() -> None:
-    blob = bytes(range(256)) * 256  # 64 KiB, the largest
-    # Line ends inside values would show an answer or a command that is put together carelessly.
+def test_values_are_forwarded_unchanged_and_backends_receive_the_time_left() -> None:
+    value_64_kib = bytes(range(256)) * 256  # the largest value that is not streamed
+    # Line ends inside the value would break an answer or a command that is split at line ends.
 
     async def script(command: list[bytes]) -> Reply:
-        return array(blob)
+        return backend_reply(value_64_kib)
 
     async def scenario() -> None:
         async with running(World(Backend(script))) as world:
             peer = await world.client()
-            assert await world.ask(peer, name=b"wipe", body=blob) == blob
-            verb, customer, id, listed, body = world.backends[0].got[0]
-            assert (verb, customer, id, body) == (b"API.WRITE", *request()[1:3], blob)
-            before, given, after = listed.partition(b"d=")
-            left, comma, rest = after.partition(b",")
-            assert before + given == b"c=wipe,t=free,d=" and rest == b"units=1,spread=1,first=0"
-            assert 2000 < int(left) <= 3000
+            assert await world.ask(peer, name=b"wipe", body=value_64_kib) == value_64_kib
+            verb, customer, id, attribute_text, body = world.backends[0].got[0]
+            assert (verb, customer, id, body) == (b"API.WRITE", *request()[1:3], value_64_kib)
+            before_time_left, attribute_name, after_name = attribute_text.partition(b"d=")
+            time_left_ms, comma, other_attributes = after_name.partition(b",")
+            assert (
+                before_time_left + attribute_name == b"c=wipe,t=free,d="
+                and other_attributes == b"units=1,spread=1,first=0"
+            )
+            assert 2000 < int(time_left_ms) <= 3000
 
     in_loop(scenario)
 
@@ -103,8 +106,8 @@
         (b"API.READ", b"\xff", b"b", b"c=view,d=3"),
         (b"API.READ", b"a", b"", b"c=view,d=3"),
         *(
-            (verb, customer, b"b1", listed)
-            for verb, customer, listed in (
+            (verb, customer, b"b1", attribute_text)
+            for verb, customer, attribute_text in (
                 (b"API.READ", b"00000000b4d65521", b"c=views,t=free,d=3000,units=1,spread=1,first=0"),
                 (b"API.READ", b"00000000b4d65521", b"c=view,t=freest,d=3000,units=1,spread=1,first=0"),
                 (b"API.READ", b"164362ecdc2ee1ee", b"c=view,t=free,d=3000,units=1,spread=1,first=0"),
@@ -122,13 +125,13 @@
         (b"",),
     ],
 )
-def test_a_malformed_command_fails_alone(command: tuple[bytes, ...]) -> None:
+def test_malformed_command_gets_an_error_and_the_next_one_succeeds(command: tuple[bytes, ...]) -> None:
     async def scenario() -> None:
         async with running(World(Backend())) as world:
             peer = await world.client()
             peer.send(*command)
             peer.send(*request())
-            assert failed(await peer.receive())
+            assert is_error_reply(await peer.receive())
             assert await peer.receive() == b"value"
             assert len(world.backends[0].got) == 1
 
@@ -139,32 +142,32 @@
     "header",
     [b"*1000000000", b"*2\r\n*1000000000", b">1000000000", b"~1000000000", b"$600000000", b"*2\r\n$131073"],
 )
-def test_a_header_that_promises_too_much_is_refused_as_it_comes(header: bytes) -> None:
+def test_header_that_announces_too_much_ends_the_connection_at_once(header: bytes) -> None:
     async def scenario() -> None:
         async with running(World(Backend())) as world:
             peer = await world.client()
             peer.writer.write(header + b"\r\n")
-            assert failed(await peer.receive())
+            assert is_error_reply(await peer.receive())
             assert await peer.receive() is None
 
     in_loop(scenario)
 
 
-def test_a_broken_protocol_ends_its_own_connection_only() -> None:
+def test_protocol_error_ends_its_own_connection_only() -> None:
     async def scenario() -> None:
         async with running(World(Backend())) as world:
-            good, bad = await world.client(), await world.client()
-            bad.writer.write(encode(*request(b"early")) + b"?what\r\n" + encode(*request(b"late")))
-            assert await bad.receive() == b"value"  # what came before still gets its answer
-            assert failed(await bad.receive())
-            assert await bad.receive() is None
-            assert await world.ask(good) == b"value"
+            valid_peer, invalid_peer = await world.client(), await world.client()
+            invalid_peer.writer.write(encode(*request(b"early")) + b"?what\r\n" + encode(*request(b"late")))
+            assert await invalid_peer.receive() == b"value"  # an earlier command still gets its answer
+            assert is_error_reply(await invalid_peer.receive())
+            assert await invalid_peer.receive() is None
+            assert await world.ask(valid_peer) == b"value"
             assert [c[2] for c in world.backends[0].got] == [b"early", request()[2]]
 
     in_loop(scenario)
 
 
-def test_a_client_that_leaves_calls_off_what_is_out() -> None:
+def test_close_by_a_client_cancels_its_request() -> None:
     async def silent(command: list[bytes]) -> Reply:
         return None
 
@@ -176,27 +179,27 @@
             await until(lambda: backend.got)
             peer.close()
             await until(lambda: backend.ended)
-            # The id is free again, so nothing of the request is left.
+            # The id of the request may be used again only if nothing of the request is left.
             backend.script = backend.serve
             assert await world.ask(await world.client()) == b"value"
 
     in_loop(scenario)
 
 
-def test_an_id_in_use_is_not_taken_twice() -> None:
+def test_second_request_with_an_id_in_use_is_rejected() -> None:
     async def scenario() -> None:
         go_on = asyncio.Event()
 
         async def script(command: list[bytes]) -> Reply:
             await go_on.wait()
-            return array(b"value")
+            return backend_reply(b"value")
 
         backend = Backend(script)
         async with running(World(backend)) as world:
             first, second = await world.client(), await world.client()
             first.send(*request())
             await until(lambda: backend.got)
-            assert failed(await world.ask(second))
+            assert is_error_reply(await world.ask(second))
             second.close()
             go_on.set()
             assert await first.receive() == b"value"
@@ -204,46 +207,51 @@
     in_loop(scenario)
 
 
-def test_a_slow_reader_does_not_grow_memory(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A client that asks and never reads is read no further, so that its answers stay few."""
-    server: list[clients.ClientServer] = []
-    keep = clients.ClientServer.on_connection_opened
+def test_client_that_does_not_read_is_read_no_further_so_memory_stays_bounded(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A gateway that reads on would have to keep ever more answers for such a client."""
+    servers: list[clients.ClientServer] = []
+    original_callback = clients.ClientServer.on_connection_opened
 
-    def opened(self: clients.ClientServer, connection: connections.ClientConnection) -> None:
-        server[:] = [self]
-        keep(self, connection)
+    def on_connection_opened(self: clients.ClientServer, connection: connections.ClientConnection) -> None:
+        servers[:] = [self]
+        original_callback(self, connection)
 
-    monkeypatch.setattr(clients.ClientServer, "on_connection_opened", opened)
+    monkeypatch.setattr(clients.ClientServer, "on_connection_opened", on_connection_opened)
 
     async def scenario() -> None:
         async with running(World(Backend())) as world:
             peer = await world.client()
-            echo = encode(b"PING", b"x" * 65536)
-            await until(lambda: server)
-            (connection,) = server[0].connections
-            written = 0
+            ping = encode(b"PING", b"x" * 65536)
+            await until(lambda: servers)
+            (connection,) = servers[0].connections
+            ping_count = 0
             while not connection.reading_paused:
-                peer.writer.write(echo)
-                written += 1
+                peer.writer.write(ping)
+                ping_count += 1
                 await asyncio.sleep(0)
             assert connection.transport is not None
-            held = connection.transport.get_write_buffer_size() + sum(
+            pending_bytes = connection.transport.get_write_buffer_size() + sum(
                 len(slot.reply or b"") for slot in connection.slots
             )
-            assert held <= connections.MAX_UNSENT_BYTES + (connections.MAX_PIPELINED_COMMANDS + 2) * 66_000
-            for _ in range(written):  # once it reads, it gets all of them
+            assert (
+                pending_bytes
+                <= connections.MAX_UNSENT_BYTES + (connections.MAX_PIPELINED_COMMANDS + 2) * 66_000
+            )
+            for _ in range(ping_count):  # once the client reads, it gets all answers
                 assert await peer.receive() == b"x" * 65536
 
     in_loop(scenario)
 
 
-def test_too_many_pipelined_commands_wait_unread() -> None:
+def test_pipelined_commands_beyond_the_maximum_are_answered_in_order() -> None:
     async def scenario() -> None:
         go_on = asyncio.Event()
 
         async def script(command: list[bytes]) -> Reply:
             await go_on.wait()
-            return array(command[2])
+            return backend_reply(command[2])
 
         backend = Backend(script)
         async with running(World(backend)) as world:
@@ -254,15 +262,17 @@
             await until(lambda: backend.got)
             go_on.set()
             answers = [await peer.receive() for _ in ids]
-            refused = [str(a) for a in answers if not isinstance(a, bytes)]  # the rest: each its own value
+            # Each answer is either the id of its own request or a rejection.
+            rejections = [str(a) for a in answers if not isinstance(a, bytes)]
             assert all(a == id for id, a in zip(ids, answers, strict=True) if isinstance(a, bytes))
-            assert answers[0] == ids[0] and all(text.startswith("BUSY") for text in refused)
+            assert answers[0] == ids[0] and all(text.startswith("BUSY") for text in rejections)
 
     in_loop(scenario)
 
 
-def test_at_the_bound_an_unused_connection_makes_room() -> None:
-    # A safe request would be called off where the machine stalls for five usual answers, a few milliseconds.
+def test_idle_connection_is_evicted_for_a_new_one_at_the_limit() -> None:
+    # The attempt of an idempotent request would be cancelled if the machine stalled for five times the usual
+    # latency, a few milliseconds.
     async def scenario() -> None:
         async with running(World(Backend(), sockets=6)) as world:
             peers: list[Peer] = [await world.client() for _ in range(6)]
@@ -276,8 +286,9 @@
     in_loop(scenario)
 
 
-def test_at_the_bound_a_peer_that_has_said_nothing_goes_before_a_client() -> None:
-    # A safe request would be called off where the machine stalls for five usual answers, a few milliseconds.
+def test_silent_connection_is_evicted_before_a_validated_one_at_the_limit() -> None:
+    # The attempt of an idempotent request would be cancelled if the machine stalled for five times the usual
+    # latency, a few milliseconds.
     async def scenario() -> None:
         async with running(World(Backend(), sockets=6)) as world:
             client = await world.client()
@@ -290,7 +301,7 @@
     in_loop(scenario)
 
 
-def test_set_up_commands_of_client_libraries() -> None:
+def test_set_up_commands_of_client_libraries_are_accepted() -> None:
     async def scenario() -> None:
         async with running(World(Backend())) as world:
             peer = await world.client()
@@ -303,7 +314,7 @@
 
 
 def test_many_small_commands_in_one_read_are_all_answered() -> None:
-    """Taken by calls within calls, each round of waiting commands would deepen the stack."""
+    """If commands were processed recursively, each round of them would deepen the call stack."""
 
     async def scenario() -> None:
         async with running(World(Backend())) as world:
@@ -318,27 +329,27 @@
 
 
 @pytest.mark.parametrize("data", [b"*5\r\n$999999\r\n" + b"x" * 200_000, b"*4294967294\r\n$1\r\na\r\n"])
-def test_a_command_beyond_all_bounds_ends_its_connection(data: bytes) -> None:
+def test_oversize_command_ends_its_own_connection_only(data: bytes) -> None:
     async def scenario() -> None:
         async with running(World(Backend())) as world:
-            good, bad = await world.client(), await world.client()
-            bad.writer.write(data)
-            assert failed(await bad.receive())
-            assert await bad.receive() is None
-            assert await world.ask(good) == b"value"
+            valid_peer, invalid_peer = await world.client(), await world.client()
+            invalid_peer.writer.write(data)
+            assert is_error_reply(await invalid_peer.receive())
+            assert await invalid_peer.receive() is None
+            assert await world.ask(valid_peer) == b"value"
 
     in_loop(scenario)
 
 
-def test_what_follows_a_broken_protocol_does_not_pile_up() -> None:
-    """The connection stays for its earlier answers, and a client may go on writing to it."""
+def test_bytes_after_a_protocol_error_are_discarded() -> None:
+    """The connection stays open for earlier answers, and bytes that arrive meanwhile must not fill memory."""
 
     async def scenario() -> None:
         go_on = asyncio.Event()
 
         async def script(command: list[bytes]) -> Reply:
             await go_on.wait()
-            return array(b"value")
+            return backend_reply(b"value")
 
         handler: Any = None
         server = clients.ClientServer(handler, Budget(256), BufferBudget(2**26), Metrics([]))
@@ -354,13 +365,15 @@
             await until(lambda: backend.got)
             go_on.set()
             assert await peer.receive() == b"value"
-            assert failed(await peer.receive())
+            assert is_error_reply(await peer.receive())
 
     in_loop(scenario)
 
 
-def test_a_peer_that_sends_no_whole_command_is_ended_and_no_other(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Anyone may connect; who says nothing, or stops half-way, would hold a descriptor for ever."""
+def test_peer_without_a_complete_command_in_time_is_disconnected_and_no_other(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A peer that sends nothing, or only part of a command, would use a descriptor for ever."""
     monkeypatch.setattr(clients, "SWEEP_INTERVAL_S", 0.005)
 
     async def scenario() -> None:
@@ -368,35 +381,39 @@
 
         async def script(command: list[bytes]) -> Reply:
             await go_on.wait()
-            return array(b"value")
+            return backend_reply(b"value")
 
         async with running(World(Backend(script))) as world:
-            waiting, used = await world.client(), await world.client()
-            waiting.send(*request())
+            waiting_peer, active_peer = await world.client(), await world.client()
+            waiting_peer.send(*request())
             await until(lambda: world.backends[0].got)
-            used.send(b"PING")
-            assert await used.receive() == b"PONG"
+            active_peer.send(b"PING")
+            assert await active_peer.receive() == b"PONG"
             monkeypatch.setattr(watchdog, "COMMAND_TIMEOUT_S", 0.02)
-            silent, stalled = await world.client(), await world.client()
-            stalled.writer.write(encode(*request())[:-1])
-            for peer in (silent, stalled):
-                assert failed(await peer.receive())
+            silent_peer, stalled_peer = await world.client(), await world.client()
+            stalled_peer.writer.write(encode(*request())[:-1])
+            for peer in (silent_peer, stalled_peer):
+                assert is_error_reply(await peer.receive())
                 assert await peer.receive() is None
-            used.send(b"PING")
-            assert await used.receive() == b"PONG"
-            wrong = await world.client()
-            wrong.send(b"API.READ", b"a", b"b", b"nonsense")  # an answer, but no leave to stay
-            assert failed(await wrong.receive()) and failed(await wrong.receive())
-            assert await wrong.receive() is None
-            used.writer.write(b"*1")  # an older connection that stops in a command owes the rest just so
-            assert failed(await used.receive())
+            active_peer.send(b"PING")
+            assert await active_peer.receive() == b"PONG"
+            invalid_peer = await world.client()
+            # An invalid command gets an answer, but does not stop the timeout.
+            invalid_peer.send(b"API.READ", b"a", b"b", b"nonsense")
+            assert is_error_reply(await invalid_peer.receive()) and is_error_reply(
+                await invalid_peer.receive()
+            )
+            assert await invalid_peer.receive() is None
+            # The timeout also applies to a later, incomplete command of a connection that was in use.
+            active_peer.writer.write(b"*1")
+            assert is_error_reply(await active_peer.receive())
             go_on.set()
-            assert await waiting.receive() == b"value"
+            assert await waiting_peer.receive() == b"value"
 
     in_loop(scenario)
 
 
-def test_a_client_that_never_reads_and_one_that_is_done_are_let_go() -> None:
+def test_unused_and_unread_connections_are_closed_after_their_timeouts() -> None:
     async def scenario() -> None:
         handler: Any = None
         server = clients.ClientServer(handler, Budget(256), BufferBudget(2**26), Metrics([]))
@@ -411,11 +428,11 @@
         connection, wire = connections.ClientConnection(server), Wire()
         connection.connection_made(wire)
         connection.data_received(encode(b"PING"))
-        wire.left = 100  # of an answer, and nobody reads
+        wire.left = 100  # bytes of an answer that the client does not read
         start = connection.last_used_s
         supervision.check_connection(connection, start)
         supervision.check_connection(connection, start + watchdog.UNREAD_TIMEOUT_S - 1)
-        wire.left = 90  # slow, but alive
+        wire.left = 90  # the client reads slowly
         supervision.check_connection(connection, start + watchdog.UNREAD_TIMEOUT_S)
         supervision.check_connection(connection, start + 2 * watchdog.UNREAD_TIMEOUT_S - 1)
         assert wire.ended == ""
@@ -425,53 +442,53 @@
     in_loop(scenario)
 
 
-def test_bad_commands_again_and_again_buy_no_more_time() -> None:
+def test_invalid_commands_do_not_restart_the_command_timeout() -> None:
     async def scenario() -> None:
         handler: Any = None
         server = clients.ClientServer(handler, Budget(256), BufferBudget(2**26), Metrics([]))
         connection, wire = connections.ClientConnection(server), Wire()
         connection.connection_made(wire)
-        owed = connection.receiving.wait_started_at_s
+        wait_started_at_s = connection.receiving.wait_started_at_s
         for _ in range(3):
             connection.data_received(encode(b"NONSENSE"))
-            assert connection.receiving.wait_started_at_s == owed
+            assert connection.receiving.wait_started_at_s == wait_started_at_s
         connection.data_received(encode(b"PING"))
         assert connection.receiving.wait_started_at_s is None
 
     in_loop(scenario)
 
 
-# ---- the end of a connection, and clients that have gone ----
+# ---- closing of connections, and clients that have closed ----
 
 
-def test_answers_survive_a_close_over_bytes_that_were_never_read() -> None:
-    """A close over unread bytes resets the connection; what the peer has not read yet is lost with it."""
+def test_answers_reach_a_client_that_goes_on_sending_after_a_protocol_error() -> None:
+    """Closing a socket with unread bytes resets the connection; the peer loses answers it has not read."""
 
     async def scenario() -> None:
         async with running(World(Backend())) as world:
             with socket.create_connection((LOCAL, world.port)) as sock:
                 sock.setblocking(False)
                 loop = asyncio.get_running_loop()
-                asked = encode(*request(b"one")) + encode(*request(b"two"))
-                await loop.sock_sendall(sock, asked + b"!not a command\r\n")
+                commands = encode(*request(b"one")) + encode(*request(b"two"))
+                await loop.sock_sendall(sock, commands + b"!not a command\r\n")
                 await until(lambda: len(world.backends[0].got) == 2)
-                with contextlib.suppress(ConnectionError):  # goes on sending, and reads only then
+                with contextlib.suppress(ConnectionError):  # the client reads only after it has sent all
                     for _ in range(20):
                         await loop.sock_sendall(sock, b"x" * 1_000)
                         await asyncio.sleep(0.005)
-                got = b""
+                received = b""
                 while data := await loop.sock_recv(sock, 65_536):
-                    got += data
-                assert got == encoded(b"value") * 2 + b"-ERR protocol error\r\n"
+                    received += data
+                assert received == bulk_string(b"value") * 2 + b"-ERR protocol error\r\n"
 
     in_loop(scenario)
 
 
-def encoded(value: bytes) -> bytes:
+def bulk_string(value: bytes) -> bytes:
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
-def test_a_peer_that_sends_without_end_after_its_last_answer_is_cut_off() -> None:
+def test_peer_that_goes_on_sending_after_its_last_answer_is_disconnected() -> None:
     async def scenario() -> None:
         async with running(World(Backend())) as world:
             peer = await world.client()
@@ -486,7 +503,9 @@
     in_loop(scenario)
 
 
-def test_a_peer_that_never_closes_after_the_end_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_peer_that_never_closes_after_its_last_answer_is_disconnected(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(supervision, "LINGER_TIMEOUT_S", 0.05)
     monkeypatch.setattr(clients, "LINGER_TIMEOUT_S", 0.05)
     monkeypatch.setattr(clients, "SWEEP_INTERVAL_S", 0.02)
@@ -505,7 +524,7 @@
 
 
 def is_reset(sock: socket.socket) -> bool:
-    """Whether the other side has closed as well: what is sent to it then is answered with a reset."""
+    """Whether the other side has closed the socket too, and so answers bytes with a reset."""
     try:
         sock.send(b"x")
     except ConnectionError:
@@ -513,7 +532,7 @@
     return False
 
 
-def test_a_request_on_a_connection_that_has_been_shut_is_never_sent_on() -> None:
+def test_request_on_a_half_closed_connection_is_not_forwarded() -> None:
     async def scenario() -> None:
         async with running(World(Backend())) as world:
             peer = await world.client()
@@ -527,18 +546,19 @@
     in_loop(scenario)
 
 
-def test_what_waits_for_a_client_that_left_while_it_was_not_read_is_never_sent_on() -> None:
-    """Back-pressure hides the close: it lies behind commands that are read only after other answers."""
+def test_requests_of_a_client_that_closed_while_reading_was_paused_are_not_forwarded() -> None:
+    """While reading is paused, a close goes unnoticed: it follows commands that have not been read yet."""
 
     async def scenario() -> None:
         go_on = asyncio.Event()
 
         async def script(command: list[bytes]) -> Reply:
             await go_on.wait()
-            return array(command[2])
+            return backend_reply(command[2])
 
         backend = Backend(script)
-        async with running(World(backend, sockets=1, connect_ms=60_000.0)) as world:  # eight to backends
+        # At most eight connections to backends.
+        async with running(World(backend, sockets=1, connect_ms=60_000.0)) as world:
             peer = await world.client()
             for number in range(connections.MAX_PIPELINED_COMMANDS + 10):
                 peer.send(*request(b"r%d" % number, name=b"wipe", wait=60_000, body=b"x"))
@@ -554,13 +574,13 @@
     in_loop(scenario)
 
 
-def test_time_spent_behind_other_commands_of_a_connection_is_not_promised_to_a_backend(
+def test_time_waited_behind_other_commands_counts_against_the_time_left(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What a client has left counts from when its request came, not from when it was taken."""
-    now = [1_000.0]
-    monkeypatch.setattr(connections, "now_ms", lambda: now[0])
-    taken: list[Command] = []
+    """The time left counts from the arrival of a request, not from when the request is processed."""
+    time_ms = [1_000.0]
+    monkeypatch.setattr(connections, "now_ms", lambda: time_ms[0])
+    handled_commands: list[Command] = []
     slots: list[Slot] = []
 
     class Handler:
@@ -568,7 +588,7 @@
             pass
 
         def on_command(self, command: Command, slot: Slot) -> None:
-            taken.append(command)
+            handled_commands.append(command)
             slots.append(slot)
 
     handler: Any = Handler()
@@ -577,13 +597,13 @@
     connection.connection_made(Wire())
     commands = [encode(*request(b"r%d" % n)) for n in range(connections.MAX_PIPELINED_COMMANDS + 1)]
     connection.data_received(b"".join(commands))
-    assert len(taken) == connections.MAX_PIPELINED_COMMANDS
-    now[0] += 300.0
+    assert len(handled_commands) == connections.MAX_PIPELINED_COMMANDS
+    time_ms[0] += 300.0
     slots[0].answer(b"+OK\r\n")
-    assert [command.received_at_ms for command in taken] == [1_000.0] * len(commands)
+    assert [command.received_at_ms for command in handled_commands] == [1_000.0] * len(commands)
 
 
-def test_a_request_expires_by_when_it_came() -> None:
+def test_request_expires_relative_to_its_arrival() -> None:
     async def scenario() -> None:
         scene = Scene()
         command = parse_command(list(request(b"r1", wait=3_000)), None, 5_000.0)
@@ -592,23 +612,23 @@
     in_loop(scenario)
 
 
-def test_every_socket_sends_small_writes_at_once() -> None:
-    """Held back by the system, an answer would go down with the connection it waits on."""
+def test_every_socket_has_tcp_nodelay() -> None:
+    """Without TCP_NODELAY the system delays small writes, and a reset would discard a delayed answer."""
 
     async def scenario() -> None:
         async with running(World(Backend())) as world:
             peer = await world.client()
             assert await world.ask(peer, plan=b"basic") == b"value"
-            await until(lambda: world.counter.open)  # that customer's lease was refreshed
+            await until(lambda: world.counter.open)  # the gateway refreshes the lease of that customer
             ports = {world.port, world.backends[0].port, world.counter.port, world.discovery.port}
-            seen: dict[int, bool] = {}
+            nodelay_by_port: dict[int, bool] = {}
             for name in os.listdir("/proc/self/fd"):
                 with contextlib.suppress(OSError), socket.socket(fileno=os.dup(int(name))) as sock:
                     if sock.family != socket.AF_INET:
                         continue
-                    at_once = bool(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
+                    has_nodelay = bool(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
                     for port in ports & {sock.getsockname()[1], sock.getpeername()[1]}:
-                        seen[port] = at_once and seen.get(port, True)
-            assert seen == dict.fromkeys(ports, True)
+                        nodelay_by_port[port] = has_nodelay and nodelay_by_port.get(port, True)
+            assert nodelay_by_port == dict.fromkeys(ports, True)
 
     in_loop(scenario)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small bench-free world for one gateway: settings, a clock and the answers it asks for."""
+"""The policy of one gateway without a process: its settings, and a harness with a simulated clock."""
 
 from __future__ import annotations
 
@@ -56,9 +56,9 @@
 
 
 def entry(
-    backend: int, state: api.BackendState = api.BackendState.READY, started: float = 0, cell: int = 0
+    backend: int, state: api.BackendState = api.BackendState.READY, started_at_ms: float = 0, cell: int = 0
 ) -> api.BackendEntry:
-    return api.BackendEntry(backend, "a", cell, started, state)
+    return api.BackendEntry(backend, "a", cell, started_at_ms, state)
 
 
 def backends(*entries: api.BackendEntry, scope: api.ListScope = api.ListScope.FULL) -> api.BackendsChanged:
@@ -66,7 +66,10 @@
 
 
 class GatewayHarness:
-    """Feeds events to one gateway and remembers its actions, each with the time it came."""
+    """Passes events to the policy of one gateway, and logs its actions with their times in ms.
+
+    Time passes only in `pass_time`.
+    """
 
     def __init__(
         self,
@@ -83,10 +86,10 @@
 
     def give(self, event: api.Event) -> list[api.Action]:
         actions = self.gateway.handle(self.now_ms, event)
-        self.log += [(self.now_ms, a) for a in actions]
-        for a in actions:
-            if isinstance(a, api.SetTimer):
-                heapq.heappush(self.timers, (self.now_ms + a.delay_ms, len(self.log), a.timer))
+        self.log += [(self.now_ms, action) for action in actions]
+        for action in actions:
+            if isinstance(action, api.SetTimer):
+                heapq.heappush(self.timers, (self.now_ms + action.delay_ms, len(self.log), action.timer))
         return actions
 
     def ask(
@@ -111,18 +114,20 @@
         attempt: int = 0,
         finished: bool | None = None,
     ) -> list[api.Action]:
-        done = outcome is api.Outcome.OK if finished is None else finished
-        return self.give(api.AttemptEnded(send.request, attempt, send.backend, outcome, 1.0, done))
+        has_final_answer = outcome is api.Outcome.OK if finished is None else finished
+        return self.give(
+            api.AttemptEnded(send.request, attempt, send.backend, outcome, 1.0, has_final_answer)
+        )
 
-    def pass_time(self, milliseconds: float) -> list[api.Action]:
-        """Let time pass, with the timers firing as the gateway asked."""
+    def pass_time(self, duration_ms: float) -> list[api.Action]:
+        """Advance the clock, and fire the timers that the gateway has set; return the actions of these."""
         actions: list[api.Action] = []
-        end = self.now_ms + milliseconds
-        while self.timers and self.timers[0][0] <= end:
-            at, _, timer = heapq.heappop(self.timers)
-            self.now_ms = max(self.now_ms, at)
+        end_ms = self.now_ms + duration_ms
+        while self.timers and self.timers[0][0] <= end_ms:
+            fires_at_ms, _, timer = heapq.heappop(self.timers)
+            self.now_ms = max(self.now_ms, fires_at_ms)
             actions += self.give(api.TimerFired(timer))
-        self.now_ms = end
+        self.now_ms = end_ms
         return actions
 
 
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -320,7 +320,7 @@
 
 
 def test_a_fleet_of_cold_backends_serves_little_and_then_all_requests() -> None:
-    world = make_world(entry(1, started=9_900), entry(2, started=9_900), entry(3, started=9_900))
+    world = make_world(entry(1, started_at_ms=9_900), entry(2, started_at_ms=9_900), entry(3, started_at_ms=9_900))
     served = [0, 0]
     for half in (0, 1):
         for _ in range(100):
@@ -336,7 +336,7 @@
     hits = 0
     for index in range(200):
         world = GatewayHarness(
-            [entry(i, started=9_990 if i == 5 else 0) for i in range(20)],
+            [entry(i, started_at_ms=9_990 if i == 5 else 0) for i in range(20)],
             seed=index,
             **{**NO_QUOTA, "gateways": 200, "index": index},
         )
@@ -352,7 +352,7 @@
     hits = 0
     for seed in range(20):
         world = GatewayHarness(
-            [entry(i, started=10_000 - 4_000 if i < 5 else 0) for i in range(10)], seed=seed, **NO_QUOTA
+            [entry(i, started_at_ms=10_000 - 4_000 if i < 5 else 0) for i in range(10)], seed=seed, **NO_QUOTA
         )
         for _ in range(100):  # half of the backends have 0.52 of the capacity of a warm one
             send = only_send(world.ask())
@@ -393,7 +393,7 @@
     rules = api.SafetyRules(500, 0.25, 16_000, 3)
     for index in range(40):
         world = GatewayHarness(
-            [entry(i, started=9_900 if i < 36 else 0) for i in range(60)],
+            [entry(i, started_at_ms=9_900 if i < 36 else 0) for i in range(60)],
             seed=index,
             **{**NO_QUOTA, "gateways": 40, "index": index, "rules": rules},
         )
@@ -408,7 +408,7 @@
 
 def test_backends_without_any_safe_capacity_lead_to_rejections() -> None:
     rules = api.SafetyRules(500, 0.0, 16_000, 3)
-    world = GatewayHarness([entry(i, started=10_000) for i in range(3)], **{**NO_QUOTA, "rules": rules})
+    world = GatewayHarness([entry(i, started_at_ms=10_000) for i in range(3)], **{**NO_QUOTA, "rules": rules})
     assert rejections(world.ask())
 
 
@@ -447,7 +447,7 @@
     """Guards against a cold backend that gets the load of a warm one from each gateway and fails for good."""
     world = make_world(entry(1), entry(2), entry(3))
     answer_requests(world, 400)
-    world.give(backends(entry(9, started=world.now_ms - 100), scope=api.ListScope.CHANGES))
+    world.give(backends(entry(9, started_at_ms=world.now_ms - 100), scope=api.ListScope.CHANGES))
     early = [only_send(world.ask()) for _ in range(1)]
     world.end_attempt(early[0])
     mark = world.now_ms
--- a/tests/policy/test_durable_state.py
+++ b/tests/policy/test_durable_state.py
@@ -315,7 +315,7 @@
         and after.latency.mean_ms == before.latency.mean_ms
     )
     assert after.customers.gateway_created_ms == before.customers.gateway_created_ms
-    disk.changes["entries"] = [entry(1, started=disk.world.now_ms), entry(2)]
+    disk.changes["entries"] = [entry(1, started_at_ms=disk.world.now_ms), entry(2)]
     disk.crash(200)
     assert not disk.world.gateway.backends.by_id[1].scores
 
--- a/tests/service/test_fleet_budgets.py
+++ b/tests/service/test_fleet_budgets.py
@@ -205,7 +205,7 @@
     usual = 0.8 * 10 * WARM_RATE
     traffic(3.0, usual * len(warm) / 10)
     started = fleet.now
-    joined = tuple(entry(100 + number, started=started) for number in range(cold))
+    joined = tuple(entry(100 + number, started_at_ms=started) for number in range(cold))
     fleet.backends = warm + joined  # what a gateway that starts from now on is told
     told = api.BackendsChanged(api.ListScope.CHANGES, joined)
     for index in range(gateways):
--- a/tests/service/test_wall_clock.py
+++ b/tests/service/test_wall_clock.py
@@ -21,7 +21,7 @@
 
 def told(world: GatewayHarness, started: float, held_until: float) -> None:
     """A newer list brings backend 9, whose start another clock tells."""
-    world.give(api.BackendsChanged(api.ListScope.CHANGES, (entry(9, started=started),), held_until))
+    world.give(api.BackendsChanged(api.ListScope.CHANGES, (entry(9, started_at_ms=started),), held_until))
 
 
 @pytest.mark.parametrize("ahead_ms", [1_000.0, 90_000.0, HOUR_MS])
@@ -43,7 +43,7 @@
 
 
 def test_a_backend_that_tells_a_new_start_is_cold_though_this_clock_is_ahead() -> None:
-    world = GatewayHarness((entry(1), entry(9, started=1.0)), now_ms=2 * HOUR_MS)
+    world = GatewayHarness((entry(1), entry(9, started_at_ms=1.0)), now_ms=2 * HOUR_MS)
     assert world.gateway.backends.by_id[9].warm_ratio(world.now_ms) == 1.0  # the first list is believed
     told(world, started=2.0, held_until=world.now_ms)
     assert world.gateway.backends.by_id[9].warm_ratio(world.now_ms) == pytest.approx(RULES.start_capacity)
