--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -226,7 +226,9 @@
 
 
 def subsets(fleet: list[api.BackendEntry], gateways: int) -> list[set[int]]:
-    worlds = (GatewayHarness(fleet, **{**NO_QUOTA, "gateways": gateways, "index": i}) for i in range(gateways))
+    worlds = (
+        GatewayHarness(fleet, **{**NO_QUOTA, "gateways": gateways, "index": i}) for i in range(gateways)
+    )
     return [{b.id for b in world.gateway.backends.subset} for world in worlds]
 
 
@@ -270,7 +272,10 @@
             attempt = 0
             while send.backend < 20:
                 refused += 1
-                send, attempt = only_send(world.end_attempt(send, api.Outcome.CONNECT_FAILED, attempt)), attempt + 1
+                send, attempt = (
+                    only_send(world.end_attempt(send, api.Outcome.CONNECT_FAILED, attempt)),
+                    attempt + 1,
+                )
             world.end_attempt(send, attempt=attempt)
             world.pass_time(20)
     assert refused <= 1.3 * 40 * 5  # a third of each subset, about once
@@ -320,7 +325,9 @@
 
 
 def test_a_fleet_of_cold_backends_serves_little_and_then_all_requests() -> None:
-    world = make_world(entry(1, started_at_ms=9_900), entry(2, started_at_ms=9_900), entry(3, started_at_ms=9_900))
+    world = make_world(
+        entry(1, started_at_ms=9_900), entry(2, started_at_ms=9_900), entry(3, started_at_ms=9_900)
+    )
     served = [0, 0]
     for half in (0, 1):
         for _ in range(100):
@@ -378,7 +385,9 @@
         )
         for number in range(in_flight - 1):  # the new request counts too
             gateway.attempts.in_flight["r", number] = Attempt(
-                Request(request, request_class, customer, world.now_ms), gateway.backends.by_id[1], world.now_ms
+                Request(request, request_class, customer, world.now_ms),
+                gateway.backends.by_id[1],
+                world.now_ms,
             )
         assert (
             least
--- a/tests/policy/test_leases.py
+++ b/tests/policy/test_leases.py
@@ -260,7 +260,9 @@
         world.gateway.leases.counter_capacity.ratio = 0.3
         for number in range(50):
             asked += 1
-            reported += sum(call.amount for call in counter_calls(world.ask(customer=f"c{number}", spread=40)))
+            reported += sum(
+                call.amount for call in counter_calls(world.ask(customer=f"c{number}", spread=40))
+            )
     assert 0.85 * asked < reported < 1.15 * asked
 
 
--- a/tests/policy/test_rules_hold.py
+++ b/tests/policy/test_rules_hold.py
@@ -7,7 +7,7 @@
 import sys
 from pathlib import Path
 
-from helpers import FIRM, KEYED_CLASS, IDEMPOTENT_CLASS, NOT_IDEMPOTENT_CLASS, GatewayHarness, backends, entry
+from helpers import FIRM, IDEMPOTENT_CLASS, KEYED_CLASS, NOT_IDEMPOTENT_CLASS, GatewayHarness, backends, entry
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -39,7 +39,11 @@
         self.calls: list[api.AddToCounter] = []
         self.states = {i: api.BackendState.READY for i in range(5)}
         self.listed_ready_until_ms = {i: -1e9 for i in range(5)}
-        self.ceiling_tokens, self.ceiling_filled_at_ms, self.ceiling_share = 0.0, self.world.now_ms, EVEN_SHARE
+        self.ceiling_tokens, self.ceiling_filled_at_ms, self.ceiling_share = (
+            0.0,
+            self.world.now_ms,
+            EVEN_SHARE,
+        )
         if has_waited:
             self.apply("t", 0, 400)
 
