--- a/switchline/clients/places.py
+++ b/switchline/clients/places.py
@@ -4,7 +4,7 @@
 clients are divided only when few are free: most of them may go to validated connections of any peer, and
 the rest is for young connections and for peers with few connections. The oldest young connection is evicted
 first, then the longest idle one of the peer that has most. A connection with a request in flight or partly
-read is never evicted.
+read is never evicted to make room.
 """
 
 from __future__ import annotations
@@ -38,9 +38,8 @@
         self.budget = budget
         self.metrics = metrics
         self.young: dict[ClientConnection, None] = {}  # the oldest first
-        self.validated: dict[
-            str, dict[ClientConnection, None]
-        ] = {}  # by peer address, the longest unused first
+        # By peer address; of each peer the longest unused connection first.
+        self.validated: dict[str, dict[ClientConnection, None]] = {}
         self.shares = FairShares(0)  # divides validated connections among peers
         self._update_limits()
         budget.relief_callbacks.append(self.make_room)
@@ -91,9 +90,9 @@
             Whether it got a place; else it stays young.
         """
         self._update_limits()
-        held_count = self.shares.slots_by_holder.get(connection.peer_address, 0)
+        connection_count = self.shares.slots_by_holder.get(connection.peer_address, 0)
         if not self.shares.admits(connection.peer_address) and not self.evict_idle(
-            min_connections=held_count
+            min_connections=connection_count
         ):
             return False
         del self.young[connection]
