--- a/switchline/clients/connection.py
+++ b/switchline/clients/connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: commands in, answers out in the same order, and its orderly end."""
+"""One client connection: it parses commands, writes answers in their order, and closes gracefully."""
 
 from __future__ import annotations
 
@@ -25,21 +25,27 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PIPELINED = 32  # commands that may wait for their answers before the connection is read no further
-MAX_UNSENT_BYTES = 128 * 1024  # of answers that a client may leave unread, likewise
-MAX_UNSENT_STREAMED_BYTES = 16 * 1024  # of a long answer; the transport adds what was written last
-MAX_COMMAND_BYTES = 128 * 1024  # a streamed value not counted
-MAX_ARGUMENTS = 16  # a request has five, and the commands of connection set-up few more
-READ_BYTES = 64 * 1024
-MAX_DISCARDED_BYTES = 256 * 1024  # that a peer may send after its last answer
+# While this many commands wait for their answers, the connection is read no further.
+MAX_PIPELINED_COMMANDS = 32
+# While more bytes of answers wait in the transport, the connection is read no further.
+MAX_UNSENT_BYTES = 128 * 1024
+# While more bytes of a long answer wait in the transport, no more of it is written. The last piece may exceed
+# this limit.
+MAX_UNSENT_STREAMED_BYTES = 16 * 1024
+MAX_COMMAND_BYTES = 128 * 1024  # without a streamed value
+MAX_ARGUMENTS = 16  # a request has at most five, and the set-up commands of client libraries few more
+READ_BUFFER_BYTES = 64 * 1024
+# Bytes that are read and discarded after the last command. A peer that sends more is read no further while
+# answers are due, and disconnected after the last one.
+MAX_DISCARDED_BYTES = 256 * 1024
 
 
 class ConnectionState(IntEnum):
-    """SERVING -> CLOSING -> HALF_CLOSED, and from each of them the connection may be lost.
+    """States of a connection, in the order SERVING, CLOSING, HALF_CLOSED. In each it may be lost.
 
     SERVING: commands are read and answered.
-    CLOSING: no further command is answered; those before still are.
-    HALF_CLOSED: the last answer is written and this side is shut; the peer may read and close.
+    CLOSING: no further command is answered; earlier ones still are.
+    HALF_CLOSED: the last answer and the end of the stream are written; the peer may read them and close.
     """
 
     SERVING = auto()
@@ -48,64 +54,65 @@
 
 
 class ClientConnection(asyncio.BufferedProtocol):
-    """Owns the commands of one client that are read and not answered.
+    """Owns the commands of one client that are read and not yet answered.
 
     Args:
-        server: that the connection belongs to.
+        server: the server that the connection belongs to.
     """
 
     def __init__(self, server: ClientServer) -> None:
         self.server = server
         self.state = ConnectionState.SERVING
         self.transport: asyncio.Transport | None = None
-        self.lost = False  # it has ended, by either side
-        self.peer = ""  # its address; connections are shared out among these
-        self.proven = False  # it has sent a proper request
-        self.surplus = False  # it got no place: it is kept only if a request is the first that arrives
+        self.lost = False  # the connection has ended, closed by either side
+        self.peer_address = ""  # places for connections are divided among peers by their addresses
+        self.validated = False  # it has sent a valid request and got a place for it
+        # It got no place when it was opened, and is closed unless what arrives first is a request.
+        self.surplus = False
         self.slots: deque[Slot] = deque()
-        self.body: StreamedRequestBody | None = None  # a long value that is arriving
-        self.body_slot: Slot | None = None  # of its command
-        self.last_used_s = time.monotonic()  # a command arrived or an answer was written
-        self.receiving = ReceiveWatch(owed_since_s=self.last_used_s)
+        self.streamed_body: StreamedRequestBody | None = None  # a long value that is still arriving
+        self.streamed_body_slot: Slot | None = None  # slot of the command with that value
+        self.last_used_s = time.monotonic()  # last time a command arrived or an answer was written
+        self.receiving = ReceiveWatch(wait_started_at_s=self.last_used_s)
         self.delivery = DeliveryWatch()
-        self.received_at_ms = now_ms()  # when bytes last arrived
+        self.received_at_ms = now_ms()  # time at which bytes last arrived
         self.reading_paused = False
         self.parser = RespParser(MAX_ARGUMENTS, MAX_COMMAND_BYTES, STREAMING_THRESHOLD_BYTES, MAX_VALUE_BYTES)
-        self._has_unparsed = False  # bytes that may hold a command
+        self._has_unparsed_bytes = False  # bytes were received that may contain a complete command
         self._writing_paused = False
-        self._pumping = False  # guards `pump` against itself
+        self._pumping = False  # `pump` is running; prevents recursion
         self.half_closed_at_s = 0.0
-        self._discarded = 0  # bytes that arrived after what closes the connection
+        self._discarded_bytes = 0  # received after the last command that is answered
 
     @property
     def guard(self) -> Guard:
-        """Counts violated invariants."""
+        """The guard of the server, which counts violated invariants."""
         return self.server.guard
 
     @property
     def closing(self) -> bool:
-        """Whether no further command is answered."""
+        """Whether the connection answers no further command."""
         return self.state >= ConnectionState.CLOSING
 
     # ---- called by the event loop ----
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """See asyncio.BaseProtocol."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
         self.transport.set_write_buffer_limits(high=MAX_UNSENT_BYTES)
-        # A peer that has reset the connection by now has no address any more.
-        self.peer = (self.transport.get_extra_info("peername") or ("",))[0]
-        self.server.opened(self)
+        # If the peer has already reset the connection, its address is not available.
+        self.peer_address = (self.transport.get_extra_info("peername") or ("",))[0]
+        self.server.on_connection_opened(self)
 
     def connection_lost(self, error: Exception | None) -> None:
         """See asyncio.BaseProtocol."""
         self.transport = None
         self.lost = True
-        self.server.closed(self)
+        self.server.on_connection_lost(self)
         self._abandon_requests()
 
     def pause_writing(self) -> None:
-        """See asyncio.BaseProtocol. A client that asks and does not read would make us hold its answers."""
+        """See asyncio.BaseProtocol. Reading pauses too: answers to further commands would fill memory."""
         self._writing_paused = True
         self._update_reading()
 
@@ -116,62 +123,65 @@
 
     def get_buffer(self, sizehint: int) -> memoryview:
         """See asyncio.BufferedProtocol."""
-        if self.body is None:
+        if self.streamed_body is None:
             return self.server.read_buffer
-        return self.server.read_buffer[: self.body.buffer_budget.window]
+        return self.server.read_buffer[: self.streamed_body.buffer_budget.window]
 
     def buffer_updated(self, nbytes: int) -> None:
         """See asyncio.BufferedProtocol."""
         self.data_received(self.server.read_buffer[:nbytes])
 
     def data_received(self, data: bytes | memoryview) -> None:
-        """Parse and answer what has arrived."""
+        """Parse the bytes that have arrived, and answer the commands in them."""
         if self.closing:
-            self._discard(len(data))  # nothing more is answered here, and it must not pile up either
+            self._discard(len(data))  # no further command is answered, and the bytes must not fill memory
             return
         self.received_at_ms = now_ms()
         self.parser.feed(data)
-        self._has_unparsed = True
+        self._has_unparsed_bytes = True
         self.pump()
 
     # ---- commands in, answers out ----
 
     def pump(self) -> None:
-        """Take commands and write answers, as far as both go; answers given at once are written together."""
+        """Process received commands and write answers that are due, until neither is possible.
+
+        Answers that are available at the same time are written together.
+        """
         if self._pumping:
             return
         self._pumping = True
         try:
             self._write_answers()
-            while self._has_unparsed and not self._is_blocked():
-                self._take_commands()
+            while self._has_unparsed_bytes and not self._is_blocked():
+                self._process_commands()
                 self._write_answers()
         finally:
             self._pumping = False
-        if self.transport is not None and not self.slots and (self.closing or self.ends_by_drain()):
-            self.shut()
-        elif self.surplus and not self.proven and self.body is None:
+        if self.transport is not None and not self.slots and (self.closing or self.closes_for_drain()):
+            self.close_gracefully()
+        elif self.surplus and not self.validated and self.streamed_body is None:
             self.server.places.evict(self, EvictionReason.CROWDED)
         self._update_reading()
 
-    def ends_by_drain(self) -> bool:
-        """Whether a drain ends this connection: not while a request is arriving."""
+    def closes_for_drain(self) -> bool:
+        """Whether a drain closes this connection now: it does not while a request is arriving."""
         return self.server.closing_connections and not self.parser.has_partial_value()
 
     def _is_blocked(self) -> bool:
-        body_full = self.body is not None and self.body.full
-        return body_full or self._writing_paused or self.closing or len(self.slots) >= MAX_PIPELINED
+        body_full = self.streamed_body is not None and self.streamed_body.full
+        return body_full or self._writing_paused or self.closing or len(self.slots) >= MAX_PIPELINED_COMMANDS
 
-    def _take_commands(self) -> None:
+    def _process_commands(self) -> None:
         try:
             while not self._is_blocked():
-                if self.body is not None:
-                    if not self._take_streamed(self.body):
+                if self.streamed_body is not None:
+                    if not self._receive_streamed(self.streamed_body):
                         return
                     continue
                 value = self.parser.next_value()
                 if value is INCOMPLETE:
-                    self._note_incomplete()
+                    self._record_incomplete_command()
                     return
                 self.last_used_s = time.monotonic()
                 if isinstance(value, StreamedStringStarted):
@@ -181,77 +191,77 @@
         except ProtocolError as error:
             self.fail_protocol(str(error))
 
-    def _note_incomplete(self) -> None:
-        self._has_unparsed = False
+    def _record_incomplete_command(self) -> None:
+        self._has_unparsed_bytes = False
         if self.parser.has_partial_value():
-            self.receiving.partial_command(time.monotonic())
-
-    def _begin_streamed_request(self, started: StreamedStringStarted) -> None:
-        """Decide on a request by its head, as its value is too long to be collected."""
-        if started.missing != 1 or not begins_request(started.items):
-            raise ProtocolError("value too long")
-        self.receiving.stream_started(time.monotonic())
-        self.body = StreamedRequestBody(self.server.buffer_budget, started.length)
-        self.body.on_capacity = self.pump
-        body = self.body
-        slot = self.body_slot = dispatch(self, [*started.items, b""], body)
-        if slot is None or slot.request is None:
-            body.drop()  # it has its answer; what still arrives of it is discarded
-
-    def _take_streamed(self, body: StreamedRequestBody) -> bool:
-        """Take a piece of a streamed value; return whether something arrived."""
-        if piece := self.parser.read_streamed(READ_BYTES):
-            self.receiving.last_bytes_s = time.monotonic()
+            self.receiving.record_partial_command(time.monotonic())
+
+    def _begin_streamed_request(self, streamed_string: StreamedStringStarted) -> None:
+        """Dispatch a request whose value is too long to be collected, before the value has arrived."""
+        if streamed_string.missing != 1 or not begins_request(streamed_string.items):
+            raise ProtocolError("long value that is not the last argument of a request")
+        self.receiving.record_stream_start(time.monotonic())
+        self.streamed_body = StreamedRequestBody(self.server.buffer_budget, streamed_string.length)
+        self.streamed_body.on_capacity = self.pump
+        body = self.streamed_body
+        slot = self.streamed_body_slot = dispatch(self, [*streamed_string.items, b""], body)
+        if slot is None or slot.request_id is None:
+            body.drop()  # the request has its answer already; the rest of its value is discarded
+
+    def _receive_streamed(self, body: StreamedRequestBody) -> bool:
+        """Pass one piece of a streamed value on; return False if no bytes of it have arrived."""
+        if piece := self.parser.read_streamed(READ_BUFFER_BYTES):
+            self.receiving.last_received_s = time.monotonic()
             body.feed(piece)
         elif self.parser.streamed_remaining > 0 or self.parser.next_value() is INCOMPLETE:
-            self._has_unparsed = False
+            self._has_unparsed_bytes = False
             return False
         else:
-            self.body = None
-            if self.body_slot is not None and self.body_slot.request is not None:
-                self.server.handler.on_body_received(self.body_slot.request)
+            self.streamed_body = None
+            if self.streamed_body_slot is not None and self.streamed_body_slot.request_id is not None:
+                self.server.handler.on_body_received(self.streamed_body_slot.request_id)
             body.end()
         return True
 
     def begin_streaming(self) -> None:
-        """Note that a long answer begins: from now on little of it may wait here."""
+        """Prepare for a long answer: from now on only a few bytes may wait in the transport."""
         if self.transport is not None:
             self.transport.set_write_buffer_limits(high=MAX_UNSENT_STREAMED_BYTES)
         self.pump()
 
     def _write_answers(self) -> None:
         """Write the answers that are due, in the order of the commands."""
-        due: list[bytes] = []
-        while self.slots and self._collect_answer(self.slots[0], due):
+        ready: list[bytes] = []
+        while self.slots and self._collect_answer(self.slots[0], ready):
             self.slots.popleft()
-        if due and self.transport is not None:
-            answers = due[0] if len(due) == 1 else b"".join(due)
+        if ready and self.transport is not None:
+            answers = ready[0] if len(ready) == 1 else b"".join(ready)
             self.transport.write(answers)
-            self.delivery.written += len(answers)
+            self.delivery.written_bytes += len(answers)
             self.last_used_s = time.monotonic()
-            self.server.places.used(self)
+            self.server.places.record_use(self)
 
-    def _collect_answer(self, slot: Slot, due: list[bytes]) -> bool:
-        """Add what may be written of an answer; return whether it is complete."""
+    def _collect_answer(self, slot: Slot, ready: list[bytes]) -> bool:
+        """Add the bytes of an answer that may be written to `ready`; return whether all are added."""
         if slot.response is None:
             if slot.reply is None:
                 return False
-            due.append(slot.reply)
+            ready.append(slot.reply)
             return True
         if not self._writing_paused:
-            due.append(slot.response.take())
+            ready.append(slot.response.take())
         if not slot.response.written:
             return False
-        slot.request = None
+        slot.request_id = None
         if slot.on_written is not None:
             slot.on_written()
         return True
 
     def _update_reading(self) -> None:
-        """Pause or resume reading. After the last command it reads on, to discard what arrives."""
+        """Pause or resume reading. After the last command reading goes on, to discard further bytes."""
         if self.transport is None or self.transport.is_closing():
             return
-        pause = self._discarded > MAX_DISCARDED_BYTES if self.closing else self._is_blocked()
+        pause = self._discarded_bytes > MAX_DISCARDED_BYTES if self.closing else self._is_blocked()
         if pause == self.reading_paused:
             return
         self.reading_paused = pause
@@ -263,12 +273,15 @@
     # ---- errors of the peer ----
 
     def fail_protocol(self, reason: str) -> None:
-        """Answer with an error and close: what follows can't be told from the rest of a command.
+        """Answer with an error and close, as the beginning of the next command can't be found.
 
         Earlier requests still get their answers.
+
+        Args:
+            reason: what broke the protocol, for the log.
         """
         self.begin_closing()
-        slot = self._abandon_body() if self.body is not None else Slot(self)
+        slot = self._abandon_body() if self.streamed_body is not None else Slot(self)
         if slot is not None:
             slot.answered = True
             slot.reply = b"-ERR protocol error\r\n"
@@ -277,43 +290,48 @@
         log.warning("client broke the protocol: %s", " ".join(reason.split()))
 
     def _abandon_body(self) -> Slot | None:
-        """Let go of a command whose value does not arrive; return its slot if it is still owed an answer."""
-        body = self.body
-        slot = self.body_slot
-        self.body = None
-        self.body_slot = None
+        """Abandon a command whose value does not arrive; return its slot if it has no answer yet."""
+        body = self.streamed_body
+        slot = self.streamed_body_slot
+        self.streamed_body = None
+        self.streamed_body_slot = None
         if body is not None:
             body.drop()
-        if slot is None or slot.request is None:
+        if slot is None or slot.request_id is None:
             return None
-        request = slot.request
-        slot.request = None
+        request = slot.request_id
+        slot.request_id = None
         self.server.handler.on_client_gone(request)
         return slot
 
     # ---- the end ----
 
     def begin_closing(self) -> None:
-        """Answer no further command."""
+        """Answer no further command; earlier ones still get their answers."""
         self.state = max(self.state, ConnectionState.CLOSING)
 
     def close(self) -> None:
-        """End this connection: the one place where this side does so between answers.
+        """Close this connection. All closes by this side between answers go through here.
 
-        A request that is open here would be lost with it, so then it stays open.
+        With a request in flight the connection stays open, as the answer would be lost; this is counted as a
+        violated invariant.
         """
         if self.transport is None or self.transport.is_closing():
             return
-        open_requests = [slot.request for slot in self.slots if slot.request is not None]
+        open_requests = [slot.request_id for slot in self.slots if slot.request_id is not None]
         if open_requests:
-            self.guard.violated(Invariant.NO_UNANSWERED_CLOSE, f"open: {', '.join(open_requests)}")
+            self.guard.violated(
+                Invariant.NO_UNANSWERED_CLOSE,
+                f"close refused with requests in flight: {', '.join(open_requests)}",
+            )
             return
         self.transport.close()
 
-    def shut(self) -> None:
-        """Write what is due, end this side, and close once the peer has read that and closed as well.
+    def close_gracefully(self) -> None:
+        """Half-close the connection after its last answer, and close it once the peer has closed too.
 
-        A close over unread bytes resets the connection, which discards what the peer has not read yet.
+        Closing a socket with unread bytes resets the connection, and the peer loses the answers that it has
+        not read yet. Without time or place to linger the connection is closed at once.
         """
         self.begin_closing()
         if self.transport is None or self.transport.is_closing():
@@ -325,14 +343,18 @@
             return
         self.state = ConnectionState.HALF_CLOSED
         self.half_closed_at_s = time.monotonic()
-        self.server.half_closed(self)
+        self.server.on_half_closed(self)
         self._update_reading()
         self.transport.write_eof()
 
     def _discard(self, length: int) -> None:
-        """Read on, so that the peer's close is seen and unread bytes don't reset what it is still to read."""
-        self._discarded += length
-        if self._discarded <= MAX_DISCARDED_BYTES or self.transport is None:
+        """Discard bytes that arrive after the last command, up to a limit.
+
+        Reading goes on so that the close by the peer is noticed, and so that no unread bytes are left. They
+        would reset the connection before the peer has read its answers.
+        """
+        self._discarded_bytes += length
+        if self._discarded_bytes <= MAX_DISCARDED_BYTES or self.transport is None:
             return
         if self.state is ConnectionState.HALF_CLOSED:
             self.close()
@@ -340,28 +362,29 @@
             self._update_reading()
 
     def _abandon_requests(self) -> None:
-        """Note that nobody waits for answers here any more."""
+        """Abandon all requests of this connection, as no client waits for the answers."""
         slots = self.slots
         self.slots = deque()
-        body = self.body
-        self.body = None
+        body = self.streamed_body
+        self.streamed_body = None
         if body is not None:
             body.drop()
         for slot in slots:
             slot.answered = True
-            if slot.request is not None:
-                self.server.handler.on_client_gone(slot.request)
+            if slot.request_id is not None:
+                self.server.handler.on_client_gone(slot.request_id)
 
-    # ---- what the socket says ----
+    # ---- state of the socket ----
 
-    def notice_departure(self) -> bool:
-        """Whether the client has gone; what it asked for ends then, before its close has been read.
+    def detect_client_close(self) -> bool:
+        """Return whether the client has closed its connection; if so, abandon its requests.
 
-        While reading is paused a close would go unnoticed, and else until the event loop's next turn.
+        This asks the socket, because a close goes unnoticed while reading is paused, and otherwise until the
+        next turn of the event loop.
         """
         if self.lost or (self.transport is not None and self.transport.is_closing()):
             return True
-        if self.transport is None or not self._ask_socket(peer_has_closed, unknown=False):
+        if self.transport is None or not self._query_socket(peer_has_closed, if_unavailable=False):
             return False
         self.transport.abort()
         self._abandon_requests()
@@ -369,28 +392,38 @@
 
     @property
     def has_unread_bytes(self) -> bool:
-        """Whether something has arrived that this process has yet to read."""
-        return self._ask_socket(has_unread_bytes, unknown=True)
+        """Whether the socket has received bytes that this process has not read yet."""
+        return self._query_socket(has_unread_bytes, if_unavailable=True)
 
-    def _ask_socket(self, question: Callable[[int], bool], unknown: bool) -> bool:
-        """Ask the system about the socket; `unknown` where it does not even give the socket."""
+    def _query_socket(self, query: Callable[[int], bool], if_unavailable: bool) -> bool:
+        """Query the system about the socket.
+
+        Args:
+            query: takes the file descriptor.
+            if_unavailable: returned if the system can't provide the socket, for lack of a descriptor.
+        """
         if self.transport is None:
             return False
         try:
             sock = self.transport.get_extra_info("socket")
         except OSError:
-            return unknown
-        return sock is not None and sock.fileno() >= 0 and question(sock.fileno())
+            return if_unavailable
+        return sock is not None and sock.fileno() >= 0 and query(sock.fileno())
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is open on it, partly read or still to be written: it may be closed at any time."""
+        """Whether no request is in flight, no command partly read and no answer unwritten.
+
+        An idle connection may be closed at any time.
+        """
         if self.transport is None or self.transport.is_closing() or self.closing:
             return False
-        receiving = self.body is not None or self.parser.has_partial_value() or self._has_unparsed
+        receiving = (
+            self.streamed_body is not None or self.parser.has_partial_value() or self._has_unparsed_bytes
+        )
         return not self.slots and not receiving and not self.transport.get_write_buffer_size()
 
     @property
     def may_be_evicted(self) -> bool:
-        """Whether it is idle, and nothing has arrived that this process has yet to read."""
+        """Whether the connection is idle, and the socket has no bytes that this process has not read yet."""
         return self.idle and not self.has_unread_bytes
--- a/switchline/clients/dispatch.py
+++ b/switchline/clients/dispatch.py
@@ -1,4 +1,4 @@
-"""Commands of clients: requests go to the handler, those of connection set-up are answered here."""
+"""Dispatch of client commands: requests go to the handler, all other commands are answered here."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import time
 from typing import TYPE_CHECKING, TypeGuard
 
-from switchline.clients.commands import HEAD_ARGUMENTS, REQUEST_VERBS, bulk, parse_command
+from switchline.clients.commands import HEAD_ARGUMENTS, REQUEST_VERBS, encode_bulk_string, parse_command
 from switchline.clients.slot import Slot
 from switchline.net.resp import Item, Value
 from switchline.net.streams import StreamedRequestBody
@@ -16,45 +16,46 @@
 
 log = logging.getLogger(__name__)
 
-SETUP_VERBS = {b"CLIENT", b"SELECT"}  # of client libraries; answered and otherwise ignored
+# Client libraries send these when they connect. They are answered with +OK and have no other effect.
+SETUP_VERBS = {b"CLIENT", b"SELECT"}
 OK = b"+OK\r\n"
 PONG = b"+PONG\r\n"
-DRAINING = b"-ERR draining\r\n"
+DRAINING_ERROR = b"-ERR draining\r\n"
 
 
 def dispatch(
     connection: ClientConnection, value: Value, body: StreamedRequestBody | None = None
 ) -> Slot | None:
-    """Answer a command, or hand it to the handler if it is a request.
+    """Answer one parsed command, or pass it to the request handler if it is a request.
 
     Args:
-        connection: on which it arrived.
-        value: as parsed.
-        body: a long value that is still arriving, the last argument.
+        connection: the connection on which the command arrived.
+        value: the RESP value, as parsed.
+        body: the last argument, if it is a long value that is still arriving.
 
     Returns:
-        The command's slot; None if it is no command.
+        The slot of the command; None if the value is not a command, which is a protocol error.
     """
     if not is_command(value):
         connection.fail_protocol("not an array of bulk strings")
         return None
     slot = Slot(connection)
     connection.slots.append(slot)
-    owed_since_s = connection.receiving.owed_since_s
-    connection.receiving.owed_since_s = None
+    wait_started_at_s = connection.receiving.wait_started_at_s
+    connection.receiving.wait_started_at_s = None
     verb = value[0].upper()
     if verb in REQUEST_VERBS:
-        _handle_request(connection, slot, value, body, owed_since_s)
+        _handle_request(connection, slot, value, body, wait_started_at_s)
     elif verb == b"PING":
-        answer = bulk(value[1]) if len(value) > 1 else PONG
-        slot.answer(answer if connection.server.answers_ping else DRAINING)
+        answer = encode_bulk_string(value[1]) if len(value) > 1 else PONG
+        slot.answer(answer if connection.server.ping_succeeds else DRAINING_ERROR)
     elif verb in SETUP_VERBS:
         slot.answer(OK)
     elif verb == b"QUIT":
         slot.answer(OK)
         connection.begin_closing()
     else:
-        _reject_command(connection, slot, "unknown command", owed_since_s)
+        _reject_command(connection, slot, "unknown command", wait_started_at_s)
     return slot
 
 
@@ -63,43 +64,46 @@
     slot: Slot,
     arguments: list[bytes],
     body: StreamedRequestBody | None,
-    owed_since_s: float | None,
+    wait_started_at_s: float | None,
 ) -> None:
     server = connection.server
     try:
         command = parse_command(arguments, body, connection.received_at_ms)
-        slot.request = command.id
-        if connection.proven or server.prove(connection, command):
+        slot.request_id = command.id
+        if connection.validated or server.promote(connection, command):
             server.handler.on_command(command, slot)
         else:
-            server.handler.on_crowded(command, slot)
+            server.handler.on_no_place(command, slot)
     except ValueError as error:
-        slot.request = None
-        _reject_command(connection, slot, " ".join(str(error).split()), owed_since_s)
+        slot.request_id = None
+        _reject_command(connection, slot, " ".join(str(error).split()), wait_started_at_s)
 
 
 def _reject_command(
-    connection: ClientConnection, slot: Slot, reason: str, owed_since_s: float | None
+    connection: ClientConnection, slot: Slot, reason: str, wait_started_at_s: float | None
 ) -> None:
-    """Answer what is no proper request.
+    """Answer an invalid request or an unknown command with an error.
 
-    It buys the peer no time: a peer that has sent nothing better since `owed_since_s` is closed.
+    Such a command does not restart the command timeout: a peer that has sent nothing valid since
+    `wait_started_at_s` (monotonic seconds) is disconnected when the timeout has passed.
     """
-    log.warning("client sent what is no request: %s", reason)
-    connection.receiving.owed_since_s = time.monotonic() if owed_since_s is None else owed_since_s
+    log.warning("client sent an invalid command: %s", reason)
+    connection.receiving.wait_started_at_s = (
+        time.monotonic() if wait_started_at_s is None else wait_started_at_s
+    )
     slot.answer(b"-ERR %b\r\n" % reason.encode())
 
 
 def is_command(value: Value) -> TypeGuard[list[bytes]]:
-    """Whether a value is an array of bulk strings, and not empty."""
+    """Whether a value is a non-empty array of bulk strings."""
     return isinstance(value, list) and bool(value) and all(isinstance(item, bytes) for item in value)
 
 
 def begins_request(items: list[Item]) -> bool:
-    """Whether the items before a long value are the arguments of a request."""
+    """Whether the array items that precede a long value begin with the verb of a request."""
     return is_command(items) and items[0].upper() in REQUEST_VERBS
 
 
 def is_request_head(items: list[Item]) -> bool:
-    """Whether items are just the arguments of a request that go before its value."""
+    """Whether the items are exactly the arguments that precede the value of a request."""
     return len(items) == HEAD_ARGUMENTS and items[0] in REQUEST_VERBS
--- a/switchline/clients/supervision.py
+++ b/switchline/clients/supervision.py
@@ -1,4 +1,4 @@
-"""What is done about a connection whose peer has left something hanging."""
+"""Periodic check of client connections: those whose peers stop sending, reading or closing are ended."""
 
 from __future__ import annotations
 
@@ -10,56 +10,59 @@
 
 log = logging.getLogger(__name__)
 
-LINGER_S = 0.5  # after the last answer, for the peer to read it and to close: a reset would discard it
-DRAIN_IDLE_S = 0.25  # on a drain, a connection on which nothing arrives for this long is closed
-UNUSED_S = 60.0  # a connection without a command for this long is closed; clients open another
+# Time that a peer gets after the last answer to read it and to close: a reset would discard the answer.
+LINGER_TIMEOUT_S = 0.5
+# During a drain, a connection on which nothing arrives for this long is closed.
+DRAIN_IDLE_TIMEOUT_S = 0.25
+# A connection without a command for this long is closed. Clients open another when they need one.
+UNUSED_TIMEOUT_S = 60.0
 
 
-def check(connection: ClientConnection, now_s: float) -> None:
-    """End what a peer has left hanging, so that it holds neither memory nor a descriptor for ever.
+def check_connection(connection: ClientConnection, now_s: float) -> None:
+    """End a connection whose peer has exceeded a timeout, so that its memory and descriptor are freed.
 
     Args:
-        connection: to look at.
-        now_s: monotonic seconds.
+        connection: the connection to check.
+        now_s: current time, in monotonic seconds.
     """
     if connection.transport is None:
         return
-    unsent = connection.transport.get_write_buffer_size()
-    if connection.delivery.is_late(now_s, unsent, is_streaming(connection)):
-        unread_s = now_s - connection.delivery.behind_since_s
-        log.warning("client left its answers unread for %.0f s", unread_s)
+    unsent_bytes = connection.transport.get_write_buffer_size()
+    if connection.delivery.has_timed_out(now_s, unsent_bytes, is_streaming(connection)):
+        unread_s = now_s - connection.delivery.unread_started_at_s
+        log.warning("client has not read its answers for %.0f s; its connection is aborted", unread_s)
         connection.server.places.evict(connection, EvictionReason.UNREAD)
     elif connection.state is ConnectionState.HALF_CLOSED:
-        if now_s - connection.half_closed_at_s > LINGER_S and not unsent:
+        if now_s - connection.half_closed_at_s > LINGER_TIMEOUT_S and not unsent_bytes:
             connection.close()
     elif connection.closing or connection.reading_paused:
-        return  # its answers are due first, and it is read no further until then
-    elif is_receiving_late(connection, now_s):
+        return  # its answers are due first, and nothing more is read from it until then
+    elif has_receive_timed_out(connection, now_s):
         connection.server.metrics.evictions[EvictionReason.OWING] += 1
         connection.fail_protocol("no whole command in time")
         connection.pump()
-    elif not connection.slots and not unsent:
-        check_unused(connection, now_s)
+    elif not connection.slots and not unsent_bytes:
+        close_if_unused(connection, now_s)
 
 
-def check_unused(connection: ClientConnection, now_s: float) -> None:
-    """Close a connection that nobody has used for long; on a drain much sooner."""
-    draining = connection.ends_by_drain() and now_s > connection.server.close_idle_from_s
-    limit_s = DRAIN_IDLE_S if draining else UNUSED_S
-    if now_s - connection.last_used_s > limit_s and not connection.has_unread_bytes:
+def close_if_unused(connection: ClientConnection, now_s: float) -> None:
+    """Close a connection that has been unused for too long; the timeout is much shorter during a drain."""
+    draining = connection.closes_for_drain() and now_s > connection.server.idle_close_starts_at_s
+    timeout_s = DRAIN_IDLE_TIMEOUT_S if draining else UNUSED_TIMEOUT_S
+    if now_s - connection.last_used_s > timeout_s and not connection.has_unread_bytes:
         reason = EvictionReason.PARTING if draining else EvictionReason.UNUSED
         connection.server.places.evict(connection, reason)
 
 
 def is_streaming(connection: ClientConnection) -> bool:
-    """Whether a long answer is on its way: it may take as long as its bytes move."""
+    """Whether a long answer is being written: it may take any time as long as its bytes move."""
     return bool(connection.slots) and connection.slots[0].response is not None
 
 
-def is_receiving_late(connection: ClientConnection, now_s: float) -> bool:
-    """Whether the peer has left a command unfinished for too long."""
-    if connection.body is not None:
-        return connection.receiving.is_stream_late(now_s)
+def has_receive_timed_out(connection: ClientConnection, now_s: float) -> bool:
+    """Whether the peer has left a command incomplete for too long."""
+    if connection.streamed_body is not None:
+        return connection.receiving.has_stream_timed_out(now_s)
     items = connection.parser.array_items or []
     in_value = connection.parser.bulk_length >= 0 and is_request_head(items)
-    return connection.receiving.is_command_late(now_s, in_value)
+    return connection.receiving.has_command_timed_out(now_s, in_value)
