--- a/switchline/fleet_runtime/recovery/spending.py
+++ b/switchline/fleet_runtime/recovery/spending.py
@@ -80,7 +80,7 @@
             return
         self.waiting_for.discard(exchange.sender)
         for quota in exchange.remaining_quotas:
-            self.driver.give(
+            self.driver.dispatch(
                 api.GatewayQuotaReport(quota.key, quota.plan, quota.even_share, quota.remaining_units)
             )
         self.customers += len(exchange.remaining_quotas)
--- a/tests/clients/test_clients.py
+++ b/tests/clients/test_clients.py
@@ -10,7 +10,7 @@
 
 import hiredis
 import pytest
-from driver_scene import Scene
+from driver_scene import DriverScene
 
 from switchline.clients import connection as connections
 from switchline.clients import server as clients
@@ -605,7 +605,7 @@
 
 def test_request_expires_relative_to_its_arrival() -> None:
     async def scenario() -> None:
-        scene = Scene()
+        scene = DriverScene()
         command = parse_command(list(request(b"r1", wait=3_000)), None, 5_000.0)
         assert scene.driver.requests.reader.read(command).expires_ms == 8_000.0
 
--- a/tests/clients/test_connections.py
+++ b/tests/clients/test_connections.py
@@ -19,8 +19,8 @@
 from backend_attempts import Try, pool
 from connection_figures import gateway_config, gateway_metrics
 from cutting_backend import Cutting
-from driver_scene import Scene
-from gateway_process import connect, start
+from driver_scene import DriverScene
+from gateway_process import connect_client, start_gateway
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -790,8 +790,8 @@
 
 def test_first_request_of_a_customer_is_admitted_while_another_has_its_maximum() -> None:
     async def scenario() -> None:
-        scene = Scene(max_open=16)
-        slots = [scene.ask(b"r%d" % number) for number in range(20)]
+        scene = DriverScene(max_open=16)
+        slots = [scene.send_request(b"r%d" % number) for number in range(20)]
         assert [slot.reply for slot in slots] == [None] * 12 + [b"-BUSY 200\r\n"] * 8
         other_customer_slot = Slot(scene.connection)
         arguments = list(request(b"small"))
@@ -801,7 +801,7 @@
         scene.driver.requests.on_client_gone("r0")
         assert scene.driver.requests.shares.slots_by_holder == {"00000000b4d65521": 11, "00000000b4d65522": 1}
         scene.driver.requests.end_all()
-        assert not scene.driver.requests.shares.slots_by_holder and scene.figures.rejected_for_capacity == 8
+        assert not scene.driver.requests.shares.slots_by_holder and scene.metrics.rejected_for_capacity == 8
 
     in_loop(scenario)
 
@@ -943,12 +943,12 @@
         path = tmp_path / "config.json"
         config = {**world.config(), "listen": f"{LOCAL}:{port}"}
         path.write_text(json.dumps(config))
-        process = await start(path)
+        process = await start_gateway(path)
         try:
-            await (await connect(port)).writer.drain()
+            await (await connect_client(port)).writer.drain()
 
             async def connect_and_ask(number: int) -> object:
-                peer = await connect(port)
+                peer = await connect_client(port)
                 peer.send(*request(b"r%d" % number))
                 answer = await peer.receive()
                 peer.close()
