--- a/switchline/clients/connection.py
+++ b/switchline/clients/connection.py
@@ -151,7 +151,7 @@
         if self.transport is not None and not self.slots and (self.closing or self.ends_by_drain()):
             self.shut()
         elif self.surplus and not self.proven and self.body is None:
-            self.server.places.evict(self, EvictionReason.CROWDED)
+            self.server.places.evict(self, EvictionReason.NO_EVICTABLE_CONNECTION)
         self._update_reading()
 
     def ends_by_drain(self) -> bool:
@@ -306,7 +306,7 @@
             return
         open_requests = [slot.request for slot in self.slots if slot.request is not None]
         if open_requests:
-            self.guard.violated(Invariant.NO_UNANSWERED_CLOSE, f"open: {', '.join(open_requests)}")
+            self.guard.record_violation(Invariant.NO_UNANSWERED_CLOSE, f"open: {', '.join(open_requests)}")
             return
         self.transport.close()
 
--- a/switchline/clients/places.py
+++ b/switchline/clients/places.py
@@ -142,7 +142,7 @@
         self.metrics.evictions[reason] += 1
         log.info("connection of %s is closed: %s", connection.peer, reason.value)
         self.forget(connection)
-        if reason is EvictionReason.UNREAD:
+        if reason is EvictionReason.UNREAD_REPLIES:
             connection.begin_closing()
             if connection.transport is not None:
                 connection.transport.abort()  # it reads nothing: no answer can reach it, whatever is open
--- a/switchline/clients/slot.py
+++ b/switchline/clients/slot.py
@@ -37,7 +37,7 @@
             self.request = None
             self.connection.pump()
         elif self.reply is not None or self.response is not None:
-            self.connection.guard.violated(Invariant.ONE_ANSWER, f"a second answer: {reply[:40]!r}")
+            self.connection.guard.record_violation(Invariant.ONE_ANSWER, f"a second answer: {reply[:40]!r}")
 
     def stream(self, response: StreamedResponse, on_written: Callable[[], None]) -> None:
         """Give a long answer whose bytes are still arriving."""
--- a/switchline/clients/supervision.py
+++ b/switchline/clients/supervision.py
@@ -28,14 +28,14 @@
     if connection.delivery.is_late(now_s, unsent, is_streaming(connection)):
         unread_s = now_s - connection.delivery.behind_since_s
         log.warning("client left its answers unread for %.0f s", unread_s)
-        connection.server.places.evict(connection, EvictionReason.UNREAD)
+        connection.server.places.evict(connection, EvictionReason.UNREAD_REPLIES)
     elif connection.state is ConnectionState.HALF_CLOSED:
         if now_s - connection.half_closed_at_s > LINGER_S and not unsent:
             connection.close()
     elif connection.closing or connection.reading_paused:
         return  # its answers are due first, and it is read no further until then
     elif is_receiving_late(connection, now_s):
-        connection.server.metrics.evictions[EvictionReason.OWING] += 1
+        connection.server.metrics.evictions[EvictionReason.INCOMPLETE_COMMAND] += 1
         connection.fail_protocol("no whole command in time")
         connection.pump()
     elif not connection.slots and not unsent:
@@ -47,7 +47,7 @@
     draining = connection.ends_by_drain() and now_s > connection.server.close_idle_from_s
     limit_s = DRAIN_IDLE_S if draining else UNUSED_S
     if now_s - connection.last_used_s > limit_s and not connection.has_unread_bytes:
-        reason = EvictionReason.PARTING if draining else EvictionReason.UNUSED
+        reason = EvictionReason.GRACEFUL_SHUTDOWN if draining else EvictionReason.UNUSED
         connection.server.places.evict(connection, reason)
 
 
--- a/switchline/config.py
+++ b/switchline/config.py
@@ -68,10 +68,10 @@
 
 
 @dataclass(frozen=True)
-class FleetLink:
+class FleetConfig:
     """The table `fleet`: the gossip between gateways."""
 
-    fleet: str  # its name: messages of others are dropped
+    name: str  # its name: messages of others are dropped
     listen: Address
     advertise: Address  # where the others reach this one
     seeds: tuple[Address, ...]  # some that are likely there, asked at the start
@@ -89,19 +89,19 @@
     discovery: Address
     counter: Address | None
     seed: int
-    descriptors: int
+    descriptor_limit: int
     memory_bytes: int
     settings: api.Settings
     connect_timeout_ms: float
     keepalive_ms: float
-    max_open: int  # requests at once
-    shares: Shares  # of the descriptors
-    state: Path | None  # the folder of the state on disk; none: nothing is persisted
-    audit: Path | None  # the folder of the audit's records; none: they are on no disk
-    fleet: FleetLink | None  # none: this gateway knows of no other
+    max_requests_in_flight: int  # requests at once
+    descriptor_shares: Shares  # of the descriptors
+    state_folder: Path | None  # the folder of the state on disk; none: nothing is persisted
+    audit_folder: Path | None  # the folder of the audit's records; none: they are on no disk
+    fleet: FleetConfig | None  # none: this gateway knows of no other
     release: str  # of the program
     digest: str  # of what gateways of a fleet have in common
-    known: dict[str, Any]  # the list of backends as this gateway last had it, in discovery's form
+    last_known_list: dict[str, Any]  # the list of backends as this gateway last had it, in discovery's form
 
 
 def load_config(path: str) -> Config:
@@ -132,19 +132,19 @@
         discovery=parse_address(raw["discovery"]),
         counter=parse_address(raw["counter"]) if raw.get("counter") else None,
         seed=int(str(raw.get("seed") or "0"), 16),
-        descriptors=int(limits.get("sockets") or DEFAULT_DESCRIPTORS),
+        descriptor_limit=int(limits.get("sockets") or DEFAULT_DESCRIPTORS),
         memory_bytes=int(limits.get("memory_mb") or DEFAULT_MEMORY_MB) * MEGABYTE,
         settings=replace(read_settings(settings), regions=parse_regions(raw.get("regions"))),
         connect_timeout_ms=float(caps.get("connectTimeout") or DEFAULT_CONNECT_TIMEOUT_MS),
         keepalive_ms=float(caps.get("keepalive") or DEFAULT_KEEPALIVE_MS),
-        max_open=int(caps.get("maxOpen") or DEFAULT_MAX_OPEN),
-        shares=parse_shares(raw.get("connections")),
-        state=parse_state(raw.get("state")),
-        audit=parse_audit(raw.get("audit")),
+        max_requests_in_flight=int(caps.get("maxOpen") or DEFAULT_MAX_OPEN),
+        descriptor_shares=parse_shares(raw.get("connections")),
+        state_folder=parse_state(raw.get("state")),
+        audit_folder=parse_audit(raw.get("audit")),
         fleet=parse_fleet(raw.get("fleet")),
         release=__version__,
         digest=digest_of(raw) if raw.get("fleet") or raw.get("audit") else "",
-        known=raw.get("known") or {},
+        last_known_list=raw.get("known") or {},
     )
 
 
@@ -223,7 +223,7 @@
     return Path(given)
 
 
-def parse_fleet(given: Any) -> FleetLink | None:
+def parse_fleet(given: Any) -> FleetConfig | None:
     """The optional table `fleet`; without one nothing of the gossip is imported. Raises SettingError."""
     if given is None:
         return None
@@ -243,7 +243,7 @@
         raise SettingError("fleet: listen and advertise: no port")
     quarantine_after_s = _quarantine_after_s(given.get("shut_out_s", DEFAULT_QUARANTINE_AFTER_S))
     addresses = tuple(parse_address(seed) for seed in seeds)
-    return FleetLink(name, listen, advertise, addresses, secret, quarantine_after_s)
+    return FleetConfig(name, listen, advertise, addresses, secret, quarantine_after_s)
 
 
 def _read_secret(path: Any) -> bytes:
--- a/switchline/fleet_runtime/list_repair.py
+++ b/switchline/fleet_runtime/list_repair.py
@@ -78,10 +78,10 @@
         own = self.own_seq()
         if is_stale and not self.is_stale:
             newest = max((seq for seq in numbers.values() if seq is not None), default=-1)
-            log.warning(log_events.LIST_BEHIND, own, newest)
+            log.warning(log_events.LIST_STALE, own, newest)
             self.record("behind", "list", str(own), f"most have a newer one, up to {newest}")
         if self.is_stale and not is_stale:
-            log.info(log_events.LIST_LEVEL, own)
+            log.info(log_events.LIST_UP_TO_DATE, own)
             self.record("level", "list", str(own), "its agent tells as much as the others'")
             self.lists.clear()
             node.wants &= ~Wanted.LIST
--- a/switchline/fleet_runtime/membership.py
+++ b/switchline/fleet_runtime/membership.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from switchline.clock import now_ms
-from switchline.config import FleetLink
+from switchline.config import FleetConfig
 from switchline.fleet.fact_kinds import FLEET_WIDE
 from switchline.fleet.messages import Entry, Exchange
 from switchline.fleet_runtime.incarnation import next_incarnation
@@ -99,17 +99,17 @@
 
     async def join(self) -> None:
         """Become a member of the configured fleet; nothing happens where this gateway is one already."""
-        link = self.parts.config.fleet
-        if link is None or self.member is not None:
+        fleet_config = self.parts.config.fleet
+        if fleet_config is None or self.member is not None:
             return
-        self.member = self._make_member(link)
+        self.member = self._make_member(fleet_config)
         await self.member.transport.open()
 
-    def _make_member(self, link: FleetLink) -> ActiveMember:
+    def _make_member(self, fleet_config: FleetConfig) -> ActiveMember:
         config = self.parts.config
         rng = random.Random(f"{config.seed} line")
-        incarnation = next_incarnation(config.state, rng)
-        transport = GossipTransport(config.name, link, incarnation, rng, self._facts)
+        incarnation = next_incarnation(config.state_folder, rng)
+        transport = GossipTransport(config.name, fleet_config, incarnation, rng, self._facts)
         node = transport.node
         calls = FleetCalls({FLEET_WIDE[kind]: one for kind, one in self.overrides.by_kind.items()})
         calls.attach(transport)
@@ -129,7 +129,7 @@
         transport.on_published = self._tick
         divergence = DivergenceWatch(self.parts, self.trail)
         quarantine = QuarantineControl(
-            self.parts, self.trail, self.overrides, self.intake, link.quarantine_after_s
+            self.parts, self.trail, self.overrides, self.intake, fleet_config.quarantine_after_s
         )
         return ActiveMember(transport, calls, zones, divergence, quarantine)
 
@@ -203,7 +203,7 @@
         if member is None:
             return None
         transport = member.transport
-        fleet = transport.link.fleet
+        fleet = transport.fleet_config.name
         described = describe_fleet(transport.node, fleet, self.parts.loop.time(), now_ms())
         if self.recovery is not None:
             described["recovery"] = self.recovery.describe()
--- a/switchline/fleet_runtime/recovery/coordinator.py
+++ b/switchline/fleet_runtime/recovery/coordinator.py
@@ -106,7 +106,7 @@
         node = transport.node
         node.wants = Wanted.LIST
         node.list_seq = seq_or_no_list(self.discovery.version)
-        await self._wait_for_exchanges(node, bool(transport.link.seeds))
+        await self._wait_for_exchanges(node, bool(transport.fleet_config.seeds))
         self.overrides.adopt(node, at_start=True)
         self.backend_list.apply_newest()
         self.verdict = self._judge()
--- a/switchline/fleet_runtime/transport.py
+++ b/switchline/fleet_runtime/transport.py
@@ -15,7 +15,7 @@
 
 from switchline import log_events
 from switchline.clock import now_ms
-from switchline.config import FleetLink
+from switchline.config import FleetConfig
 from switchline.fleet.endpoint import ProtocolEndpoint
 from switchline.fleet.facts import FactLimitError
 from switchline.fleet.frames import FrameCodec
@@ -71,20 +71,20 @@
     def __init__(
         self,
         name: str,
-        link: FleetLink,
+        fleet_config: FleetConfig,
         incarnation: Incarnation,
         rng: random.Random,
         own_facts: Callable[[], Iterator[PublishedFact]],
     ) -> None:
         """`own_facts` gives all that this gateway has to publish now."""
         self.loop = asyncio.get_running_loop()
-        self.link = link
+        self.fleet_config = fleet_config
         self.own_facts = own_facts
-        me = alive_claim(name, incarnation, link.advertise)
-        codec = FrameCodec(link.fleet, link.secret)
-        self.node = ProtocolEndpoint(me, link.seeds, codec, rng, self.loop.time(), now_ms())
+        me = alive_claim(name, incarnation, fleet_config.advertise)
+        codec = FrameCodec(fleet_config.name, fleet_config.secret)
+        self.node = ProtocolEndpoint(me, fleet_config.seeds, codec, rng, self.loop.time(), now_ms())
         self.on_published: Callable[[], None] = lambda: None  # called after each look at `own_facts`
-        self._exchanges = ExchangePeer(self.node, link.listen, self._after_merge)
+        self._exchanges = ExchangePeer(self.node, fleet_config.listen, self._after_merge)
         self._datagrams: asyncio.DatagramTransport | None = None
         self._reopening: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -101,10 +101,10 @@
         Where the address can't be had it is tried again, and the gateway serves meanwhile.
         """
         self._publish()  # before anyone can ask
-        host, port = self.link.listen
+        host, port = self.fleet_config.listen
         try:
             await self._exchanges.listen()
-            await self.loop.create_datagram_endpoint(lambda: self, local_addr=self.link.listen)
+            await self.loop.create_datagram_endpoint(lambda: self, local_addr=self.fleet_config.listen)
         except OSError as error:
             log.error(  # noqa: TRY400
                 log_events.GOSSIP_NOT_LISTENING, host, port, error
--- a/switchline/guard.py
+++ b/switchline/guard.py
@@ -24,7 +24,7 @@
 
 Result = TypeVar("Result")
 
-RESTART_S = 0.1  # before a background task that failed is started again
+RESTART_DELAY_S = 0.1  # before a background task that failed is started again
 
 
 class Invariant(Enum):
@@ -40,7 +40,7 @@
     """Contains faults; owns their counts, by place, and those of violated invariants."""
 
     def __init__(self) -> None:
-        self.contained: Counts[str] = Counts()
+        self.contained_faults: Counts[str] = Counts()
         self.violations: Counts[Invariant] = Counts()
 
     def call(self, place: str, callback: Callable[..., object], *given: Any) -> bool:
@@ -69,10 +69,10 @@
 
     def _contain(self, place: str) -> None:
         """Count and log the exception that is being handled."""
-        self.contained[place] += 1
+        self.contained_faults[place] += 1
         log.exception("%s could not be handled", place)
 
-    def violated(self, invariant: Invariant, concerns: str) -> None:
+    def record_violation(self, invariant: Invariant, concerns: str) -> None:
         """Something was about to happen that must not; `concerns` names the request or connection."""
         self.violations[invariant] += 1
         log.error("invariant %s is violated: %s", invariant.value, concerns)
@@ -82,10 +82,10 @@
         error = context.get("exception")
         if isinstance(error, OSError):
             # The transports of the event loop report failed system calls of their connections here.
-            self.contained["event loop"] += 1
+            self.contained_faults["event loop"] += 1
             log.warning("%s: %s", context.get("message"), error)
             return
-        self.violated(Invariant.NO_ESCAPED_ERROR, str(context.get("message")))
+        self.record_violation(Invariant.NO_ESCAPED_ERROR, str(context.get("message")))
         trace = (type(error), error, error.__traceback__) if error is not None else None
         log.error("in the event loop: %s", context.get("message"), exc_info=trace)
 
@@ -97,9 +97,9 @@
                 return
             except Exception:
                 self._contain(place)
-            await asyncio.sleep(RESTART_S)
+            await asyncio.sleep(RESTART_DELAY_S)
 
     def counts(self) -> dict[str, int]:
         """For operators: each invariant with its violations, and all contained faults."""
         counts = {f"invariant.{one.value}": self.violations[one] for one in Invariant}
-        return counts | {"faults.contained": self.contained.total()}
+        return counts | {"faults.contained": self.contained_faults.total()}
--- a/switchline/logs.py
+++ b/switchline/logs.py
@@ -7,7 +7,7 @@
 import time
 
 PERIOD_S = 10.0
-MAX_LINES = 5  # of one kind in a period: enough to see what comes, whatever its rate
+MAX_LINES_PER_PERIOD = 5  # of one kind in a period: enough to see what comes, whatever its rate
 
 
 class RateLimit(logging.Filter):
@@ -25,13 +25,13 @@
         kind, now = str(record.msg), time.monotonic()  # the record's own time is of the wall clock
         began, lines = self.periods.get(kind, (now, 0))
         if now - began >= PERIOD_S:
-            if lines > MAX_LINES:
-                record.msg = f"{record.getMessage()} (and {lines - MAX_LINES} like it before)"
+            if lines > MAX_LINES_PER_PERIOD:
+                record.msg = f"{record.getMessage()} (and {lines - MAX_LINES_PER_PERIOD} like it before)"
                 record.args = ()
             began = now
             lines = 0
         self.periods[kind] = began, lines + 1
-        return lines < MAX_LINES
+        return lines < MAX_LINES_PER_PERIOD
 
 
 def start() -> None:
--- a/switchline/operators/metrics.py
+++ b/switchline/operators/metrics.py
@@ -25,11 +25,11 @@
 
     YOUNG = "young"  # connections are scarce, and it has sent no valid request
     IDLE = "idle"  # connections are scarce, and no request is open on it
-    CROWDED = "crowded"  # a new connection while none of the open ones may be closed
-    OWING = "owing"  # it left a command incomplete
-    UNREAD = "unread"  # it left replies unread
+    NO_EVICTABLE_CONNECTION = "crowded"  # a new connection while none of the open ones may be closed
+    INCOMPLETE_COMMAND = "owing"  # it left a command incomplete
+    UNREAD_REPLIES = "unread"  # it left replies unread
     UNUSED = "unused"  # no request for a minute
-    PARTING = "parting"  # idle during a graceful shutdown
+    GRACEFUL_SHUTDOWN = "parting"  # idle during a graceful shutdown
 
 
 class Metrics:
--- a/switchline/requests/attempts.py
+++ b/switchline/requests/attempts.py
@@ -89,7 +89,7 @@
         if self.requests.open.get(request.id) is not request or request.streaming_attempt is not None:
             return api.Outcome.IGNORED  # it has its final answer
         if request.kind.effect is api.Effect.NOT_IDEMPOTENT and request.sent_at:
-            self.guard.violated(Invariant.NO_UNSAFE_REPEAT, f"request {request.id}")
+            self.guard.record_violation(Invariant.NO_UNSAFE_REPEAT, f"request {request.id}")
             return api.Outcome.IGNORED
         if now >= request.retry_until:  # what has run may by then run again
             return api.Outcome.IGNORED
--- a/switchline/service/audit_trail.py
+++ b/switchline/service/audit_trail.py
@@ -35,13 +35,13 @@
     def begin(self) -> None:
         """Open the audit, if it is configured, and record the versions that this process starts with."""
         config = self.parts.config
-        if config.fleet is None and config.audit is None:
+        if config.fleet is None and config.audit_folder is None:
             return
         from switchline.audit.recorder import Audit, build_digest
         from switchline.fleet.frames import PROTOCOL_VERSION
 
         incarnation = int(now_ms()), random.Random(f"{config.seed} audit").getrandbits(40)
-        self.audit = Audit(config.name, incarnation, config.audit, self.outcome_counts)
+        self.audit = Audit(config.name, incarnation, config.audit_folder, self.outcome_counts)
         self.record("program", "", f"{config.release} {build_digest()}", "start")
         self.record("format", "", str(PROTOCOL_VERSION), "start")
         self.record("quota", "", LEASED_QUOTA, "start")
--- a/switchline/service/parts.py
+++ b/switchline/service/parts.py
@@ -25,7 +25,7 @@
 
 def own_descriptors(config: Config) -> int:
     """Descriptors of the process itself, with those of the optional parts that are on."""
-    state = STATE_DESCRIPTORS if config.state else 0
+    state = STATE_DESCRIPTORS if config.state_folder else 0
     fleet = FLEET_DESCRIPTORS if config.fleet else 0
     return PROCESS_DESCRIPTORS + state + fleet
 
@@ -41,7 +41,7 @@
         self.timers = Timers(self.loop, self.guard)
         self.metrics = Metrics([kind.name for kind in config.settings.classes])
         self.buffers = BufferBudget(config.memory_bytes)
-        self.descriptors = Budget(config.descriptors, config.shares, own_descriptors(config))
+        self.descriptors = Budget(config.descriptor_limit, config.descriptor_shares, own_descriptors(config))
         self.backends = BackendPool(
             self.loop,
             self.timers,
@@ -58,7 +58,7 @@
             self.counter,
             self.metrics,
             self.buffers,
-            config.max_open,
+            config.max_requests_in_flight,
             replicate,
         )
         self.driver = Driver(config.settings, config.seed, driver_parts)
@@ -78,8 +78,8 @@
         """Begin with the configured list, and give the policy each later change of it."""
         config = self.config
         version = None
-        if config.known:
-            known = read_list(config.known)
+        if config.last_known_list:
+            known = read_list(config.last_known_list)
             version = known.version
             self.driver.apply_list(api.ListScope.SAVED, known.members)
         spread_s = (
--- a/switchline/service/program.py
+++ b/switchline/service/program.py
@@ -65,7 +65,7 @@
         reloading.cancel()
         service.close()
         violated = {one.value: number for one, number in guard.violations.items()}
-        log.info(log_events.ENDED, guard.contained.total(), violated or "none")
+        log.info(log_events.ENDED, guard.contained_faults.total(), violated or "none")
 
 
 async def run(path: str, config: Config) -> None:
--- a/switchline/service/reload.py
+++ b/switchline/service/reload.py
@@ -33,8 +33,8 @@
         """Act on a new configuration."""
         parts = self.parts
         before = parts.config
-        parts.descriptors.configured_limit = config.descriptors
-        parts.descriptors.shares = config.shares
+        parts.descriptors.configured_limit = config.descriptor_limit
+        parts.descriptors.shares = config.descriptor_shares
         if config.settings.regions != before.settings.regions:
             parts.driver.give(api.RegionsChanged(config.settings.regions))
         parts.config = config
--- a/switchline/service/service.py
+++ b/switchline/service/service.py
@@ -72,16 +72,16 @@
         """What restores and keeps the state on disk, with `state` in the configuration."""
         parts = self.parts
         config = parts.config
-        if config.state is None:
+        if config.state_folder is None:
             return None
         from switchline.state.persistence import StatePersistence
 
         persistence = StatePersistence(
-            config.state, config.name, parts.driver, parts.discovery, self.overrides.by_kind
+            config.state_folder, config.name, parts.driver, parts.discovery, self.overrides.by_kind
         )
         self.overrides.persist = persistence.save_override
-        if config.known:
-            persistence.save_list(config.known)
+        if config.last_known_list:
+            persistence.save_list(config.last_known_list)
         return persistence
 
     def _make_membership(self) -> FleetMembership:
--- a/tests/clients/test_connections.py
+++ b/tests/clients/test_connections.py
@@ -107,9 +107,9 @@
 
 
 def test_connections_may_be_configured() -> None:
-    assert parse_config(config()).shares == Shares()
+    assert parse_config(config()).descriptor_shares == Shares()
     made = parse_config(config(connections={"clients": 0.6, "connects": 2}))
-    assert made.shares == Shares(clients=0.6, connects=2)
+    assert made.descriptor_shares == Shares(clients=0.6, connects=2)
 
 
 @pytest.mark.parametrize(
@@ -362,7 +362,10 @@
             chosen.connection_lost(None)
         gone = [c for c in known[:-1] if before.get(c) != "gone" and state(c) == "gone"]
         gone = [c for c in gone if what != "leave" or c is not chosen]
-        if place.figures.evictions[EvictionReason.CROWDED] > evicted[EvictionReason.CROWDED]:
+        if (
+            place.figures.evictions[EvictionReason.NO_EVICTABLE_CONNECTION]
+            > evicted[EvictionReason.NO_EVICTABLE_CONNECTION]
+        ):
             assert gone == [chosen] and gone[0].surplus and what != "come"
             gone = []
         assert len(gone) <= 1 and all(before[c] in ("young", "idle") for c in gone)
@@ -440,8 +443,8 @@
     unread.transport.left = 50
     for connection, limit, reason in (
         (idle, supervision.UNUSED_S, EvictionReason.UNUSED),
-        (middle, watchdog.COMMAND_TIMEOUT_S, EvictionReason.OWING),
-        (unread, watchdog.UNREAD_TIMEOUT_S, EvictionReason.UNREAD),
+        (middle, watchdog.COMMAND_TIMEOUT_S, EvictionReason.INCOMPLETE_COMMAND),
+        (unread, watchdog.UNREAD_TIMEOUT_S, EvictionReason.UNREAD_REPLIES),
     ):
         supervision.check(connection, start)
         supervision.check(connection, start + limit - 0.1)
--- a/tests/service/test_guard.py
+++ b/tests/service/test_guard.py
@@ -34,7 +34,7 @@
 
         repeated = timers.every(1.0, "work", work)
         await done.wait()
-        assert timers.guard.contained["work"] == 3
+        assert timers.guard.contained_faults["work"] == 3
 
     in_loop(scenario)
 
@@ -46,13 +46,13 @@
         timers.at(due, fail)
         timers.at(due, called.set)
         await called.wait()
-        assert timers.guard.contained["timer"] == 1
+        assert timers.guard.contained_faults["timer"] == 1
 
     in_loop(scenario)
 
 
 def test_a_background_task_that_fails_is_started_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("switchline.guard.RESTART_S", 0.0)
+    monkeypatch.setattr("switchline.guard.RESTART_DELAY_S", 0.0)
 
     async def scenario() -> None:
         guard, tries = Guard(), list[int]()
@@ -63,7 +63,7 @@
                 fail()
 
         await guard.supervise("work", work)
-        assert len(tries) == 3 and guard.contained["work"] == 2
+        assert len(tries) == 3 and guard.contained_faults["work"] == 2
 
     in_loop(scenario)
 
--- a/tests/service/test_wall_clock.py
+++ b/tests/service/test_wall_clock.py
@@ -10,7 +10,7 @@
 from helpers import RULES, World, counts, entry
 from lease_answers import answer
 
-from switchline.logs import MAX_LINES, PERIOD_S, RateLimit
+from switchline.logs import MAX_LINES_PER_PERIOD, PERIOD_S, RateLimit
 from switchline.policy import interface as api
 from testbed.network.sockets import until
 from testbed.stand_ins.agents import host
@@ -89,7 +89,7 @@
         record.created = wall
         return limit.filter(record)
 
-    assert [passes(1e9) for _ in range(MAX_LINES + 1)] == [True] * MAX_LINES + [False]
+    assert [passes(1e9) for _ in range(MAX_LINES_PER_PERIOD + 1)] == [True] * MAX_LINES_PER_PERIOD + [False]
     now[0] += PERIOD_S
     assert passes(1e9 - HOUR_MS / 1000)
 
--- a/tests/state/test_persistence.py
+++ b/tests/state/test_persistence.py
@@ -196,10 +196,10 @@
 
 
 def test_the_environment_variable_overrides_the_state_setting(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert parse_config(World().config()).state is None
-    assert parse_config({**World().config(), "state": "/a"}).state == Path("/a")
+    assert parse_config(World().config()).state_folder is None
+    assert parse_config({**World().config(), "state": "/a"}).state_folder == Path("/a")
     monkeypatch.setenv("LB_STATE", "/b")
-    assert parse_config({**World().config(), "state": "/a"}).state == Path("/b")
+    assert parse_config({**World().config(), "state": "/a"}).state_folder == Path("/b")
 
 
 def test_a_gateway_starts_without_state_if_its_folder_is_unusable(tmp_path: Path) -> None:
