--- a/tests/fleet/test_quarantine.py
+++ b/tests/fleet/test_quarantine.py
@@ -280,7 +280,7 @@
     seen = played.of("view", g="g0", status=200)[0]["facts"]
     assert ["shut", "", "g3", QuarantineState.QUARANTINED] in seen
     logs = {name: (played.folder / f"gateways/{name}/life-1.log").read_text() for name in ("g1", "g3")}
-    assert "shut out: its list is behind" in logs["g3"] and "shut out" not in logs["g1"]
+    assert "quarantine entered: its list is behind" in logs["g3"] and "quarantine" not in logs["g1"]
     assert (
         [e["how"] for e in played.of("op", g="g0")]
         == [e["how"] for e in played.of("op", g="g5")]
--- a/tests/fleet/test_staleness.py
+++ b/tests/fleet/test_staleness.py
@@ -161,5 +161,5 @@
     )
     assert not played.result.breaches
     log = (played.folder / "gateways/g2/life-1.log").read_text()
-    assert "the list here is behind" in log and "b1 draining" in log
+    assert "the endpoint list here is stale" in log and "b1 draining" in log
     assert not [e for e in played.of("got", g="g2", b="b1") if e["t"] > 9.0]
