--- a/switchline/clients/connection.py
+++ b/switchline/clients/connection.py
@@ -161,7 +161,7 @@
         if self.transport is not None and not self.slots and (self.closing or self.closes_for_drain()):
             self.close_gracefully()
         elif self.surplus and not self.validated and self.streamed_body is None:
-            self.server.places.evict(self, EvictionReason.CROWDED)
+            self.server.places.evict(self, EvictionReason.NO_EVICTABLE_CONNECTION)
         self._update_reading()
 
     def closes_for_drain(self) -> bool:
@@ -320,7 +320,7 @@
             return
         open_requests = [slot.request_id for slot in self.slots if slot.request_id is not None]
         if open_requests:
-            self.guard.violated(
+            self.guard.record_violation(
                 Invariant.NO_UNANSWERED_CLOSE,
                 f"close refused with requests in flight: {', '.join(open_requests)}",
             )
--- a/switchline/clients/places.py
+++ b/switchline/clients/places.py
@@ -168,7 +168,7 @@
         self.metrics.evictions[reason] += 1
         log.info("client connection from %s is evicted, reason: %s", connection.peer_address, reason.value)
         self.remove(connection)
-        if reason is EvictionReason.UNREAD:
+        if reason is EvictionReason.UNREAD_REPLIES:
             connection.begin_closing()
             if connection.transport is not None:
                 connection.transport.abort()  # it reads nothing, so no pending answer can reach it
--- a/switchline/clients/slot.py
+++ b/switchline/clients/slot.py
@@ -41,7 +41,7 @@
             self.request_id = None
             self.connection.pump()
         elif self.reply is not None or self.response is not None:
-            self.connection.guard.violated(
+            self.connection.guard.record_violation(
                 Invariant.ONE_ANSWER, f"second answer to one command: {reply[:40]!r}"
             )
 
--- a/switchline/clients/supervision.py
+++ b/switchline/clients/supervision.py
@@ -31,14 +31,14 @@
     if connection.delivery.has_timed_out(now_s, unsent_bytes, is_streaming(connection)):
         unread_s = now_s - connection.delivery.unread_started_at_s
         log.warning("client has not read its answers for %.0f s; its connection is aborted", unread_s)
-        connection.server.places.evict(connection, EvictionReason.UNREAD)
+        connection.server.places.evict(connection, EvictionReason.UNREAD_REPLIES)
     elif connection.state is ConnectionState.HALF_CLOSED:
         if now_s - connection.half_closed_at_s > LINGER_TIMEOUT_S and not unsent_bytes:
             connection.close()
     elif connection.closing or connection.reading_paused:
         return  # its answers are due first, and nothing more is read from it until then
     elif has_receive_timed_out(connection, now_s):
-        connection.server.metrics.evictions[EvictionReason.OWING] += 1
+        connection.server.metrics.evictions[EvictionReason.INCOMPLETE_COMMAND] += 1
         connection.fail_protocol("no whole command in time")
         connection.pump()
     elif not connection.slots and not unsent_bytes:
@@ -50,7 +50,7 @@
     draining = connection.closes_for_drain() and now_s > connection.server.idle_close_starts_at_s
     timeout_s = DRAIN_IDLE_TIMEOUT_S if draining else UNUSED_TIMEOUT_S
     if now_s - connection.last_used_s > timeout_s and not connection.has_unread_bytes:
-        reason = EvictionReason.PARTING if draining else EvictionReason.UNUSED
+        reason = EvictionReason.GRACEFUL_SHUTDOWN if draining else EvictionReason.UNUSED
         connection.server.places.evict(connection, reason)
 
 
--- a/switchline/service/parts.py
+++ b/switchline/service/parts.py
@@ -25,7 +25,7 @@
 
 def own_descriptors(config: Config) -> int:
     """Return how many descriptors the process itself and the configured optional parts need."""
-    state_descriptors = STATE_DESCRIPTORS if config.state else 0
+    state_descriptors = STATE_DESCRIPTORS if config.state_folder else 0
     fleet_descriptors = FLEET_DESCRIPTORS if config.fleet else 0
     return PROCESS_DESCRIPTORS + state_descriptors + fleet_descriptors
 
@@ -48,7 +48,7 @@
         self.timers = Timers(self.loop, self.guard)
         self.metrics = Metrics([request_class.name for request_class in config.settings.classes])
         self.buffers = BufferBudget(config.memory_bytes)
-        self.descriptors = Budget(config.descriptors, config.shares, own_descriptors(config))
+        self.descriptors = Budget(config.descriptor_limit, config.descriptor_shares, own_descriptors(config))
         self.backends = BackendPool(
             self.loop,
             self.timers,
@@ -65,7 +65,7 @@
             self.counter,
             self.metrics,
             self.buffers,
-            config.max_open,
+            config.max_requests_in_flight,
             replicate,
         )
         self.driver = Driver(config.settings, config.seed, driver_parts)
@@ -85,8 +85,8 @@
         """Apply the configured endpoint list, and create the client that follows changes to it."""
         config = self.config
         version = None
-        if config.known:
-            known = read_list(config.known)
+        if config.last_known_list:
+            known = read_list(config.last_known_list)
             version = known.version
             self.driver.apply_list(api.ListScope.SAVED, known.members)
         spread_s = (
--- a/switchline/service/program.py
+++ b/switchline/service/program.py
@@ -73,7 +73,7 @@
         reload_task.cancel()
         service.close()
         violated = {invariant.value: count for invariant, count in guard.violations.items()}
-        log.info(log_events.ENDED, guard.contained.total(), violated or "none")
+        log.info(log_events.ENDED, guard.contained_faults.total(), violated or "none")
 
 
 async def run(path: str, config: Config) -> None:
--- a/switchline/service/reload.py
+++ b/switchline/service/reload.py
@@ -34,8 +34,8 @@
         """Apply a new configuration to the running parts."""
         parts = self.parts
         previous = parts.config
-        parts.descriptors.configured_limit = config.descriptors
-        parts.descriptors.shares = config.shares
+        parts.descriptors.configured_limit = config.descriptor_limit
+        parts.descriptors.shares = config.descriptor_shares
         if config.settings.regions != previous.settings.regions:
             parts.driver.dispatch(api.RegionsChanged(config.settings.regions))
         parts.config = config
--- a/tests/clients/test_connections.py
+++ b/tests/clients/test_connections.py
@@ -111,9 +111,9 @@
 
 
 def test_connection_shares_are_read_from_the_configuration() -> None:
-    assert parse_config(gateway_config()).shares == Shares()
+    assert parse_config(gateway_config()).descriptor_shares == Shares()
     made = parse_config(gateway_config(connections={"clients": 0.6, "connects": 2}))
-    assert made.shares == Shares(clients=0.6, connects=2)
+    assert made.descriptor_shares == Shares(clients=0.6, connects=2)
 
 
 @pytest.mark.parametrize(
@@ -378,7 +378,7 @@
             c for c in connections[:-1] if states_before.get(c) != "gone" and connection_state(c) == "gone"
         ]
         closed = [c for c in closed if event != "leave" or c is not chosen]
-        if harness.metrics.evictions[EvictionReason.CROWDED] > evictions_before[EvictionReason.CROWDED]:
+        if harness.metrics.evictions[EvictionReason.NO_EVICTABLE_CONNECTION] > evictions_before[EvictionReason.NO_EVICTABLE_CONNECTION]:
             assert closed == [chosen] and closed[0].surplus and event != "come"
             closed = []
         assert len(closed) <= 1 and all(states_before[c] in ("young", "idle") for c in closed)
@@ -470,8 +470,8 @@
     unread.transport.left = 50
     for connection, limit, reason in (
         (idle, supervision.UNUSED_TIMEOUT_S, EvictionReason.UNUSED),
-        (incomplete, watchdog.COMMAND_TIMEOUT_S, EvictionReason.OWING),
-        (unread, watchdog.UNREAD_TIMEOUT_S, EvictionReason.UNREAD),
+        (incomplete, watchdog.COMMAND_TIMEOUT_S, EvictionReason.INCOMPLETE_COMMAND),
+        (unread, watchdog.UNREAD_TIMEOUT_S, EvictionReason.UNREAD_REPLIES),
     ):
         supervision.check_connection(connection, start)
         supervision.check_connection(connection, start + limit - 0.1)
