--- a/switchline/backends/connection.py
+++ b/switchline/backends/connection.py
@@ -185,7 +185,7 @@
         """
         if now >= attempt.expires_at_ms:
             return Outcome.IGNORED
-        if not self.endpoint.takes_new:
+        if not self.endpoint.accepts_attempts:
             return Outcome.CONNECT_FAILED
         return attempt.reason_not_to_send(now)
 
@@ -259,7 +259,7 @@
     def _on_readable(self) -> None:
         streaming = self._answer is not None
         try:
-            data = self.socket.recv(self.pool.buffer_budget.window if streaming else READ_BYTES)
+            data = self.socket.recv(self.pool.buffer_budget.window_bytes if streaming else READ_BYTES)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
@@ -297,7 +297,7 @@
     def _next_reply(self) -> Value | Literal[Incomplete.INCOMPLETE]:
         """Forward the bytes of a long answer as they arrive; return the reply once it is complete."""
         while not self.closed:
-            if self._answer is not None and self._parser.streamed_remaining > 0:
+            if self._answer is not None and self._parser.streamed_remaining_bytes > 0:
                 if not self._forward(self._answer):
                     break
                 continue
@@ -325,7 +325,7 @@
         if attempt is None or not in_place or self._request_state is not RequestState.SENT:
             raise ProtocolError("a long value out of its place")
         self._last_progress_ms = now_ms()
-        self._answer = attempt.on_streamed_answer(attempt, started.length)
+        self._answer = attempt.on_streamed_answer(attempt, started.length_bytes)
         if self._answer is None:
             self.end(Outcome.CANCELLED)
         else:
@@ -390,7 +390,7 @@
         close_socket(self.socket)
         self.endpoint.connecting.discard(self)
         self.endpoint.settling.discard(self)
-        self.pool.forget(self)
+        self.pool.on_closed(self)
 
     def is_alive(self) -> bool:
         """Whether an idle connection still stands, as far as this machine knows."""
--- a/switchline/backends/endpoint.py
+++ b/switchline/backends/endpoint.py
@@ -30,6 +30,6 @@
         self.waiting: dict[Attempt, None] = {}  # for a connection, the longest first
 
     @property
-    def takes_new(self) -> bool:
+    def accepts_attempts(self) -> bool:
         """Whether new attempts may go there."""
         return self.listed and not self.disabled
--- a/switchline/backends/pool.py
+++ b/switchline/backends/pool.py
@@ -12,7 +12,7 @@
 from switchline.backends.endpoint import Endpoint
 from switchline.clock import Timers, now_ms
 from switchline.config import Address
-from switchline.net.descriptors import Budget, Part
+from switchline.net.descriptors import Budget, DescriptorOwner
 from switchline.net.idle import IdleTimes
 from switchline.net.streams import BufferBudget
 from switchline.operators.metrics import Metrics
@@ -53,19 +53,19 @@
         self,
         loop: asyncio.AbstractEventLoop,
         timers: Timers,
-        connect_timeout: float,
-        keepalive: float,
+        connect_timeout_ms: float,
+        keepalive_ms: float,
         budget: Budget,
         metrics: Metrics,
         buffer_budget: BufferBudget,
     ) -> None:
         self.loop = loop
         self.timers = timers
-        self.connect_timeout_ms = connect_timeout
+        self.connect_timeout_ms = connect_timeout_ms
         self.budget = budget
         self.metrics = metrics
         self.buffer_budget = buffer_budget
-        self.idle_times = IdleTimes(keepalive * MAX_IDLE_RATIO)
+        self.idle_times = IdleTimes(keepalive_ms * MAX_IDLE_RATIO)
         self.endpoints: dict[int, Endpoint] = {}
         self.connections: set[Connection] = set()
         self._disabled_backends: set[int] = set()  # by operators, whether listed or not
@@ -73,7 +73,7 @@
         self._starved: dict[Endpoint, None] = {}  # attempts wait and no handshake may begin, longest first
         self._serving_starved: asyncio.Handle | None = None  # scheduled for the end of this turn
         self._failed_opens: list[OSError] = []  # since the last sweep: one log line for all
-        budget.relief_callbacks.append(self.close_longest_idle)
+        budget.shortage_callbacks.append(self.close_longest_idle)
         timers.every(SWEEP_INTERVAL_MS, "the sweep of backends", self.sweep)
 
     # ---- the endpoint list and operators' overrides ----
@@ -130,7 +130,7 @@
     def send(self, attempt: Attempt) -> None:
         """Send an attempt on an idle connection, or let it wait for one."""
         endpoint = self.endpoints.get(attempt.backend)
-        if endpoint is None or not endpoint.takes_new:
+        if endpoint is None or not endpoint.accepts_attempts:
             attempt.end(Outcome.CONNECT_FAILED)
             return
         while endpoint.idle:
@@ -185,7 +185,7 @@
             wanted = len(endpoint.waiting) - len(endpoint.settling)  # each of those serves one in a moment
             if len(endpoint.connecting) >= min(wanted, self.budget.shares.connects):
                 return
-            if not self.budget.has_free(Part.BACKENDS) and not self.close_longest_idle(1):
+            if not self.budget.has_free(DescriptorOwner.BACKENDS) and not self.close_longest_idle(1):
                 self._starved[endpoint] = None
                 return
             self._connect(endpoint, attempt)
@@ -195,7 +195,7 @@
             connection = Connection(self, endpoint)
         except OSError as error:
             self._failed_opens.append(error)
-            if self.budget.relieve(error) or error.errno in LOCAL_ERRORS:
+            if self.budget.handle_shortage(error) or error.errno in LOCAL_ERRORS:
                 self._starved[endpoint] = None
                 self.timers.at(now_ms() + LOCAL_FAILURE_PAUSE_MS, self._serve_starved)
             else:
@@ -203,7 +203,7 @@
             return
         attempt.handshake_started = True
         self.metrics.handshakes_begun += 1
-        self.budget.acquire(Part.BACKENDS)
+        self.budget.acquire(DescriptorOwner.BACKENDS)
         self.connections.add(connection)
         endpoint.connecting.add(connection)
 
@@ -233,14 +233,14 @@
                 return
         if not self._is_usable(connection):
             connection.close()
-        elif self._starved and not self.budget.has_free(Part.BACKENDS):
+        elif self._starved and not self.budget.has_free(DescriptorOwner.BACKENDS):
             connection.close()  # its descriptor is wanted for another backend
         elif not connection.closed:
             connection.idle_since_ms = now_ms()
             endpoint.idle.append(connection)
 
     def _is_usable(self, connection: Connection) -> bool:
-        return connection.endpoint.takes_new and connection.address == connection.endpoint.address
+        return connection.endpoint.accepts_attempts and connection.address == connection.endpoint.address
 
     def settle(self, connection: Connection) -> None:
         """Free a connection once nothing has followed its answer for a moment."""
@@ -259,12 +259,12 @@
 
     # ---- closing connections ----
 
-    def forget(self, connection: Connection) -> None:
+    def on_closed(self, connection: Connection) -> None:
         """Free the descriptor of a connection that has closed."""
         endpoint = connection.endpoint
         if connection in self.connections:
             self.connections.discard(connection)
-            self.budget.release(Part.BACKENDS)
+            self.budget.release(DescriptorOwner.BACKENDS)
         if connection in endpoint.idle:
             endpoint.idle.remove(connection)
         if endpoint.waiting:
@@ -283,7 +283,9 @@
     def sweep(self) -> None:
         """Close what is too old, too many or stalled; forget endpoints that are no longer listed."""
         now = now_ms()
-        surplus = len(self.connections) - self.budget.limit_of(Part.BACKENDS)  # the limit may have shrunk
+        surplus = len(self.connections) - self.budget.limit_of(
+            DescriptorOwner.BACKENDS
+        )  # the limit may have shrunk
         self.close_longest_idle(max(0, surplus))
         for backend, endpoint in list(self.endpoints.items()):
             self._close_expired(endpoint, now)
--- a/switchline/clients/commands.py
+++ b/switchline/clients/commands.py
@@ -112,7 +112,7 @@
         head=bulk(verb) + bulk(customer) + bulk(request),
         before=attributes.before_time_left,
         after=attributes.after_time_left,
-        body=b"".join(map(bulk, value)) if stream is None else b"$%d\r\n" % stream.length,
+        body=b"".join(map(bulk, value)) if stream is None else b"$%d\r\n" % stream.length_bytes,
         length=len(args),
         id=id_text,
         customer=customer_text,
--- a/switchline/clients/connection.py
+++ b/switchline/clients/connection.py
@@ -118,7 +118,7 @@
         """See asyncio.BufferedProtocol."""
         if self.body is None:
             return self.server.read_buffer
-        return self.server.read_buffer[: self.body.buffer_budget.window]
+        return self.server.read_buffer[: self.body.buffer_budget.window_bytes]
 
     def buffer_updated(self, nbytes: int) -> None:
         """See asyncio.BufferedProtocol."""
@@ -188,10 +188,10 @@
 
     def _begin_streamed_request(self, started: StreamedStringStarted) -> None:
         """Decide on a request by its head, as its value is too long to be collected."""
-        if started.missing != 1 or not begins_request(started.items):
+        if started.remaining_items != 1 or not begins_request(started.items):
             raise ProtocolError("value too long")
         self.receiving.stream_started(time.monotonic())
-        self.body = StreamedRequestBody(self.server.buffer_budget, started.length)
+        self.body = StreamedRequestBody(self.server.buffer_budget, started.length_bytes)
         self.body.on_capacity = self.pump
         body = self.body
         slot = self.body_slot = dispatch(self, [*started.items, b""], body)
@@ -203,7 +203,7 @@
         if piece := self.parser.read_streamed(READ_BYTES):
             self.receiving.last_bytes_s = time.monotonic()
             body.feed(piece)
-        elif self.parser.streamed_remaining > 0 or self.parser.next_value() is INCOMPLETE:
+        elif self.parser.streamed_remaining_bytes > 0 or self.parser.next_value() is INCOMPLETE:
             self._has_unparsed = False
             return False
         else:
--- a/switchline/clients/dispatch.py
+++ b/switchline/clients/dispatch.py
@@ -72,7 +72,7 @@
         if connection.proven or server.prove(connection, command):
             server.handler.on_command(command, slot)
         else:
-            server.handler.on_crowded(command, slot)
+            server.handler.on_command_without_place(command, slot)
     except ValueError as error:
         slot.request = None
         _reject_command(connection, slot, " ".join(str(error).split()), owed_since_s)
--- a/switchline/clients/places.py
+++ b/switchline/clients/places.py
@@ -11,7 +11,7 @@
 import logging
 from typing import TYPE_CHECKING
 
-from switchline.net.descriptors import Budget, Part
+from switchline.net.descriptors import Budget, DescriptorOwner
 from switchline.operators.metrics import EvictionReason, Metrics
 from switchline.policy.quota.fair_shares import FairShares
 
@@ -39,12 +39,12 @@
         self.proven: dict[str, dict[ClientConnection, None]] = {}  # by peer, the longest unused first
         self.shares = FairShares(0)  # of proven connections, among peers
         self._follow_budget()
-        budget.relief_callbacks.append(self.make_room)
+        budget.shortage_callbacks.append(self.make_room)
 
     @property
     def limit(self) -> int:
         """How many connections there may be."""
-        return self.budget.limit_of(Part.CLIENTS)
+        return self.budget.limit_of(DescriptorOwner.CLIENTS)
 
     @property
     def young_limit(self) -> int:
--- a/switchline/clients/server.py
+++ b/switchline/clients/server.py
@@ -14,7 +14,7 @@
 from switchline.clients.supervision import LINGER_S, check
 from switchline.guard import Guard
 from switchline.net.accept import Acceptor
-from switchline.net.descriptors import Budget, Part
+from switchline.net.descriptors import Budget, DescriptorOwner
 from switchline.net.streams import BufferBudget
 from switchline.operators.metrics import Metrics
 
@@ -33,7 +33,7 @@
     def on_command(self, command: Command, slot: Slot) -> None:
         """Take a request. Raises ValueError as `check` does."""
 
-    def on_crowded(self, command: Command, slot: Slot) -> None:
+    def on_command_without_place(self, command: Command, slot: Slot) -> None:
         """Reject a proper request, as its connection gets no place."""
 
     def on_body_received(self, request: str) -> None:
@@ -131,7 +131,7 @@
 
     def opened(self, connection: ClientConnection) -> None:
         """Count a new connection and give it a place."""
-        self.budget.acquire(Part.CLIENTS)
+        self.budget.acquire(DescriptorOwner.CLIENTS)
         self.connections.add(connection)
         self.empty.clear()
         self.places.opened(connection)
@@ -155,7 +155,7 @@
     def closed(self, connection: ClientConnection) -> None:
         """Free the descriptor of a connection that is lost."""
         self.places.forget(connection)
-        self.budget.release(Part.CLIENTS)
+        self.budget.release(DescriptorOwner.CLIENTS)
         self.connections.discard(connection)
         self._half_closed.discard(connection)
         if not self.connections:
@@ -169,7 +169,7 @@
             self.guard.call("a client's connection", check, connection, now_s)
         # The budget may have shrunk: by SIGHUP, or by what the other process of an upgrade holds.
         self.places.make_room(self.places.live - self.places.limit)
-        self.budget.keep_reserve()
+        self.budget.open_reserve()
 
     def gauges(self) -> dict[str, int]:
         """Metrics for operators."""
--- a/switchline/clients/supervision.py
+++ b/switchline/clients/supervision.py
@@ -61,5 +61,5 @@
     if connection.body is not None:
         return connection.receiving.is_stream_late(now_s)
     items = connection.parser.array_items or []
-    in_value = connection.parser.bulk_length >= 0 and is_request_head(items)
+    in_value = connection.parser.bulk_length_bytes >= 0 and is_request_head(items)
     return connection.receiving.is_command_late(now_s, in_value)
--- a/switchline/counter/client.py
+++ b/switchline/counter/client.py
@@ -11,7 +11,7 @@
 from switchline.config import Address
 from switchline.counter.connection import SILENCE_LIMIT_MS, Call, Callback, CounterConnection
 from switchline.counter.protocol import encode_call
-from switchline.net.descriptors import Budget, Part
+from switchline.net.descriptors import Budget, DescriptorOwner
 from switchline.net.idle import IdleTimes
 from switchline.policy.interface import Outcome
 
@@ -82,7 +82,7 @@
             connection.drop()
 
     def _connect_in_background(self) -> None:
-        if not self.counter.budget.has_free(Part.COUNTER):
+        if not self.counter.budget.has_free(DescriptorOwner.COUNTER):
             self._fail_waiting(Outcome.CONNECT_FAILED)
         elif self.connecting is None:
             self.connecting = self.counter.loop.create_task(self._connect())
@@ -98,7 +98,7 @@
             else:
                 connection.drop()  # the counter moved meanwhile
         except OSError as error:  # TimeoutError is one
-            self.counter.budget.relieve(error)
+            self.counter.budget.handle_shortage(error)
             self._fail_waiting(Outcome.CONNECT_FAILED)
         finally:
             self.connecting = None
--- a/switchline/counter/connection.py
+++ b/switchline/counter/connection.py
@@ -10,7 +10,7 @@
 
 from switchline.clock import Timer, now_ms
 from switchline.counter.protocol import MAX_LINE_BYTES, UNREADABLE, decode_answer
-from switchline.net.descriptors import Budget, Part
+from switchline.net.descriptors import Budget, DescriptorOwner
 from switchline.net.idle import IMMEDIATE_RESET_MS, IdleTimes
 from switchline.policy.interface import Outcome
 
@@ -65,7 +65,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """See asyncio.BaseProtocol."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
-        self.budget.acquire(Part.COUNTER)
+        self.budget.acquire(DescriptorOwner.COUNTER)
 
     def write(self, calls: list[Call]) -> None:
         """Write calls at once, in this order."""
@@ -118,7 +118,7 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         """See asyncio.BaseProtocol."""
-        self.budget.release(Part.COUNTER)
+        self.budget.release(DescriptorOwner.COUNTER)
         if self.unanswered and not self.closed:
             self._record_use(reset=now_ms() - self.last_written_ms < IMMEDIATE_RESET_MS)
         self.closed = True
--- a/switchline/discovery/call.py
+++ b/switchline/discovery/call.py
@@ -11,7 +11,7 @@
 
 from switchline.config import Address
 from switchline.discovery.endpoint_list import DiscoveryError
-from switchline.net.descriptors import Budget, Part
+from switchline.net.descriptors import Budget, DescriptorOwner
 from switchline.net.json_stream import JsonStream
 
 PATH = "/catalog/members"
@@ -73,7 +73,7 @@
         StreamError: its body holds something else than JSON objects.
     """
     reader, writer = await asyncio.open_connection(*address)
-    budget.acquire(Part.DISCOVERY)
+    budget.acquire(DescriptorOwner.DISCOVERY)
     try:
         http = h11.Connection(h11.CLIENT)
         writer.write(_encode_request(http, address, version))
@@ -94,7 +94,7 @@
                 return
     finally:
         writer.close()
-        budget.release(Part.DISCOVERY)
+        budget.release(DescriptorOwner.DISCOVERY)
 
 
 def _encode_request(http: h11.Connection, address: Address, version: int | None) -> bytes:
--- a/switchline/discovery/client.py
+++ b/switchline/discovery/client.py
@@ -17,7 +17,7 @@
 from switchline.discovery.call import CallEvent, Ended, Opened, Received, call
 from switchline.discovery.endpoint_list import DiscoveryError, ListedBackend, read_list
 from switchline.discovery.poll_schedule import PollSchedule
-from switchline.net.descriptors import FIXED_PARTS, Budget, Part
+from switchline.net.descriptors import FIXED_LIMITS, Budget, DescriptorOwner
 from switchline.net.json_stream import StreamError
 from switchline.policy.interface import ListScope
 
@@ -27,7 +27,7 @@
 # a silence, a call that is silent as well and the complete list from the one after it must fit into that.
 SILENCE_LIMIT_S = 2.6  # an empty line comes every 2 s
 ANSWER_LIMIT_S = 1.0  # from the opening of a call to the head of its answer
-MAX_CALLS = FIXED_PARTS[Part.DISCOVERY]  # open at once
+MAX_CALLS = FIXED_LIMITS[DescriptorOwner.DISCOVERY]  # open at once
 
 Listener = Callable[[ListScope, tuple[ListedBackend, ...]], None]
 
@@ -184,7 +184,7 @@
             reason = "ended"
         except (OSError, h11.ProtocolError, DiscoveryError, StreamError) as error:
             if isinstance(error, OSError):
-                self.budget.relieve(error)
+                self.budget.handle_shortage(error)
             reason = " ".join(str(error).split()) or type(error).__name__
         except Exception:  # without a watch the list goes stale and drains are missed, so it goes on
             log.exception("a change could not be taken")
--- a/switchline/net/accept.py
+++ b/switchline/net/accept.py
@@ -91,7 +91,7 @@
         self.opening: set[asyncio.Task[object]] = set()  # accepted, and not yet handed to a protocol
         self._rate = AcceptRate()
         self._backlogged = False
-        self.paused_by_shortage: asyncio.TimerHandle | None = None
+        self.shortage_timer: asyncio.TimerHandle | None = None
         self._closed = False
         listener.setblocking(False)
         self.port = port_of(listener)
@@ -101,7 +101,7 @@
         """Accept from now on, or as soon as the event loop can watch the socket."""
         if self._closed:
             return
-        self.paused_by_shortage = None
+        self.shortage_timer = None
         self.accepting = True
         try:
             self.loop.add_reader(self.socket.fileno(), self._accept)
@@ -114,12 +114,12 @@
         if self.accepting:
             self.accepting = False
             self.loop.remove_reader(self.socket.fileno())
-        if self.paused_by_shortage is not None:
-            self.paused_by_shortage.cancel()
+        if self.shortage_timer is not None:
+            self.shortage_timer.cancel()
 
     def accept_backlog(self) -> None:
         """Accept the connections that wait: closing the socket would reset them with their requests."""
-        if self.accepting and self.paused_by_shortage is None:
+        if self.accepting and self.shortage_timer is None:
             self._accept_up_to(MAX_FINAL_BATCH)
 
     def close(self) -> None:
@@ -130,7 +130,7 @@
             close_socket(self.socket)
 
     def _pause_for_shortage(self) -> None:
-        self.paused_by_shortage = self.loop.call_later(SHORTAGE_PAUSE_S, self.resume)
+        self.shortage_timer = self.loop.call_later(SHORTAGE_PAUSE_S, self.resume)
 
     def _accept(self) -> None:
         batch = self._rate.next_batch(time.monotonic(), self._backlogged)
@@ -161,7 +161,7 @@
         if error.errno in SINGLE_CONNECTION_ERRORS:
             return True
         # Most likely no descriptor is left.
-        return self.budget.relieve(error) and self.may_use_reserve and self.budget.lend_reserve()
+        return self.budget.handle_shortage(error) and self.may_use_reserve and self.budget.close_reserve()
 
     async def _open(self, accepted: socket.socket) -> None:
         try:
--- a/switchline/net/descriptors.py
+++ b/switchline/net/descriptors.py
@@ -22,10 +22,12 @@
 STATE_DESCRIPTORS = 7  # of the state on disk: lock 1, database 3, a journal while it begins 1, folder 2
 FLEET_DESCRIPTORS = 10  # of the fleet's transport: two sockets, six exchanges accepted, two opened
 MIN_CONNECTIONS = 8  # of clients and of backends, whatever the peer process of an upgrade holds
-RELIEF_BATCH = 8  # connections that may be closed to find descriptors: as many as are accepted in one turn
+MAX_SHORTAGE_CLOSES = (
+    8  # connections that may be closed to find descriptors: as many as are accepted in one turn
+)
 
 
-class Part(Enum):
+class DescriptorOwner(Enum):
     """Who holds descriptors."""
 
     OPERATORS = "operators"
@@ -37,7 +39,7 @@
 
 # Parts whose size no limit changes. Operators: 16 callers, and 8 accepted before the surplus is closed.
 # Counter: four connections, and as many being replaced. Discovery: a watch and the one before it.
-FIXED_PARTS = {Part.OPERATORS: 24, Part.COUNTER: 8, Part.DISCOVERY: 2}
+FIXED_LIMITS = {DescriptorOwner.OPERATORS: 24, DescriptorOwner.COUNTER: 8, DescriptorOwner.DISCOVERY: 2}
 
 
 @dataclass(frozen=True)
@@ -72,11 +74,13 @@
         self.shares = shares
         self.process_descriptors = process_descriptors
         self.peer_process_descriptors = 0  # held by the other process of an upgrade
-        self.in_use: Counts[Part] = Counts()
+        self.in_use: Counts[DescriptorOwner] = Counts()
         self.shortages = 0  # times that the system gave none
-        self.relief_callbacks: list[Callable[[int], int]] = []  # each closes up to so many connections
-        self.reserve: int | None = None
-        self._frozen: Counts[Part] | None = None  # another process has taken over: no part grows from here
+        self.shortage_callbacks: list[Callable[[int], int]] = []  # each closes up to so many connections
+        self.reserve_fd: int | None = None
+        self._frozen: Counts[DescriptorOwner] | None = (
+            None  # another process has taken over: no part grows from here
+        )
 
     @property
     def limit(self) -> int:
@@ -86,40 +90,40 @@
             return self.configured_limit
         return min(self.configured_limit, soft)
 
-    def limit_of(self, part: Part) -> int:
+    def limit_of(self, owner: DescriptorOwner) -> int:
         """How many descriptors a part may hold now."""
-        if part in FIXED_PARTS:
-            return FIXED_PARTS[part]
-        share = self.shares.clients if part is Part.CLIENTS else self.shares.backends
+        if owner in FIXED_LIMITS:
+            return FIXED_LIMITS[owner]
+        share = self.shares.clients if owner is DescriptorOwner.CLIENTS else self.shares.backends
         available = max(0, self.limit - self.peer_process_descriptors)
         all_shares = self.shares.clients + self.shares.backends
         # Where the limit is low, the fixed parts take more than the shares leave.
-        not_fixed = available - self.process_descriptors - sum(FIXED_PARTS.values())
+        not_fixed = available - self.process_descriptors - sum(FIXED_LIMITS.values())
         limit = int(min(available * share, not_fixed * share / all_shares))
         if self._frozen is not None:
-            limit = min(limit, self._frozen[part])
+            limit = min(limit, self._frozen[owner])
         return max(MIN_CONNECTIONS, limit)
 
-    def has_free(self, part: Part) -> bool:
+    def has_free(self, owner: DescriptorOwner) -> bool:
         """Whether a part may open another descriptor."""
-        return self.in_use[part] < self.limit_of(part)
+        return self.in_use[owner] < self.limit_of(owner)
 
-    def acquire(self, part: Part) -> None:
+    def acquire(self, owner: DescriptorOwner) -> None:
         """Count a descriptor that a part has opened."""
-        self.in_use[part] += 1
+        self.in_use[owner] += 1
 
-    def release(self, part: Part) -> None:
+    def release(self, owner: DescriptorOwner) -> None:
         """Count a descriptor that a part has closed."""
-        self.in_use[part] -= 1
+        self.in_use[owner] -= 1
 
     @property
-    def total(self) -> int:
+    def total_in_use(self) -> int:
         """Descriptors that this process holds."""
         return self.process_descriptors + self.in_use.total()
 
     def gauges(self) -> dict[str, int]:
         """Metrics for operators."""
-        return {"descriptors.held": self.total, "descriptors.limit": self.limit}
+        return {"descriptors.held": self.total_in_use, "descriptors.limit": self.limit}
 
     def freeze(self) -> None:
         """Let no part grow: another process of this gateway grows into what this one gives back."""
@@ -129,7 +133,7 @@
         """Let the parts grow again: the other process has ended."""
         self._frozen = None
 
-    def relieve(self, error: OSError) -> bool:
+    def handle_shortage(self, error: OSError) -> bool:
         """Close idle connections if an error says that the system gave no descriptor.
 
         Returns:
@@ -139,25 +143,25 @@
             return False
         self.shortages += 1
         log.warning("the system gives no descriptor: %s", error)
-        wanted = RELIEF_BATCH
-        for close_idle in self.relief_callbacks:
+        wanted = MAX_SHORTAGE_CLOSES
+        for close_idle in self.shortage_callbacks:
             wanted -= close_idle(wanted)
         return True
 
-    def keep_reserve(self) -> None:
+    def open_reserve(self) -> None:
         """Hold one descriptor back, so that an operator gets in whatever else is in use."""
-        if self.reserve is None:
+        if self.reserve_fd is None:
             with contextlib.suppress(OSError):  # tried again with the next sweep
-                self.reserve = os.open(os.devnull, os.O_RDONLY)
+                self.reserve_fd = os.open(os.devnull, os.O_RDONLY)
 
-    def lend_reserve(self) -> bool:
+    def close_reserve(self) -> bool:
         """Give the reserve up for an operator's call; return whether there was one."""
-        reserve = self.reserve
-        self.reserve = None
-        if reserve is not None:
-            os.close(reserve)
-        return reserve is not None
+        reserve_fd = self.reserve_fd
+        self.reserve_fd = None
+        if reserve_fd is not None:
+            os.close(reserve_fd)
+        return reserve_fd is not None
 
     def close(self) -> None:
         """Close the reserve."""
-        self.lend_reserve()
+        self.close_reserve()
--- a/switchline/net/idle.py
+++ b/switchline/net/idle.py
@@ -9,7 +9,9 @@
 FIRST_BUCKET_MS = 10.0
 BUCKET_GROWTH_RATIO = 1.5
 DECAY_INTERVAL_MS = 1_000.0
-MEMORY_MS = 20_000.0  # evidence fades to a third in this time, so that longer idle times are tried again
+EVIDENCE_DECAY_MS = (
+    20_000.0  # evidence fades to a third in this time, so that longer idle times are tried again
+)
 MIN_RESETS = 3.0
 MIN_RESET_RATIO = 0.2
 MIN_EXCESS_RATIO = 3.0  # over the share of resets at shorter idle times
@@ -50,7 +52,7 @@
         return idle_ms < self.limit_ms
 
     def _decay(self, now_ms: float) -> None:
-        factor = math.exp((self._decayed_at_ms - now_ms) / MEMORY_MS)
+        factor = math.exp((self._decayed_at_ms - now_ms) / EVIDENCE_DECAY_MS)
         self._decayed_at_ms = now_ms
         self._uses = [uses * factor for uses in self._uses]
         self._resets = [resets * factor for resets in self._resets]
--- a/switchline/net/resp.py
+++ b/switchline/net/resp.py
@@ -37,8 +37,8 @@
     """A long string has begun inside an array. Its bytes are read with `RespParser.read_streamed`."""
 
     items: list[Item]  # the items of the array before it
-    missing: int  # items of the array still to come, this one included
-    length: int  # bytes
+    remaining_items: int  # items of the array still to come, this one included
+    length_bytes: int  # bytes
 
 
 class Incomplete(Enum):
@@ -65,15 +65,15 @@
     """
 
     def __init__(
-        self, max_items: int, max_bytes: int, streaming_threshold: int = 0, max_streamed: int = 0
+        self, max_items: int, max_bytes: int, streaming_threshold_bytes: int = 0, max_streamed_bytes: int = 0
     ) -> None:
         self.max_items = max_items
         self.max_bytes = max_bytes
-        self.streaming_threshold = streaming_threshold
-        self.max_streamed = max_streamed
-        self.streamed_remaining = NONE  # bytes still to come of the string that is being streamed
+        self.streaming_threshold_bytes = streaming_threshold_bytes
+        self.max_streamed_bytes = max_streamed_bytes
+        self.streamed_remaining_bytes = NONE  # bytes still to come of the string that is being streamed
         self.array_items: list[Item] | None = None  # of the array that is being read
-        self.bulk_length = NONE  # bytes of the string that is being collected
+        self.bulk_length_bytes = NONE  # bytes of the string that is being collected
         self.buffer = bytearray()
         self._offset = 0  # of the first byte of `buffer` that is not parsed
         self._missing_items = 0
@@ -91,17 +91,17 @@
         return (
             self._offset < len(self.buffer)
             or self.array_items is not None
-            or self.bulk_length >= 0
-            or self.streamed_remaining >= 0
+            or self.bulk_length_bytes >= 0
+            or self.streamed_remaining_bytes >= 0
         )
 
     def read_streamed(self, max_bytes: int) -> bytes:
         """Return the next bytes of the streamed string that have arrived, `max_bytes` at most."""
-        wanted = max(0, min(self.streamed_remaining, max_bytes))
+        wanted = max(0, min(self.streamed_remaining_bytes, max_bytes))
         end = min(self._offset + wanted, len(self.buffer))
         data = bytes(memoryview(self.buffer)[self._offset : end])
         self._offset = end
-        self.streamed_remaining -= len(data)
+        self.streamed_remaining_bytes -= len(data)
         return data
 
     def next_value(self) -> Value | StreamedStringStarted | Literal[Incomplete.INCOMPLETE]:
@@ -113,9 +113,9 @@
             ProtocolError: as soon as what has arrived can't become a value that is accepted.
         """
         while True:
-            if self.streamed_remaining >= 0:
+            if self.streamed_remaining_bytes >= 0:
                 item = self._parse_end_of_streamed()
-            elif self.bulk_length >= 0:
+            elif self.bulk_length_bytes >= 0:
                 item = self._parse_bulk()
             else:
                 item = self._parse_line()
@@ -138,12 +138,12 @@
 
     def _parse_end_of_streamed(self) -> _Parsed:
         end = self._offset + len(CRLF)
-        if self.streamed_remaining or len(self.buffer) < end:
+        if self.streamed_remaining_bytes or len(self.buffer) < end:
             return INCOMPLETE
         if self.buffer[self._offset : end] != CRLF:
             raise ProtocolError("a string longer than its length")
         self._offset = end
-        self.streamed_remaining = NONE
+        self.streamed_remaining_bytes = NONE
         return b""
 
     def _parse_line(self) -> _Parsed:
@@ -175,17 +175,20 @@
         return size
 
     def _begin_bulk(self, length: int) -> _Parsed:
-        if self.streaming_threshold < length <= self.max_streamed and self.array_items is not None:
-            self.streamed_remaining = length
+        if (
+            self.streaming_threshold_bytes < length <= self.max_streamed_bytes
+            and self.array_items is not None
+        ):
+            self.streamed_remaining_bytes = length
             return StreamedStringStarted(list(self.array_items), self._missing_items, length)
-        self.bulk_length = length
+        self.bulk_length_bytes = length
         self._announced_bytes += length
         if self._announced_bytes > self.max_bytes:
             raise ProtocolError("value too long")
         return self._parse_bulk()
 
     def _parse_bulk(self) -> bytes | Literal[Incomplete.INCOMPLETE]:
-        end_of_string = self._offset + self.bulk_length
+        end_of_string = self._offset + self.bulk_length_bytes
         end = end_of_string + len(CRLF)
         if len(self.buffer) < end:
             return INCOMPLETE
@@ -193,5 +196,5 @@
             raise ProtocolError("a string longer than its length")
         value = bytes(self.buffer[self._offset : end_of_string])
         self._offset = end
-        self.bulk_length = NONE
+        self.bulk_length_bytes = NONE
         return value
--- a/switchline/net/streams.py
+++ b/switchline/net/streams.py
@@ -23,17 +23,17 @@
     forwarded, and what has just been read.
 
     Args:
-        memory: the process's limit, in bytes.
+        memory_limit_bytes: the process's limit, in bytes.
     """
 
-    def __init__(self, memory: int) -> None:
-        self.budget = int(memory * BUFFER_SHARE_RATIO)
-        self.values = 0  # under way
+    def __init__(self, memory_limit_bytes: int) -> None:
+        self.budget_bytes = int(memory_limit_bytes * BUFFER_SHARE_RATIO)
+        self.active_values = 0  # under way
 
     @property
-    def window(self) -> int:
+    def window_bytes(self) -> int:
         """Bytes that one buffer of one value may hold now."""
-        return max(MIN_WINDOW_BYTES, min(MAX_WINDOW_BYTES, self.budget // max(1, self.values)))
+        return max(MIN_WINDOW_BYTES, min(MAX_WINDOW_BYTES, self.budget_bytes // max(1, self.active_values)))
 
 
 class StreamedRequestBody:
@@ -44,21 +44,21 @@
 
     Args:
         buffer_budget: bounds what is held.
-        length: of the value, in bytes.
+        length_bytes: of the value.
     """
 
-    def __init__(self, buffer_budget: BufferBudget, length: int) -> None:
+    def __init__(self, buffer_budget: BufferBudget, length_bytes: int) -> None:
         self.buffer_budget = buffer_budget
-        self.length = length
+        self.length_bytes = length_bytes
         self.buffer = bytearray()
-        self.received = 0  # bytes so far
-        self.sent = 0  # bytes so far, by the present attempt
+        self.received_bytes = 0  # bytes so far
+        self.sent_bytes = 0  # bytes so far, by the present attempt
         self.complete = False  # its last byte has arrived
         self.dropped = False  # nobody needs the rest
         self.on_data: Callable[[], None] | None = None  # the attempt waits for bytes
         self.on_capacity: Callable[[], None] | None = None  # the client's connection may have been paused
         self._buffer_start = 0  # offset in the value of the first byte in the buffer
-        buffer_budget.values += 1
+        buffer_budget.active_values += 1
 
     @property
     def repeatable(self) -> bool:
@@ -68,11 +68,11 @@
     @property
     def full(self) -> bool:
         """Whether the client's connection has to be paused."""
-        return not self.dropped and self.received - self.sent >= self.buffer_budget.window
+        return not self.dropped and self.received_bytes - self.sent_bytes >= self.buffer_budget.window_bytes
 
     def feed(self, data: bytes) -> None:
         """Add bytes that the client has sent."""
-        self.received += len(data)
+        self.received_bytes += len(data)
         if not self.dropped:
             self.buffer += data
             if self.on_data is not None:
@@ -87,17 +87,17 @@
     def begin(self, on_data: Callable[[], None]) -> None:
         """Let an attempt send the value, from its first byte on; it is called when bytes arrive."""
         self.on_data = on_data
-        self.sent = 0
+        self.sent_bytes = 0
 
     def pull(self) -> bytes:
         """Return the next bytes to send, empty if no more have arrived."""
-        start = self.sent - self._buffer_start
-        data = bytes(memoryview(self.buffer)[start : start + self.buffer_budget.window])
-        self.sent += len(data)
-        too_much_for_retry = self.sent > self.buffer_budget.window
+        start = self.sent_bytes - self._buffer_start
+        data = bytes(memoryview(self.buffer)[start : start + self.buffer_budget.window_bytes])
+        self.sent_bytes += len(data)
+        too_much_for_retry = self.sent_bytes > self.buffer_budget.window_bytes
         if self._buffer_start or too_much_for_retry:
-            del self.buffer[: self.sent - self._buffer_start]
-            self._buffer_start = self.sent
+            del self.buffer[: self.sent_bytes - self._buffer_start]
+            self._buffer_start = self.sent_bytes
         if data and self.on_capacity is not None:
             self.on_capacity()
         return data
@@ -109,7 +109,7 @@
         self.dropped = True
         self.on_data = None
         self.buffer.clear()
-        self.buffer_budget.values -= 1
+        self.buffer_budget.active_values -= 1
         if self.on_capacity is not None:
             self.on_capacity()
 
@@ -119,25 +119,25 @@
 
     Args:
         buffer_budget: bounds what is held.
-        length: of the value, in bytes.
+        length_bytes: of the value.
         on_data: called when the client's connection may write.
     """
 
-    def __init__(self, buffer_budget: BufferBudget, length: int, on_data: Callable[[], None]) -> None:
+    def __init__(self, buffer_budget: BufferBudget, length_bytes: int, on_data: Callable[[], None]) -> None:
         self.buffer_budget = buffer_budget
         self.on_data = on_data
         self.started = False  # some of it has been written
         self.dropped = False
         self.on_capacity: Callable[[], None] | None = None  # the backend's connection may have been paused
         self._complete = False  # the backend has sent all of it
-        self._pieces = [b"$%d" % length + CRLF]
+        self._pieces = [b"$%d" % length_bytes + CRLF]
         self._buffered = 0  # bytes of the value that wait to be written
-        buffer_budget.values += 1
+        buffer_budget.active_values += 1
 
     @property
     def full(self) -> bool:
         """Whether the backend's connection has to be paused."""
-        return self._buffered >= self.buffer_budget.window
+        return self._buffered >= self.buffer_budget.window_bytes
 
     @property
     def written(self) -> bool:
@@ -173,4 +173,4 @@
             self.dropped = True
             self.on_capacity = None
             self._pieces.clear()
-            self.buffer_budget.values -= 1
+            self.buffer_budget.active_values -= 1
--- a/switchline/operators/server.py
+++ b/switchline/operators/server.py
@@ -12,7 +12,7 @@
 
 from switchline.config import Address
 from switchline.net.accept import Acceptor
-from switchline.net.descriptors import Budget, Part
+from switchline.net.descriptors import Budget, DescriptorOwner
 from switchline.net.listen import ListenError, listen, listen_with_retries
 from switchline.operators.calls import DeferredReply, OperatorCalls, Reply
 
@@ -158,7 +158,7 @@
 
     def listen(self, listening_socket: socket.socket) -> int:
         """Start to accept on a listening socket; return its port."""
-        self.budget.keep_reserve()
+        self.budget.open_reserve()
         self.acceptor = Acceptor(
             listening_socket, lambda: OperatorConnection(self), self.budget, may_use_reserve=True
         )
@@ -166,7 +166,7 @@
 
     def on_open(self, connection: OperatorConnection) -> None:
         """Count a new connection, and abort the oldest where there are too many."""
-        self.budget.acquire(Part.OPERATORS)
+        self.budget.acquire(DescriptorOwner.OPERATORS)
         self.connections[connection] = None
         if len(self.connections) > MAX_CONNECTIONS:
             oldest = next(iter(self.connections))
@@ -176,7 +176,7 @@
 
     def on_closed(self, connection: OperatorConnection) -> None:
         """Return the descriptor of a connection that has ended."""
-        self.budget.release(Part.OPERATORS)
+        self.budget.release(DescriptorOwner.OPERATORS)
         self.connections.pop(connection, None)
 
     def close(self) -> None:
--- a/switchline/requests/arrivals.py
+++ b/switchline/requests/arrivals.py
@@ -5,8 +5,10 @@
 from switchline.clients.commands import Command
 from switchline.policy import interface as api
 
-LONGEST_WAIT_MS = 60_000.0  # that a client can ask for; the longest deadlines are well under it
-LONGEST_BODY_MS = 120_000.0  # for a streamed body to come in; a client that stalls is dropped long before
+MAX_CLIENT_WAIT_MS = 60_000.0  # that a client can ask for; the longest deadlines are well under it
+MAX_BODY_TRANSFER_MS = (
+    120_000.0  # for a streamed body to come in; a client that stalls is dropped long before
+)
 
 
 class MalformedCommandError(ValueError):
@@ -27,24 +29,28 @@
         Forwarded, an unknown class would fail at each backend and make healthy ones count as failing, and an
         unknown plan has no quota to meter.
         """
-        given = command.attributes
+        attributes = command.attributes
         event = api.RequestArrived(
             request=command.id,
-            request_class=given[b"c"].decode(),
-            plan=given.get(b"t", b"").decode(),
+            request_class=attributes[b"c"].decode(),
+            plan=attributes.get(b"t", b"").decode(),
             customer=command.customer,
-            expires_ms=command.received_at_ms + self._patience_ms(command),
-            units=float(given.get(b"units", b"0")),
-            customer_gateway_count=int(given.get(b"spread", b"1")),
-            first_gateway=int(given.get(b"first", b"0")),
-            is_repeat=given.get(b"r") == b"1",
+            expires_ms=command.received_at_ms + self._wait_ms(command),
+            units=float(attributes.get(b"units", b"0")),
+            customer_gateway_count=int(attributes.get(b"spread", b"1")),
+            first_gateway=int(attributes.get(b"first", b"0")),
+            is_repeat=attributes.get(b"r") == b"1",
             streamed=command.stream is not None,
         )
         self._check(event, command)
         return event
 
-    def _patience_ms(self, command: Command) -> float:
-        return LONGEST_BODY_MS if command.stream is not None else min(command.time_left_ms, LONGEST_WAIT_MS)
+    def _wait_ms(self, command: Command) -> float:
+        return (
+            MAX_BODY_TRANSFER_MS
+            if command.stream is not None
+            else min(command.time_left_ms, MAX_CLIENT_WAIT_MS)
+        )
 
     def _check(self, event: api.RequestArrived, command: Command) -> None:
         kind = self.classes.get(event.request_class)
--- a/switchline/requests/attempts.py
+++ b/switchline/requests/attempts.py
@@ -34,16 +34,16 @@
         self.guard = context.timers.guard
         self.backends = context.backends
         self.metrics = context.metrics
-        self.buffers = context.buffers
+        self.buffer_budget = context.buffer_budget
         self.report = context.report
-        self.give = context.give
+        self.send_event = context.send_event
         self.in_flight: dict[tuple[str, int], Attempt] = {}  # by request and number
 
     def send(self, request_id: str, backend: int, timeout_ms: float) -> None:
         """Begin an attempt; one that may not begin ends at once, as ignored."""
         now = now_ms()
-        request = self.requests.open.get(request_id)
-        if request is None or request.body_is_spent or request.attempts_made >= self.max_attempts:
+        request = self.requests.in_flight.get(request_id)
+        if request is None or request.body_discarded or request.attempts_made >= self.max_attempts:
             self._ignore(request_id, backend, request)
             return
         number = request.attempts_made
@@ -51,7 +51,7 @@
         attempt = Attempt(
             backend,
             request.command.encode,
-            request.expires,
+            request.expires_at_ms,
             partial(self.on_ended, request, number, now),
             partial(self.on_written, request, number),
             partial(self.on_streamed_answer, request, number),
@@ -59,16 +59,16 @@
             request.command.stream,
         )
         self.in_flight[request_id, number] = request.in_flight[number] = attempt
-        if 0 < timeout_ms < request.expires - now:
+        if 0 < timeout_ms < request.expires_at_ms - now:
             give_up = partial(self.backends.give_up, attempt, api.Outcome.TIMED_OUT)
             attempt.timeout_timer = self.timers.at(now + timeout_ms, give_up)
         self.backends.send(attempt)
 
     def _ignore(self, request_id: str, backend: int, request: Request | None) -> None:
         number = request.attempts_made if request is not None else 0
-        spent = request is not None and request.body_is_spent
+        spent = request is not None and request.body_discarded
         finished = request is None
-        self.give(
+        self.send_event(
             api.AttemptEnded(
                 request_id, number, backend, api.Outcome.IGNORED, 0.0, finished, body_discarded=spent
             )
@@ -86,12 +86,12 @@
         It is asked at the first byte and, where not all leaves at once, before the last: what was decided on
         may have been overtaken in its wait for a connection.
         """
-        if self.requests.open.get(request.id) is not request or request.streaming_attempt is not None:
+        if self.requests.in_flight.get(request.id) is not request or request.streaming_attempt is not None:
             return api.Outcome.IGNORED  # it has its final answer
-        if request.kind.effect is api.Effect.NOT_IDEMPOTENT and request.sent_at:
+        if request.kind.effect is api.Effect.NOT_IDEMPOTENT and request.sent_at_ms:
             self.guard.violated(Invariant.NO_UNSAFE_REPEAT, f"request {request.id}")
             return api.Outcome.IGNORED
-        if now >= request.retry_until:  # what has run may by then run again
+        if now >= request.retry_deadline_ms:  # what has run may by then run again
             return api.Outcome.IGNORED
         if request.slot.connection.notice_departure():
             return api.Outcome.CANCELLED
@@ -99,9 +99,9 @@
 
     def on_written(self, request: Request, number: int, attempt: Attempt) -> None:
         """An attempt's last byte has left."""
-        request.sent_at[number] = now_ms()
+        request.sent_at_ms[number] = now_ms()
         if request.command.stream is not None:
-            self.give(api.RequestBodySent(request.id, number))
+            self.send_event(api.RequestBodySent(request.id, number))
 
     def on_streamed_answer(
         self, request: Request, number: int, attempt: Attempt, length: int
@@ -110,14 +110,16 @@
 
         None where the request has its final answer already.
         """
-        if self.requests.open.get(request.id) is not request or request.streaming_attempt is not None:
+        if self.requests.in_flight.get(request.id) is not request or request.streaming_attempt is not None:
             return None
         request.streaming_attempt = number
         if request.expiry_timer is not None:
             request.expiry_timer.cancel()
-        response = request.response = StreamedResponse(self.buffers, length, request.slot.connection.pump)
+        response = request.response = StreamedResponse(
+            self.buffer_budget, length, request.slot.connection.pump
+        )
         request.slot.stream(response, partial(self._on_answer_passed, request))
-        self.give(api.StreamedAnswerStarted(request.id, number))
+        self.send_event(api.StreamedAnswerStarted(request.id, number))
         return response
 
     def _on_answer_passed(self, request: Request) -> None:
@@ -143,15 +145,19 @@
             self._log_ended(request, number, attempt, outcome, now_ms() - started_at)
         del self.in_flight[request.id, number], request.in_flight[number]
         if outcome in NEVER_RAN:
-            request.sent_at.pop(number, None)
+            request.sent_at_ms.pop(number, None)
         self._answer(request, number, outcome, value)
-        finished = request.streaming_attempt is not None or self.requests.open.get(request.id) is not request
+        finished = (
+            request.streaming_attempt is not None or self.requests.in_flight.get(request.id) is not request
+        )
         if finished:
-            self.requests.settle(request)
-        spent = request.body_is_spent
+            self.requests.cancel_timer_if_finished(request)
+        spent = request.body_discarded
         lag = now_ms() - started_at
         cost = attempt.true_units if outcome is api.Outcome.OK else 0.0
-        self.give(api.AttemptEnded(request.id, number, attempt.backend, outcome, lag, finished, cost, spent))
+        self.send_event(
+            api.AttemptEnded(request.id, number, attempt.backend, outcome, lag, finished, cost, spent)
+        )
 
     def _answer(self, request: Request, number: int, outcome: api.Outcome, value: bytes) -> None:
         """Give the final answer, if the end of an attempt is one."""
--- a/switchline/requests/context.py
+++ b/switchline/requests/context.py
@@ -15,13 +15,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestContext:
-    """What a request needs of the gateway; `give` hands the policy an event."""
+    """What a request needs of the gateway; `send_event` hands the policy an event."""
 
     settings: api.Settings
-    max_open: int  # requests at once
+    max_in_flight: int  # requests at once
     timers: Timers
     backends: BackendPool
     metrics: Metrics
-    buffers: BufferBudget
+    buffer_budget: BufferBudget
     report: PeriodicReport
-    give: Callable[[api.Event], None]
+    send_event: Callable[[api.Event], None]
--- a/switchline/requests/report.py
+++ b/switchline/requests/report.py
@@ -19,13 +19,15 @@
 
     def __init__(self, timers: Timers) -> None:
         self.counts: Counts[str] = Counts()
-        self.states: Callable[[], dict[str, int]] = dict  # of connections, now
+        self.connection_counts: Callable[[], dict[str, int]] = dict  # of connections, now
         timers.every(REPORT_INTERVAL_MS, "the report", self.log_counts)
 
     def log_counts(self) -> None:
         """Log the counts, if there are any, with the connections' states, and begin anew."""
         if self.counts:
             counts = ", ".join(f"{what} {number}" for what, number in sorted(self.counts.items()))
-            states = ", ".join(f"{what} {number}" for what, number in self.states().items() if number)
-            log.info(log_events.REPORT, REPORT_INTERVAL_MS / 1000, counts, states)
+            connections = ", ".join(
+                f"{what} {number}" for what, number in self.connection_counts().items() if number
+            )
+            log.info(log_events.REPORT, REPORT_INTERVAL_MS / 1000, counts, connections)
             self.counts.clear()
--- a/switchline/service/calls/overrides.py
+++ b/switchline/service/calls/overrides.py
@@ -152,7 +152,7 @@
             overrides.set(name, is_set)
         except OSError as error:
             log.error(log_events.OVERRIDE_NOT_STORED, error)  # noqa: TRY400
-            self.parts.descriptors.relieve(error)
+            self.parts.descriptors.handle_shortage(error)
             return Reply(503, "it could not be kept\n")
         return YES
 
--- a/switchline/service/drain.py
+++ b/switchline/service/drain.py
@@ -73,7 +73,7 @@
         """Stop accepting once the front has noticed, and answer all that is open."""
         parts = self.parts
         clients = parts.clients
-        log.info(log_events.SHUTDOWN_STARTED, len(parts.driver.requests.open))
+        log.info(log_events.SHUTDOWN_STARTED, len(parts.driver.requests.in_flight))
         self.trail.record("ending", "", "", "SIGTERM")
         parts.guard.call("leaving the fleet", self.fleet.leave, not clients.handed_over)
         abort_at = parts.loop.time() + self.longest_drain_s()
@@ -90,7 +90,7 @@
     async def _abort(self) -> None:
         """Answer what is still open, and give these answers a moment to leave."""
         requests = self.parts.driver.requests
-        log.warning(log_events.SHUTDOWN_DEADLINE, len(requests.open))
+        log.warning(log_events.SHUTDOWN_DEADLINE, len(requests.in_flight))
         requests.end_all()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(CLOSING_S):
--- a/switchline/service/driver.py
+++ b/switchline/service/driver.py
@@ -27,7 +27,7 @@
 from switchline.policy.persistence.codec import decode_record, encode_record
 from switchline.requests.attempts import AttemptSender
 from switchline.requests.context import RequestContext
-from switchline.requests.lifecycle import REFUSED, RequestLifecycle
+from switchline.requests.lifecycle import BUSY_REPLY, RequestLifecycle
 from switchline.requests.report import PeriodicReport
 
 log = logging.getLogger(__name__)
@@ -113,7 +113,7 @@
     def gauges(self) -> dict[str, int]:
         """The live state that operators fetch with the counts."""
         return {
-            "outstanding": len(self.requests.open),
+            "outstanding": len(self.requests.in_flight),
             "discovered": len(self.gateway.backends.by_id),
             "ejected": gateway_status.ejected_backend_count(self.gateway, now_ms()),
         }
@@ -186,7 +186,7 @@
         self.report.counts["refused for " + action.cause.value] += 1
         self.withheld += action.cause is api.RejectionCause.RECOVERY
         retry_after_ms = math.ceil(action.retry_after_ms)
-        reply = b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms > 0 else REFUSED
+        reply = b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms > 0 else BUSY_REPLY
         self.requests.finish(action.request, reply, OutcomeKind.DECLINED)
 
     def _count(self, action: api.AddToCounter) -> None:
--- a/switchline/service/service.py
+++ b/switchline/service/service.py
@@ -66,7 +66,7 @@
         self.upgrade = ProcessUpgrade(self.parts, self.fleet, self.persistence, stop)
         self.reload = ConfigReload(self.parts, self.trail, self.fleet)
         self.drain = FinalDrain(self.parts, self.trail, self.fleet)
-        self.parts.driver.report.states = self.status.report_counts
+        self.parts.driver.report.connection_counts = self.status.report_counts
 
     def _make_persistence(self) -> StatePersistence | None:
         """What restores and keeps the state on disk, with `state` in the configuration."""
--- a/switchline/service/upgrade.py
+++ b/switchline/service/upgrade.py
@@ -75,8 +75,8 @@
 
     async def _empty(self) -> None:
         """Report the descriptors held here until nothing is open, and then end the process."""
-        while self.parts.clients.holds_clients or self.parts.driver.requests.open:
-            self.handover.report_descriptors(self.parts.descriptors.total)
+        while self.parts.clients.holds_clients or self.parts.driver.requests.in_flight:
+            self.handover.report_descriptors(self.parts.descriptors.total_in_use)
             await asyncio.sleep(DESCRIPTOR_REPORT_INTERVAL_S)
         self.stop.set()
 
--- a/testbed/launch.py
+++ b/testbed/launch.py
@@ -28,7 +28,7 @@
 
     def finish(self: Any, request: str, reply: bytes, ended: Any) -> None:
         self.lost = getattr(self, "lost", 0) + 1
-        owner = self.open.get(request)
+        owner = self.in_flight.get(request)
         if self.lost % 10 == 0 and owner is not None and owner.attempts_made:
             owner.slot.connection.transport.close()
         else:
@@ -81,7 +81,7 @@
     """It says of work that may have run that it has not."""
     from switchline.requests import lifecycle
 
-    replace(lifecycle, "FAILED", b"-BUSY 100\r\n")
+    replace(lifecycle, "FAILED_REPLY", b"-BUSY 100\r\n")
 
 
 def deaf() -> None:
@@ -92,7 +92,7 @@
     from switchline.policy.backends.backend_table import BackendTable
 
     replace(BackendTable, "is_usable", lambda self, backend: backend.is_ready)
-    replace(endpoint.Endpoint, "takes_new", property(lambda self: True))
+    replace(endpoint.Endpoint, "accepts_attempts", property(lambda self: True))
 
     def update(self: Any, entry: Any) -> None:
         before(self, entry)
--- a/tests/backends/test_backends.py
+++ b/tests/backends/test_backends.py
@@ -5,14 +5,14 @@
 import asyncio
 
 import pytest
-from backend_attempts import Try, pool
+from backend_attempts import RecordedAttempt, running_pool
 
 from switchline.backends import connection as module
 from switchline.backends import pool as pool_module
 from switchline.backends.connection import Connection
 from switchline.backends.pool import BackendPool
 from switchline.net.descriptors import Budget
-from switchline.net.idle import MEMORY_MS, IdleTimes
+from switchline.net.idle import EVIDENCE_DECAY_MS, IdleTimes
 from switchline.policy.interface import BackendState, Outcome
 from testbed.network.sockets import LOCAL, Peer, Reply, Server, until
 from testbed.stand_ins.backends import Backend
@@ -49,8 +49,8 @@
         return reply
 
     async def scenario() -> None:
-        async with pool(Backend(script)) as made:
-            assert (await Try(made).result())[0] is outcome
+        async with running_pool(Backend(script)) as made:
+            assert (await RecordedAttempt(made).result())[0] is outcome
 
     in_loop(scenario)
 
@@ -71,8 +71,8 @@
         return b"*3\r\n$5\r\nvalue\r\n" + figures + b"$-1\r\n"
 
     async def scenario() -> None:
-        async with pool(Backend(script)) as made:
-            tried = Try(made)
+        async with running_pool(Backend(script)) as made:
+            tried = RecordedAttempt(made)
             assert (await tried.result())[0] is Outcome.OK
             assert tried.attempt.true_units == cost
 
@@ -82,10 +82,13 @@
 def test_a_refused_connection_never_ran() -> None:
     async def scenario() -> None:
         server = Backend()
-        async with pool(server) as made:
+        async with running_pool(server) as made:
             server.server.close()
-            assert await Try(made).result() == (Outcome.CONNECT_FAILED, b"")
-            assert await Try(made, backend=9).result() == (Outcome.CONNECT_FAILED, b"")  # never listed
+            assert await RecordedAttempt(made).result() == (Outcome.CONNECT_FAILED, b"")
+            assert await RecordedAttempt(made, backend=9).result() == (
+                Outcome.CONNECT_FAILED,
+                b"",
+            )  # never listed
 
     in_loop(scenario)
 
@@ -102,8 +105,8 @@
 
     async def scenario() -> None:
         server = Deaf()
-        async with pool(server) as made:
-            tried = Try(made, body=b"x" * 32_000_000)
+        async with running_pool(server) as made:
+            tried = RecordedAttempt(made, body=b"x" * 32_000_000)
             await until(lambda: server.accepted and tried.attempt.connection is not None)
             connection = tried.attempt.connection
             assert connection is not None
@@ -117,8 +120,8 @@
 def test_a_large_request_goes_out_whole() -> None:
     async def scenario() -> None:
         server = Backend()
-        async with pool(server) as made:
-            assert (await Try(made, body=b"x" * 8_000_000).result())[0] is Outcome.OK
+        async with running_pool(server) as made:
+            assert (await RecordedAttempt(made, body=b"x" * 8_000_000).result())[0] is Outcome.OK
             assert server.got[0][4] == b"x" * 8_000_000
 
     in_loop(scenario)
@@ -127,11 +130,11 @@
 def test_the_connection_used_last_is_used_again() -> None:
     async def scenario() -> None:
         server = Backend()
-        async with pool(server) as made:
-            await asyncio.gather(Try(made).result(), Try(made).result())
+        async with running_pool(server) as made:
+            await asyncio.gather(RecordedAttempt(made).result(), RecordedAttempt(made).result())
             assert server.accepted == 2
             for _ in range(5):
-                assert (await Try(made).result())[0] is Outcome.OK
+                assert (await RecordedAttempt(made).result())[0] is Outcome.OK
             assert server.accepted == 2
 
     in_loop(scenario)
@@ -142,13 +145,13 @@
 
     async def scenario() -> None:
         server = Backend()
-        async with pool(server) as made:
-            assert (await Try(made).result())[0] is Outcome.OK
+        async with running_pool(server) as made:
+            assert (await RecordedAttempt(made).result())[0] is Outcome.OK
             connection = await idle_connection(made)
             made.loop.remove_reader(connection.fd)  # as if the event loop had not yet come to it
             server.hang_up()
             await until(lambda: not connection.is_alive())
-            assert (await Try(made).result())[0] is Outcome.OK
+            assert (await RecordedAttempt(made).result())[0] is Outcome.OK
             assert server.accepted == 2 and len(server.got) == 2
 
     in_loop(scenario)
@@ -159,8 +162,8 @@
 
     async def scenario() -> None:
         server = Backend()
-        async with pool(server) as made:
-            assert (await Try(made).result())[0] is Outcome.OK
+        async with running_pool(server) as made:
+            assert (await RecordedAttempt(made).result())[0] is Outcome.OK
             connection = await idle_connection(made)
             connection.idle_since_ms -= made.idle_times.limit_ms - 20
             await until(lambda: server.ended)
@@ -177,8 +180,8 @@
 
     async def scenario() -> None:
         server = Backend(silent)
-        async with pool(server) as made:
-            tried = Try(made)
+        async with running_pool(server) as made:
+            tried = RecordedAttempt(made)
             await until(lambda: server.got)
             connection = tried.attempt.connection
             assert connection is not None
@@ -196,11 +199,11 @@
 
     async def scenario() -> None:
         server = Backend()
-        async with pool(server) as made:
-            tried = Try(made)  # the connection is not up yet
+        async with running_pool(server) as made:
+            tried = RecordedAttempt(made)  # the connection is not up yet
             made.update(0, (LOCAL, server.port), BackendState.DRAINING)
             assert (await tried.result())[0] is Outcome.CONNECT_FAILED
-            assert (await Try(made).result())[0] is Outcome.CONNECT_FAILED
+            assert (await RecordedAttempt(made).result())[0] is Outcome.CONNECT_FAILED
             await until(lambda: not server.open)
             assert not server.got
 
@@ -210,8 +213,8 @@
 def test_a_request_that_ended_while_connecting_is_not_sent() -> None:
     async def scenario() -> None:
         server = Backend()
-        async with pool(server) as made:
-            assert (await Try(made, wait=0).result())[0] is Outcome.IGNORED
+        async with running_pool(server) as made:
+            assert (await RecordedAttempt(made, wait_ms=0).result())[0] is Outcome.IGNORED
             assert not server.got
 
     in_loop(scenario)
@@ -220,8 +223,8 @@
 def test_a_time_out_before_the_connection_is_up_never_ran() -> None:
     async def scenario() -> None:
         server = Backend()
-        async with pool(server) as made:
-            tried = Try(made)
+        async with running_pool(server) as made:
+            tried = RecordedAttempt(made)
             made.give_up(tried.attempt, Outcome.TIMED_OUT)
             assert (await tried.result())[0] is Outcome.CONNECT_FAILED
 
@@ -234,12 +237,14 @@
 
     async def scenario() -> None:
         first, second = Backend(), Backend(silent)
-        async with pool(first, second, budget=Budget(1), connect_timeout=100) as made:  # eight connections
-            assert (await Try(made).result())[0] is Outcome.OK
-            held = [Try(made, backend=1) for _ in range(8)]
+        async with running_pool(
+            first, second, budget=Budget(1), connect_timeout_ms=100
+        ) as made:  # eight connections
+            assert (await RecordedAttempt(made).result())[0] is Outcome.OK
+            held = [RecordedAttempt(made, backend=1) for _ in range(8)]
             await until(lambda: len(second.got) == 8)
             await until(lambda: first.ended)
-            assert (await Try(made).result())[0] is Outcome.NO_CONNECTION
+            assert (await RecordedAttempt(made).result())[0] is Outcome.NO_CONNECTION
             assert not any(t.endings for t in held) and len(made.connections) == 8
 
     in_loop(scenario)
@@ -248,11 +253,11 @@
 def test_a_changed_address_is_followed() -> None:
     async def scenario() -> None:
         old, new = Backend(), Backend()
-        async with pool(old) as made:
+        async with running_pool(old) as made:
             await new.start()
-            assert (await Try(made).result())[0] is Outcome.OK
+            assert (await RecordedAttempt(made).result())[0] is Outcome.OK
             made.update(0, (LOCAL, new.port), BackendState.READY)
-            assert (await Try(made).result())[0] is Outcome.OK
+            assert (await RecordedAttempt(made).result())[0] is Outcome.OK
             assert len(old.got) == len(new.got) == 1
             await until(lambda: old.ended)
             await new.stop()
@@ -299,7 +304,7 @@
         times.record_use(300.0, reset=number % 2 == 0)
     assert not times.allows(2_000.0, 400.0) and not times.allows(2_000.0, 8_000.0)
     assert times.allows(2_000.0, 100.0)
-    assert times.allows(2_000.0 + 3 * MEMORY_MS, 400.0)
+    assert times.allows(2_000.0 + 3 * EVIDENCE_DECAY_MS, 400.0)
 
 
 def test_a_backend_that_drops_idle_connections_unsaid_is_no_longer_sent_work_on_them(
@@ -319,13 +324,13 @@
                     fresh = False
                     writer.write(SERVED)
 
-        async with pool(Dropping()) as made:
+        async with running_pool(Dropping()) as made:
             resets = 0
             for number in range(30):
-                assert (await Try(made).result())[0] is Outcome.OK
+                assert (await RecordedAttempt(made).result())[0] is Outcome.OK
                 connection = await idle_connection(made)
                 connection.idle_since_ms -= 500  # as if it had stood for so long
-                tried = Try(made, id=b"idle%d" % number)
+                tried = RecordedAttempt(made, id=b"idle%d" % number)
                 resets += (await tried.result())[0] is Outcome.RESET
             assert 3 <= resets < 10
 
@@ -338,9 +343,9 @@
 def test_an_attempt_that_is_hindered_while_it_waits_is_never_written() -> None:
     async def scenario() -> None:
         server = Backend()
-        async with pool(server) as made:
-            first, second = Try(made), Try(made)
-            first.hindered = Outcome.CANCELLED
+        async with running_pool(server) as made:
+            first, second = RecordedAttempt(made), RecordedAttempt(made)
+            first.reason_not_to_send = Outcome.CANCELLED
             assert (await first.result())[0] is Outcome.CANCELLED
             assert (await second.result())[0] is Outcome.OK
             assert len(server.got) == 1 and not first.written
@@ -358,12 +363,12 @@
                 await super().talk(reader, writer)
 
         server = Slow()
-        async with pool(server) as made:
-            tried = Try(made, body=bytes(32_000_000))
+        async with running_pool(server) as made:
+            tried = RecordedAttempt(made, body=bytes(32_000_000))
             await until(
                 lambda: tried.attempt.connection is not None and tried.attempt.connection.writing_blocked
             )
-            tried.hindered = Outcome.IGNORED
+            tried.reason_not_to_send = Outcome.IGNORED
             read.set()
             assert (await tried.result())[0] is Outcome.CONNECT_FAILED  # it can't have run
             await until(lambda: server.ended)
@@ -375,8 +380,8 @@
 def test_a_drain_ends_at_once_what_waits_for_a_connection() -> None:
     async def scenario() -> None:
         server = Backend()
-        async with pool(server) as made:
-            tried = Try(made)
+        async with running_pool(server) as made:
+            tried = RecordedAttempt(made)
             made.update(0, (LOCAL, server.port), BackendState.DRAINING)
             assert tried.endings == [(Outcome.CONNECT_FAILED, b"")]
             assert not made.connections  # nor does its handshake go on
@@ -389,8 +394,8 @@
 
     async def scenario() -> None:
         server = Backend()
-        async with pool(server) as made:
-            gone, stays = Try(made), Try(made)
+        async with running_pool(server) as made:
+            gone, stays = RecordedAttempt(made), RecordedAttempt(made)
             assert made.gauges()["backends.opening"] == 2
             made.give_up(gone.attempt, Outcome.TIMED_OUT)
             assert made.gauges()["backends.opening"] == 1
@@ -419,9 +424,9 @@
                         await go_on.wait()
                         writer.write(b"*3\r\n$3\r\none\r\n$-1\r\n$-1\r\n")
 
-        async with pool(Twice()) as made:
-            assert await Try(made, id=b"one").result() == (Outcome.OK, b"one")
-            second = Try(made, id=b"two")
+        async with running_pool(Twice()) as made:
+            assert await RecordedAttempt(made, id=b"one").result() == (Outcome.OK, b"one")
+            second = RecordedAttempt(made, id=b"two")
             go_on.set()
             assert await second.result() == (Outcome.OK, b"two")
 
--- a/tests/clients/test_connections.py
+++ b/tests/clients/test_connections.py
@@ -16,9 +16,9 @@
 from typing import Any
 
 import pytest
-from backend_attempts import Try, pool
+from backend_attempts import RecordedAttempt, running_pool
 from connection_figures import config, figures
-from cutting_backend import Cutting
+from cutting_backend import PiecewiseBackend
 from driver_scene import Scene
 from gateway_process import connect, start
 from hypothesis import given
@@ -33,7 +33,14 @@
 from switchline.config import ConfigError, load_config, parse_config
 from switchline.net import accept
 from switchline.net.accept import Acceptor, AcceptRate
-from switchline.net.descriptors import FIXED_PARTS, MIN_CONNECTIONS, PROCESS_DESCRIPTORS, Budget, Part, Shares
+from switchline.net.descriptors import (
+    FIXED_LIMITS,
+    MIN_CONNECTIONS,
+    PROCESS_DESCRIPTORS,
+    Budget,
+    DescriptorOwner,
+    Shares,
+)
 from switchline.net.listen import listen
 from switchline.net.streams import BufferBudget
 from switchline.operators.metrics import EvictionReason, Metrics
@@ -51,8 +58,8 @@
 def test_the_parts_fit_into_the_limit(limit: int, beside: int, clients: float, backends: float) -> None:
     budget = Budget(limit, Shares(clients=clients, backends=backends))
     budget.peer_process_descriptors = beside
-    parts = PROCESS_DESCRIPTORS + sum(budget.limit_of(part) for part in Part)
-    least = PROCESS_DESCRIPTORS + sum(FIXED_PARTS.values()) + 2 * MIN_CONNECTIONS
+    parts = PROCESS_DESCRIPTORS + sum(budget.limit_of(part) for part in DescriptorOwner)
+    least = PROCESS_DESCRIPTORS + sum(FIXED_LIMITS.values()) + 2 * MIN_CONNECTIONS
     assert parts <= max(limit - beside, least) and all(
         budget.limit_of(part) >= MIN_CONNECTIONS for part in budget.in_use
     )
@@ -60,30 +67,30 @@
 
 def test_the_budget_follows_the_limits_and_the_other_process(monkeypatch: pytest.MonkeyPatch) -> None:
     budget = Budget(256)
-    assert (budget.limit_of(Part.CLIENTS), budget.limit_of(Part.BACKENDS)) == (128, 64)
+    assert (budget.limit_of(DescriptorOwner.CLIENTS), budget.limit_of(DescriptorOwner.BACKENDS)) == (128, 64)
     budget.peer_process_descriptors = 100
-    assert (budget.limit_of(Part.CLIENTS), budget.limit_of(Part.BACKENDS)) == (70, 35)
+    assert (budget.limit_of(DescriptorOwner.CLIENTS), budget.limit_of(DescriptorOwner.BACKENDS)) == (70, 35)
     budget.peer_process_descriptors = 250
-    assert (budget.limit_of(Part.CLIENTS), budget.limit_of(Part.BACKENDS)) == (
+    assert (budget.limit_of(DescriptorOwner.CLIENTS), budget.limit_of(DescriptorOwner.BACKENDS)) == (
         MIN_CONNECTIONS,
         MIN_CONNECTIONS,
     )
     budget.peer_process_descriptors, budget.configured_limit = 0, 1024
-    assert budget.limit_of(Part.CLIENTS) == 512
+    assert budget.limit_of(DescriptorOwner.CLIENTS) == 512
     monkeypatch.setattr("resource.getrlimit", lambda _: (300, 400))  # less than configured
-    assert budget.limit_of(Part.CLIENTS) == 150 and budget.gauges()["descriptors.limit"] == 300
+    assert budget.limit_of(DescriptorOwner.CLIENTS) == 150 and budget.gauges()["descriptors.limit"] == 300
 
 
 def test_the_old_process_of_an_upgrade_does_not_grow() -> None:
     budget = Budget(256)
     for _ in range(20):
-        budget.acquire(Part.BACKENDS)
+        budget.acquire(DescriptorOwner.BACKENDS)
     budget.freeze()
-    assert not budget.has_free(Part.BACKENDS)
-    budget.release(Part.BACKENDS)
-    assert budget.has_free(Part.BACKENDS)
+    assert not budget.has_free(DescriptorOwner.BACKENDS)
+    budget.release(DescriptorOwner.BACKENDS)
+    assert budget.has_free(DescriptorOwner.BACKENDS)
     budget.unfreeze()
-    assert budget.limit_of(Part.BACKENDS) == 64
+    assert budget.limit_of(DescriptorOwner.BACKENDS) == 64
 
 
 def test_a_shortage_closes_what_can_be_spared_and_no_more() -> None:
@@ -97,9 +104,9 @@
 
         return spare
 
-    budget.relief_callbacks = [gives(3), gives(2)]
-    assert not budget.relieve(OSError(errno.ECONNREFUSED, "refused"))
-    assert budget.relieve(OSError(errno.EMFILE, "none left")) and asked == [8, 5]
+    budget.shortage_callbacks = [gives(3), gives(2)]
+    assert not budget.handle_shortage(OSError(errno.ECONNREFUSED, "refused"))
+    assert budget.handle_shortage(OSError(errno.EMFILE, "none left")) and asked == [8, 5]
     assert budget.shortages == 1
 
 
@@ -208,7 +215,7 @@
     def on_command(self, command: Command, slot: Slot) -> None:
         self.open.setdefault(slot.connection, []).append(slot)
 
-    def on_crowded(self, command: Command, slot: Slot) -> None:
+    def on_command_without_place(self, command: Command, slot: Slot) -> None:
         self.crowded += 1
         slot.answer(b"-BUSY 200\r\n")
 
@@ -275,7 +282,7 @@
     assert not any(map(ended, proven)) and [bool(ended(c)) for c in silent] == [True] * 68 + [False] * 32
     assert place.figures.evictions[EvictionReason.YOUNG] == 68
     place.settle()
-    assert place.budget.in_use[Part.CLIENTS] == 128
+    assert place.budget.in_use[DescriptorOwner.CLIENTS] == 128
     assert place.server.gauges() == {"clients.young": 32, "clients.in_use": 0, "clients.idle": 96}
 
 
@@ -379,7 +386,7 @@
         place.settle()
         assert place.server.places.live == len(place.server.connections) <= place.server.places.limit + 1
         assert len(place.server.places.young) <= 2 or place.server.places.live <= 7
-        assert place.budget.in_use[Part.CLIENTS] == len(place.server.connections)
+        assert place.budget.in_use[DescriptorOwner.CLIENTS] == len(place.server.connections)
         assert place.server.places.shares.slots_by_holder == {
             p: len(h) for p, h in place.server.places.proven.items()
         }
@@ -408,8 +415,8 @@
 def test_the_pool_shrinks_with_its_budget() -> None:
     async def scenario() -> None:
         server = Backend()
-        async with pool(server) as made:
-            await asyncio.gather(*(Try(made).result() for _ in range(20)))
+        async with running_pool(server) as made:
+            await asyncio.gather(*(RecordedAttempt(made).result() for _ in range(20)))
             opened = len(made.connections)
             assert opened > 8
             await until(lambda: len(made.endpoints[0].idle) == opened)
@@ -450,7 +457,7 @@
         assert ended(connection) and place.figures.evictions[reason] == 1, reason
     place.settle()
     assert (
-        place.budget.in_use[Part.CLIENTS] == 0
+        place.budget.in_use[DescriptorOwner.CLIENTS] == 0
         and not place.server.places.shares.slots_by_holder
         and not place.server.places.proven
     )
@@ -482,7 +489,7 @@
         slow.receiving.stream_started_s + watchdog.MAX_STREAMED_VALUE_S + 1
     )  # a byte just now
     supervision.check(slow, slow.receiving.stream_started_s + watchdog.MAX_STREAMED_VALUE_S + 1)
-    assert ended(slow) and place.server.buffer_budget.values == 0
+    assert ended(slow) and place.server.buffer_budget.active_values == 0
 
 
 def test_one_byte_every_two_seconds_is_no_head() -> None:
@@ -561,13 +568,13 @@
     async def scenario() -> None:
         for first, asked in ((False, 1), (True, 2)):
             budget, made = Budget(256), listen((LOCAL, 0), 5)
-            budget.keep_reserve()
+            budget.open_reserve()
             acceptor = Acceptor(made, asyncio.Protocol, budget, first)
             short = Short(1)
             acceptor.socket = SimpleNamespace(accept=short, fileno=made.fileno)  # type: ignore[assignment]
             acceptor._accept()
-            assert short.asked == asked and (acceptor.paused_by_shortage is None) is first
-            assert (budget.reserve is None) is first and budget.shortages == 1
+            assert short.asked == asked and (acceptor.shortage_timer is None) is first
+            assert (budget.reserve_fd is None) is first and budget.shortages == 1
             acceptor.socket = made
             acceptor.close()
             budget.close()
@@ -618,8 +625,8 @@
 def test_few_handshakes_go_to_one_backend_at_a_time() -> None:
     async def scenario() -> None:
         server = Backend(silent)
-        async with pool(server) as made:
-            tries = [Try(made) for _ in range(10)]
+        async with running_pool(server) as made:
+            tries = [RecordedAttempt(made) for _ in range(10)]
             assert made.gauges()["backends.opening"] == 4 and made.gauges()["backends.waiting"] == 10
             await until(lambda: len(server.got) == 10)
             assert (
@@ -641,8 +648,10 @@
             return b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
         server = Backend(script)
-        async with pool(server, budget=Budget(1024, Shares(connects=1)), connect_timeout=5_000) as made:
-            first = Try(made)
+        async with running_pool(
+            server, budget=Budget(1024, Shares(connects=1)), connect_timeout_ms=5_000
+        ) as made:
+            first = RecordedAttempt(made)
             await until(lambda: server.got)
             # A handshake that never comes up: nobody accepts, and the backlog is full.
             with socket.create_server((LOCAL, 0), backlog=0) as deaf:
@@ -651,7 +660,7 @@
                     sock.setblocking(False)
                     sock.connect_ex(deaf.getsockname())
                 made.endpoints[0].address = deaf.getsockname()
-                waits = Try(made)
+                waits = RecordedAttempt(made)
                 await asyncio.sleep(0.01)
                 made.endpoints[0].address = (LOCAL, server.port)
                 go_on.set()
@@ -693,8 +702,8 @@
 def test_a_drain_told_while_attempts_wait_sends_them_nowhere() -> None:
     async def scenario() -> None:
         server = Backend()
-        async with pool(server) as made:
-            tries = [Try(made) for _ in range(8)]
+        async with running_pool(server) as made:
+            tries = [RecordedAttempt(made) for _ in range(8)]
             made.update(0, (LOCAL, server.port), BackendState.DRAINING)
             assert [(await t.result())[0] for t in tries] == [Outcome.CONNECT_FAILED] * 8
             assert not server.got and not made.endpoints[0].waiting
@@ -705,8 +714,8 @@
 def test_one_that_leaves_while_it_waits_makes_no_place_for_itself() -> None:
     async def scenario() -> None:
         server = Backend()
-        async with pool(server) as made:
-            tries = [Try(made) for _ in range(6)]
+        async with running_pool(server) as made:
+            tries = [RecordedAttempt(made) for _ in range(6)]
             for left in tries[1:]:
                 made.give_up(left.attempt, Outcome.CANCELLED)
                 assert left.endings == [(Outcome.CANCELLED, b"")]
@@ -722,11 +731,13 @@
 
     async def scenario() -> None:
         servers = [Backend() for _ in range(40)]
-        async with pool(*servers, budget=Budget(256), connect_timeout=5_000) as made:
-            tries = [Try(made, backend=n % 40, wait=8_000) for n in range(400)]
+        async with running_pool(*servers, budget=Budget(256), connect_timeout_ms=5_000) as made:
+            tries = [RecordedAttempt(made, backend=n % 40, wait_ms=8_000) for n in range(400)]
             outcomes = Counts([(await t.result())[0] for t in tries])
             assert outcomes == {Outcome.OK: 400}
-            assert len(made.connections) <= 64 and made.budget.in_use[Part.BACKENDS] == len(made.connections)
+            assert len(made.connections) <= 64 and made.budget.in_use[DescriptorOwner.BACKENDS] == len(
+                made.connections
+            )
 
     in_loop(scenario)
 
@@ -743,7 +754,7 @@
         words = list(request(b"small"))
         words[1] = b"00000000b4d65522"
         scene.driver.requests.on_command(parse_command(words), small)
-        assert small.reply is None and len(scene.driver.requests.open) == 13
+        assert small.reply is None and len(scene.driver.requests.in_flight) == 13
         scene.driver.requests.on_client_gone("r0")
         assert scene.driver.requests.shares.slots_by_holder == {"00000000b4d65521": 11, "00000000b4d65522": 1}
         scene.driver.requests.end_all()
@@ -836,7 +847,7 @@
     reply = b"*3\r\n$%d\r\n%b\r\n$-1\r\n$-1\r\n" % (len(long), long)
 
     async def scenario() -> None:
-        backend = Cutting(reply, [500_000])
+        backend = PiecewiseBackend(reply, [500_000])
         async with running(World(backend, sockets=1)) as world:
             peer = await world.client()
             sent = encode(*request(name=b"wipe", body=long))
@@ -845,7 +856,7 @@
             peer.writer.write(sent[400_000:])
             await until(lambda: backend.got)
             flood += [await world.client() for _ in range(30)]  # while the answer comes
-            backend.go_on.release()
+            backend.next_piece.release()
             assert await peer.receive() == long and backend.got[0][4] == long
             assert (await figures(world))["evicted.young"] >= 40 and len(flood) == 60
 
@@ -854,25 +865,31 @@
 
 def test_an_upgrade_with_both_processes_at_their_share_fits_into_the_limit() -> None:
     old, new = Budget(256), Budget(256)
-    usual = {Part.OPERATORS: 2, Part.COUNTER: 4, Part.DISCOVERY: 1}  # of the fixed parts, what is in use
+    usual = {
+        DescriptorOwner.OPERATORS: 2,
+        DescriptorOwner.COUNTER: 4,
+        DescriptorOwner.DISCOVERY: 1,
+    }  # of the fixed parts, what is in use
     for budget in (old, new):
         for part, number in usual.items():
             for _ in range(number):
                 budget.acquire(part)
-    for part in (Part.CLIENTS, Part.BACKENDS):
+    for part in (DescriptorOwner.CLIENTS, DescriptorOwner.BACKENDS):
         while old.has_free(part):
             old.acquire(part)
     old.freeze()
-    while old.in_use[Part.CLIENTS]:  # its clients leave one by one; the new one grows into their places
-        new.peer_process_descriptors = old.total
-        for part in (Part.CLIENTS, Part.BACKENDS):
+    while old.in_use[
+        DescriptorOwner.CLIENTS
+    ]:  # its clients leave one by one; the new one grows into their places
+        new.peer_process_descriptors = old.total_in_use
+        for part in (DescriptorOwner.CLIENTS, DescriptorOwner.BACKENDS):
             while new.has_free(part):
                 new.acquire(part)
             while new.in_use[part] > new.limit_of(part):
                 new.release(part)
-        assert old.total + new.total <= 256
-        old.release(Part.CLIENTS)
-        assert not old.has_free(Part.BACKENDS)
+        assert old.total_in_use + new.total_in_use <= 256
+        old.release(DescriptorOwner.CLIENTS)
+        assert not old.has_free(DescriptorOwner.BACKENDS)
 
 
 def test_sighup_in_a_rush_harms_nobody_and_a_drain_in_one_ends(tmp_path: Path) -> None:
--- a/tests/net/test_streams.py
+++ b/tests/net/test_streams.py
@@ -6,7 +6,7 @@
 import random
 
 import pytest
-from cutting_backend import Cutting
+from cutting_backend import PiecewiseBackend
 from operator_calls import stats
 
 from switchline.clients import server as clients
@@ -72,7 +72,7 @@
                 assert await peer.receive() == b"value"
                 assert await peer.receive() == b"PONG"
                 await writing
-            assert taken and not taken[0].values  # no value's share of the memory is held on
+            assert taken and not taken[0].active_values  # no value's share of the memory is held on
             now = await stats(world)
             assert now["succeeded.wipe"] == 4 and now["outstanding"] == 0 and now["forwards"] == 4
             assert backend.accepted <= 2  # connections are used again
@@ -83,14 +83,14 @@
 def test_a_value_is_passed_on_as_it_comes() -> None:
     async def scenario() -> None:
         reply = array(LONG)
-        backend = Cutting(reply, [100_000, 2_000_000])
+        backend = PiecewiseBackend(reply, [100_000, 2_000_000])
         async with running(World(backend)) as world:
             peer = await world.client()
             peer.send(*request(name=b"wipe"))
             head = await peer.reader.readexactly(90_000)  # the backend holds the rest
             assert head.startswith(b"$%d\r\n" % len(LONG)) and (await stats(world))["outstanding"] == 1
-            backend.go_on.release()
-            backend.go_on.release()
+            backend.next_piece.release()
+            backend.next_piece.release()
             whole = head + await peer.reader.readexactly(len(LONG) + 12 - 90_000)
             assert whole == b"$%d\r\n%b\r\n" % (len(LONG), LONG)
 
@@ -99,13 +99,13 @@
 
 def test_a_deadline_does_not_cut_what_has_begun() -> None:
     async def scenario() -> None:
-        backend = Cutting(array(LONG), [100_000])
+        backend = PiecewiseBackend(array(LONG), [100_000])
         async with running(World(backend)) as world:
             peer = await world.client()
             peer.send(*request(wait=200, name=b"wipe"))
             await peer.reader.readexactly(50_000)
             await asyncio.sleep(0.4)
-            backend.go_on.release()
+            backend.next_piece.release()
             assert len(await peer.reader.readexactly(len(LONG) + 12 - 50_000))
 
     in_loop(scenario)
@@ -113,7 +113,7 @@
 
 def test_a_client_can_tell_that_a_value_broke_off() -> None:
     async def scenario() -> None:
-        async with running(World(Cutting(array(LONG)[:300_000], [], breaks=True))) as world:
+        async with running(World(PiecewiseBackend(array(LONG)[:300_000], [], breaks_off=True))) as world:
             peer = await world.client()
             peer.send(*request(name=b"wipe"))
             got = await peer.reader.read(-1)
@@ -276,9 +276,11 @@
                     peer.writer.write(put(b"p%d" % number))
                 # What the machine's own buffers hold differs; either all fits there, or the gateway waits.
                 await until(
-                    lambda: len(bodies) == 8 and all(b.full or b.received == b.length for b in bodies)
+                    lambda: (
+                        len(bodies) == 8 and all(b.full or b.received_bytes == b.length_bytes for b in bodies)
+                    )
                 )
-                assert 0 < peak <= 3 * next(iter(bodies)).buffer_budget.window
+                assert 0 < peak <= 3 * next(iter(bodies)).buffer_budget.window_bytes
 
     in_loop(scenario)
 
@@ -286,23 +288,23 @@
 def test_room_is_divided_among_the_values_under_way() -> None:
     room = BufferBudget(32 * 1024 * 1024)
     bodies = [StreamedRequestBody(room, MAX_VALUE_BYTES) for _ in range(100)]
-    assert room.window * 100 <= room.budget
+    assert room.window_bytes * 100 <= room.budget_bytes
     values = [StreamedResponse(room, MAX_VALUE_BYTES, lambda: None) for _ in range(1_000)]
-    assert room.window == MIN_WINDOW_BYTES
+    assert room.window_bytes == MIN_WINDOW_BYTES
     for value in [*bodies, *values]:
         value.drop()
         value.drop()
-    assert room.values == 0
+    assert room.active_values == 0
 
 
 def test_a_body_lets_go_of_what_was_sent_and_says_so() -> None:
     room = BufferBudget(64 * 1024 * 1024)
     body = StreamedRequestBody(room, MAX_VALUE_BYTES)
     body.begin(lambda: None)
-    body.feed(LONG[: room.window])
-    assert body.full and body.pull() == LONG[: room.window] and body.repeatable
+    body.feed(LONG[: room.window_bytes])
+    assert body.full and body.pull() == LONG[: room.window_bytes] and body.repeatable
     body.begin(lambda: None)
-    assert body.pull() == LONG[: room.window]
-    body.feed(LONG[room.window : room.window + 10])
-    assert body.pull() == LONG[room.window : room.window + 10]
+    assert body.pull() == LONG[: room.window_bytes]
+    body.feed(LONG[room.window_bytes : room.window_bytes + 10])
+    assert body.pull() == LONG[room.window_bytes : room.window_bytes + 10]
     assert not body.repeatable and not body.buffer
--- a/tests/service/test_driver.py
+++ b/tests/service/test_driver.py
@@ -12,8 +12,8 @@
 from switchline.clients.commands import parse_command
 from switchline.clients.slot import Slot
 from switchline.policy import interface as api
-from switchline.requests.lifecycle import FAILED
-from switchline.requests.request import REPEAT_MARGIN_MS, Request
+from switchline.requests.lifecycle import FAILED_REPLY
+from switchline.requests.request import RETRY_MARGIN_MS, Request
 from testbed.network.sockets import LOCAL, until
 from testbed.stand_ins.single_gateway import in_loop, request
 
@@ -22,7 +22,7 @@
     async def scenario() -> None:
         scene = Scene()
         scene.module.answers[api.RequestArrived] = ValueError("what")
-        assert scene.ask().reply == FAILED
+        assert scene.ask().reply == FAILED_REPLY
         scene.module.answers[api.RequestArrived] = [api.Reject("r2", 30.5)]
         assert scene.ask(b"r2").reply == b"-BUSY 31\r\n"
 
@@ -38,7 +38,7 @@
         slot = scene.ask(wait=20)
         assert slot.reply is None
         await until(lambda: slot.answered)
-        assert slot.reply == FAILED and not scene.driver.requests.open
+        assert slot.reply == FAILED_REPLY and not scene.driver.requests.in_flight
         assert scene.module.of(api.RequestAbandoned) == [api.RequestAbandoned("r1")]
 
     in_loop(scenario)
@@ -112,7 +112,7 @@
     async def scenario() -> None:
         scene = Scene()
         scene.module.answers[api.RequestArrived] = [api.Reject("r1", 30.0, api.RejectionCause.QUOTA)]
-        scene.driver.report.states = lambda: {"clients.idle": 2, "clients.young": 0}
+        scene.driver.report.connection_counts = lambda: {"clients.idle": 2, "clients.young": 0}
         scene.ask()
         with caplog.at_level("INFO"):
             scene.driver.report.log_counts()
@@ -134,7 +134,7 @@
     words[3] += b",k=5c0f6e1a2b3d4c59"
     slot = Slot(scene.connection)
     scene.driver.requests.on_command(parse_command(words), slot)
-    return scene.driver.requests.open["r1"], now
+    return scene.driver.requests.in_flight["r1"], now
 
 
 def test_a_keyed_repeat_that_waited_out_the_window_does_not_begin(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -149,10 +149,10 @@
         )  # the first attempt
         scene.driver.attempts.on_written(owner, 0, attempt)
         assert (
-            scene.driver.attempts.reason_not_to_send(owner, now[0] + KEYED_WINDOW_MS - REPEAT_MARGIN_MS - 1)
+            scene.driver.attempts.reason_not_to_send(owner, now[0] + KEYED_WINDOW_MS - RETRY_MARGIN_MS - 1)
             is None
         )
-        late = now[0] + KEYED_WINDOW_MS - REPEAT_MARGIN_MS
+        late = now[0] + KEYED_WINDOW_MS - RETRY_MARGIN_MS
         assert scene.driver.attempts.reason_not_to_send(owner, late) is api.Outcome.IGNORED
         scene.driver.requests.end_all()
 
--- a/tests/service/test_guard.py
+++ b/tests/service/test_guard.py
@@ -112,7 +112,7 @@
 
 
 def hindered(scene: Scene, request: str) -> api.Outcome | None:
-    return scene.driver.attempts.reason_not_to_send(scene.driver.requests.open[request], now_ms())
+    return scene.driver.attempts.reason_not_to_send(scene.driver.requests.in_flight[request], now_ms())
 
 
 def test_no_attempt_begins_for_a_request_that_is_answered_or_whose_connection_is_lost() -> None:
@@ -120,12 +120,12 @@
         scene = Scene()
         scene.connection.connection_made(Wire())
         scene.ask()
-        owner = scene.driver.requests.open["r1"]
+        owner = scene.driver.requests.in_flight["r1"]
         assert scene.driver.attempts.reason_not_to_send(owner, now_ms()) is None
         scene.driver.act(api.Fail("r1"))
         assert scene.driver.attempts.reason_not_to_send(owner, now_ms()) is api.Outcome.IGNORED
         scene.ask(b"r2")
-        owner = scene.driver.requests.open["r2"]
+        owner = scene.driver.requests.in_flight["r2"]
         scene.connection.connection_lost(None)
         assert scene.driver.attempts.reason_not_to_send(owner, now_ms()) is not None
 
@@ -137,12 +137,12 @@
         scene = Scene()
         scene.connection.connection_made(Wire())
         scene.ask()
-        owner = scene.driver.requests.open["r1"]
+        owner = scene.driver.requests.in_flight["r1"]
         owner.kind = next(
             kind for kind in scene.driver.settings.classes if kind.effect is api.Effect.NOT_IDEMPOTENT
         )
         assert hindered(scene, "r1") is None
-        owner.sent_at[0] = now_ms()
+        owner.sent_at_ms[0] = now_ms()
         assert hindered(scene, "r1") is api.Outcome.IGNORED
         assert scene.driver.guard.violations[Invariant.NO_UNSAFE_REPEAT] == 1
 
--- a/tests/support/backend_attempts.py
+++ b/tests/support/backend_attempts.py
@@ -19,11 +19,11 @@
 
 
 @asynccontextmanager
-async def pool(*servers: Server, **given: Any) -> AsyncIterator[BackendPool]:
+async def running_pool(*servers: Server, **given: Any) -> AsyncIterator[BackendPool]:
     loop = asyncio.get_running_loop()
     values: dict[str, Any] = dict(
-        connect_timeout=250,
-        keepalive=15_000,
+        connect_timeout_ms=250,
+        keepalive_ms=15_000,
         budget=Budget(1024),
         metrics=Metrics([]),
         buffer_budget=BufferBudget(2**26),
@@ -40,23 +40,30 @@
             await server.stop()
 
 
-class Try:
+class RecordedAttempt:
     """An attempt and how it ended."""
 
     def __init__(
         self,
         pool: BackendPool,
         backend: int = 0,
-        wait: float = 3000,
+        wait_ms: float = 3000,
         body: bytes = b"",
         id: bytes = b"9b1f03aa5c7e2d41",
     ) -> None:
         self.endings: list[tuple[Outcome, bytes]] = []
-        self.over = asyncio.Event()
-        expires = now_ms() + wait
-        self.hindered: Outcome | None = None  # why it must not begin
+        self.has_ended = asyncio.Event()
+        expires = now_ms() + wait_ms
+        self.reason_not_to_send: Outcome | None = None  # why it must not begin
         self.written = False  # its last byte has left
-        calls = self.encode, expires, self.ended, self.on_written, lambda *_: None, lambda _: self.hindered
+        calls = (
+            self.encode,
+            expires,
+            self.on_ended,
+            self.on_written,
+            lambda *_: None,
+            lambda _: self.reason_not_to_send,
+        )
         self.attempt = Attempt(backend, *calls)
         self.body, self.id = body, id
         pool.send(self.attempt)
@@ -67,11 +74,11 @@
     def on_written(self, attempt: Attempt) -> None:
         self.written = True
 
-    def ended(self, attempt: Attempt, outcome: Outcome, value: bytes) -> None:
+    def on_ended(self, attempt: Attempt, outcome: Outcome, value: bytes) -> None:
         self.endings.append((outcome, value))
-        self.over.set()
+        self.has_ended.set()
 
     async def result(self) -> tuple[Outcome, bytes]:
-        await self.over.wait()
+        await self.has_ended.wait()
         (ending,) = self.endings
         return ending
--- a/tests/support/cutting_backend.py
+++ b/tests/support/cutting_backend.py
@@ -8,13 +8,13 @@
 from testbed.stand_ins.backends import Backend
 
 
-class Cutting(Backend):
+class PiecewiseBackend(Backend):
     """Gives its answer in pieces, each when it is told to go on, and then perhaps breaks."""
 
-    def __init__(self, reply: bytes, cuts: list[int], breaks: bool = False) -> None:
+    def __init__(self, reply: bytes, cuts: list[int], breaks_off: bool = False) -> None:
         super().__init__()
         self.pieces = [reply[a:b] for a, b in zip([0, *cuts], [*cuts, len(reply)], strict=True)]
-        self.breaks, self.go_on = breaks, asyncio.Semaphore(0)
+        self.breaks_off, self.next_piece = breaks_off, asyncio.Semaphore(0)
 
     async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         peer = Peer(reader, writer)
@@ -22,8 +22,8 @@
             self.got.append(command)
             for number, piece in enumerate(self.pieces):
                 if number:
-                    await self.go_on.acquire()
+                    await self.next_piece.acquire()
                 writer.write(piece)
                 await writer.drain()
-            if self.breaks:
+            if self.breaks_off:
                 return
