--- a/switchline/backends/attempt.py
+++ b/switchline/backends/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at a backend, as the driver of the decisions and the connection pool share it."""
+"""One attempt to send a request to a backend; shared by the attempt sender and the connection pool."""
 
 from __future__ import annotations
 
@@ -17,25 +17,26 @@
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """An attempt; `on_ended` is called exactly once.
+    """One attempt; `on_ended` is called exactly once.
 
     Attributes:
-        backend: its number.
-        encode: returns the request's bytes, given the milliseconds that are left to the client.
-        expires_at_ms: by `now_ms`, when the client gives up.
-        on_ended: called with the outcome and the answer's value.
-        on_written: called when the last byte of the request has left.
-        on_streamed_answer: called with the length of a long answer that begins; returns where its bytes go,
-            or None if nobody needs it.
-        reason_not_to_send: returns why the attempt must not begin at a time, or None if it may.
-        body: a long value that follows what `encode` returns.
-        connection: that the attempt is on.
-        endpoint: where it waits for a connection.
-        handshake_started: while it waits, a handshake was begun for it.
-        wait_timer: ends that wait.
-        timeout_timer: gives the attempt up.
-        true_units: what the request cost, as the answer says; 0 if it does not.
-        ended: `on_ended` has been called.
+        backend: The backend's number.
+        encode: Returns the encoded request; its argument is the time left to the client, in milliseconds.
+        expires_at_ms: When the client's timeout ends, in Unix milliseconds (the clock of `now_ms`).
+        on_ended: Called with this attempt, its outcome and the value of the answer.
+        on_written: Called when the last byte of the request has been written to the socket.
+        on_streamed_answer: Called with this attempt and the length in bytes of a long answer that has begun;
+            returns the response that its bytes are added to, or None if the answer is not needed.
+        reason_not_to_send: Returns the outcome of an attempt that must not be sent at the given Unix time in
+            milliseconds, or None if it may be sent.
+        body: A long value that is sent after the bytes of `encode`; None if there is none.
+        connection: The connection that the attempt is sent on; None before and after.
+        endpoint: The endpoint whose queue the attempt waits in for a connection; None if it does not wait.
+        handshake_started: Whether a handshake was started for the attempt while it waited.
+        wait_timer: Ends the wait for a connection.
+        timeout_timer: Gives the attempt up when its timeout ends.
+        true_units: The units that the request cost according to the answer; 0 if the answer names none.
+        ended: Whether `on_ended` has been called.
     """
 
     backend: int
@@ -55,7 +56,7 @@
     ended: bool = False
 
     def end(self, outcome: Outcome, value: bytes = b"") -> None:
-        """End the attempt, unless it has ended."""
+        """End the attempt with an outcome and the value of its answer; do nothing if it has already ended."""
         if self.ended:
             return
         self.ended = True
@@ -66,7 +67,7 @@
         self.on_ended(self, outcome, value)
 
     def stop_waiting(self) -> None:
-        """Leave the queue for a connection: it has got one, or has ended."""
+        """Leave the endpoint's queue, as the attempt has got a connection or has ended."""
         if self.endpoint is not None:
             del self.endpoint.waiting[self]
             self.endpoint = None
--- a/switchline/backends/connection.py
+++ b/switchline/backends/connection.py
@@ -1,9 +1,9 @@
-"""One connection to a backend, with one attempt on it at a time.
+"""One connection to a backend, with at most one attempt in flight on it.
 
-The socket is driven directly rather than through a transport of the event loop. What may be said of an
-attempt depends on whether its last byte has left the process, the checks before sending hold at the first
-byte, and an attempt that is given up must be closed before the next one is sent; `start` and `end` do and
-report that at once.
+The socket is used directly instead of through a transport of the event loop, for three reasons. The outcome
+of an attempt depends on whether its last byte has left the process. The checks before sending must hold when
+the first byte is written. The connection of an attempt that is given up must be closed before the next
+attempt is sent. `start` and `end` do this synchronously and report the result at once.
 """
 
 from __future__ import annotations
@@ -39,13 +39,15 @@
 log = logging.getLogger(__name__)
 
 READ_BYTES = 64 * 1024
-STALL_MS = 10_000.0  # a long value that does not move for longer, while this side is ready, is broken off
-MAX_REPLY_ITEMS = 16  # a reply has three
-MAX_REPLY_BYTES = 128 * 1024  # a streamed value not counted
+# The transfer of a long value is aborted if the backend makes no progress for this time while the gateway is
+# ready to send or receive.
+STALL_TIMEOUT_MS = 10_000.0
+MAX_REPLY_ITEMS = 16  # a valid reply has three items
+MAX_REPLY_BYTES = 128 * 1024  # without the bytes of a streamed value
 
 
 class ConnectionState(Enum):
-    """CONNECTING -> OPEN -> CLOSED; a handshake that fails goes from CONNECTING to CLOSED."""
+    """Socket state: CONNECTING -> OPEN -> CLOSED, or CONNECTING -> CLOSED if the handshake fails."""
 
     CONNECTING = auto()
     OPEN = auto()
@@ -53,9 +55,9 @@
 
 
 class RequestState(Enum):
-    """How far the request of the present attempt has left: SENDING -> (SENDING_LAST ->) SENT.
+    """How much of the current attempt's request has been sent: SENDING -> (SENDING_LAST ->) SENT.
 
-    SENDING_LAST: the last bytes after a streamed body are on their way.
+    SENDING_LAST is only used with a streamed body: the body has been sent, the CRLF after it has not.
     """
 
     SENDING = auto()
@@ -64,17 +66,17 @@
 
 
 class Connection:
-    """Owns a socket and the attempt on it.
+    """Owns a socket and the attempt that is in flight on it.
 
-    Answers come in order and giving up means closing, so a second attempt at the same time would share the
-    fate of the first.
+    There is only one attempt at a time: answers come in order and an attempt is given up by closing the
+    connection, so a second attempt would be delayed or aborted together with the first.
 
     Args:
-        pool: is told when the connection is free or closed.
-        endpoint: that it leads to.
+        pool: The pool, which is notified when the connection is free or closed.
+        endpoint: The endpoint to connect to.
 
     Raises:
-        OSError: the handshake could not begin.
+        OSError: If the handshake could not be started.
     """
 
     def __init__(self, pool: BackendPool, endpoint: Endpoint) -> None:
@@ -84,18 +86,18 @@
         self.state = ConnectionState.CONNECTING
         self.attempt: Attempt | None = None
         self.idle_since_ms = 0.0
-        self.sent_at_ms = 0.0  # when the request had left, or began to
+        self.sent_at_ms = 0.0  # when the request's last byte was sent; until then, when sending began
         self._request_state = RequestState.SENDING
         self._parser = RespParser(
             MAX_REPLY_ITEMS, MAX_REPLY_BYTES, STREAMING_THRESHOLD_BYTES, MAX_VALUE_BYTES
         )
         self._unsent = memoryview(b"")
         self.writing_blocked = False
-        self._sending = False  # guards `_send` against itself
+        self._sending = False  # prevents reentrant calls of `_send`
         self._reading_paused = False
-        self._answer: StreamedResponse | None = None  # a long answer that is being forwarded
-        self._last_progress_ms = 0.0  # when bytes of a long value last moved
-        self._idle_before_ms = 0.0  # before the present attempt
+        self._answer: StreamedResponse | None = None  # the long answer that is being forwarded
+        self._last_progress_ms = 0.0  # when bytes of a long value were last sent or received
+        self._idle_before_ms = 0.0  # how long the connection was idle before the current attempt
         self._handshake_timer: asyncio.TimerHandle | None = None
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.fd = self.socket.fileno()
@@ -109,7 +111,7 @@
 
     @property
     def closed(self) -> bool:
-        """Whether it is closed on this side."""
+        """Whether this side has closed the connection."""
         return self.state is ConnectionState.CLOSED
 
     # ---- the handshake ----
@@ -119,7 +121,7 @@
         self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         error = self.socket.connect_ex(self.endpoint.address)
         if error not in (0, errno.EINPROGRESS):
-            raise OSError(error, "connect")
+            raise OSError(error, "connect to backend failed")
         self.pool.loop.add_writer(self.fd, self._on_handshake_ended)
 
     def _on_handshake_ended(self) -> None:
@@ -131,7 +133,7 @@
                 self._on_handshake_failed(True)
                 return
             self.pool.loop.add_reader(self.fd, self._on_readable)
-        except OSError:  # this machine's fault: it says nothing of the backend
+        except OSError:  # a local failure, which is no evidence about the backend
             self._on_handshake_failed(False)
             return
         self.state = ConnectionState.OPEN
@@ -140,7 +142,7 @@
         self.pool.connect_for_waiting(self.endpoint)
 
     def _on_handshake_failed(self, refused: bool) -> None:
-        """End the attempt that waits longest if the backend refused; the others wait on."""
+        """Close; if the backend refused, end the attempt that has waited longest. The others keep waiting."""
         self.pool.metrics.handshakes_failed += 1
         self.close()
         longest_waiting = next(iter(self.endpoint.waiting), None)
@@ -150,14 +152,14 @@
     # ---- sending ----
 
     def start(self, attempt: Attempt, idle_ms: float) -> bool:
-        """Send an attempt.
+        """Start to send an attempt, unless it must not be sent any more.
 
         Args:
-            attempt: to send.
-            idle_ms: for how long this connection was idle before.
+            attempt: The attempt to send.
+            idle_ms: How long this connection has been idle, in milliseconds.
 
         Returns:
-            False if the attempt must not begin any more: it has ended and left this connection free.
+            False if the attempt was ended without being sent; the connection is then still free.
         """
         attempt.stop_waiting()
         now = now_ms()
@@ -178,10 +180,10 @@
         return True
 
     def _reason_not_to_send(self, attempt: Attempt, now: float) -> Outcome | None:
-        """What has changed between the decision to send and the first byte.
+        """Return the outcome of an attempt that must not be sent any more, or None if it may be sent.
 
-        The wait for a connection may have outlasted the request, its client or the window for repeats, and
-        the backend may have begun to drain.
+        While the attempt waited for a connection, the request may have expired, its client may have left, the
+        window for retries may have ended, or the backend may have begun to drain.
         """
         if now >= attempt.expires_at_ms:
             return Outcome.IGNORED
@@ -190,9 +192,9 @@
         return attempt.reason_not_to_send(now)
 
     def _on_sendable(self) -> None:
-        """Go on with a request of which some has left: it has run at the earliest with its last byte."""
+        """Continue sending, or close: a backend can't run a request whose last byte it has not received."""
         if self._must_stop_sending():
-            self.end(Outcome.CONNECT_FAILED)  # so that the last byte never leaves
+            self.end(Outcome.CONNECT_FAILED)  # the last byte is never sent, so the request can't run
             return
         self._send()
 
@@ -204,7 +206,7 @@
 
     def _send(self) -> None:
         if self._sending or self.closed:
-            return  # the bytes of a long value may lead here again
+            return  # reading the body may call back into `_send`
         self._sending = True
         try:
             while self._unsent or self._load_next():
@@ -215,7 +217,7 @@
         except (BlockingIOError, InterruptedError):
             pass
         except OSError:
-            self.end(Outcome.CONNECT_FAILED)  # the last byte did not leave
+            self.end(Outcome.CONNECT_FAILED)  # the last byte has not been sent
             return
         finally:
             self._sending = False
@@ -223,7 +225,7 @@
             self._watch_for_writing()
 
     def _load_next(self) -> bool:
-        """Load the next bytes to send; return whether there are any now."""
+        """Load the next bytes to send into `_unsent`; return whether there are any."""
         attempt = self.attempt
         if attempt is None or self._request_state is RequestState.SENT:
             return False
@@ -242,7 +244,7 @@
         return False
 
     def _watch_for_writing(self) -> None:
-        """Have the event loop call as soon as the rest can leave, if there is a rest."""
+        """Watch for the socket to become writable while there are unsent bytes."""
         if bool(self._unsent) == self.writing_blocked:
             return
         self.writing_blocked = not self.writing_blocked
@@ -252,7 +254,7 @@
         try:
             self.pool.loop.add_writer(self.fd, self._on_sendable)
         except OSError:
-            self.end(Outcome.CONNECT_FAILED)  # the rest could never leave
+            self.end(Outcome.CONNECT_FAILED)  # the rest could never be sent
 
     # ---- receiving ----
 
@@ -271,12 +273,12 @@
         self._process_received()
 
     def _process_received(self) -> None:
-        """Process what has been received, as far as the receiver of a long answer keeps up."""
+        """Process the received bytes; a long answer is only forwarded as fast as its receiver reads it."""
         try:
             value = self._next_reply()
-            more = self._parser.has_partial_value()
+            more_follows = self._parser.has_partial_value()
         except ProtocolError as error:
-            log.warning("backend broke the protocol: %s: %s", self.endpoint.address, error)
+            log.warning("invalid reply from backend: address=%s error=%s", self.endpoint.address, error)
             self.end(self.outcome_if_broken())
             return
         if value is INCOMPLETE or self.closed:
@@ -285,8 +287,10 @@
         attempt = self.attempt
         self.attempt = None
         self._record_use(reset=False)
-        if attempt is None or self._request_state is not RequestState.SENT or more:
-            self.close()  # an answer to nothing: what follows would be taken for another request's
+        if attempt is None or self._request_state is not RequestState.SENT or more_follows:
+            # The answer belongs to no complete request, or more bytes follow it: on a reused connection they
+            # would be taken for the answer to the next request.
+            self.close()
         else:
             self.pool.settle(self)
         if attempt is not None:
@@ -295,7 +299,7 @@
             attempt.end(reply.outcome, reply.value)
 
     def _next_reply(self) -> Value | Literal[Incomplete.INCOMPLETE]:
-        """Forward the bytes of a long answer as they arrive; return the reply once it is complete."""
+        """Forward received bytes of a long answer; return the reply once it is complete, else INCOMPLETE."""
         while not self.closed:
             if self._answer is not None and self._parser.streamed_remaining_bytes > 0:
                 if not self._forward(self._answer):
@@ -308,7 +312,7 @@
         return INCOMPLETE
 
     def _forward(self, answer: StreamedResponse) -> bool:
-        """Forward a piece of a long answer; return whether to go on."""
+        """Forward one piece of a long answer; return whether to continue."""
         piece = self._parser.read_streamed(READ_BYTES)
         if not piece:
             return False
@@ -321,9 +325,9 @@
 
     def _begin_streaming(self, started: StreamedStringStarted) -> None:
         attempt = self.attempt
-        in_place = not started.items and self._answer is None
-        if attempt is None or not in_place or self._request_state is not RequestState.SENT:
-            raise ProtocolError("a long value out of its place")
+        is_first_item = not started.items and self._answer is None
+        if attempt is None or not is_first_item or self._request_state is not RequestState.SENT:
+            raise ProtocolError("long value that is not the first item of an expected reply")
         self._last_progress_ms = now_ms()
         self._answer = attempt.on_streamed_answer(attempt, started.length_bytes)
         if self._answer is None:
@@ -355,20 +359,27 @@
     # ---- ending ----
 
     def is_stalled(self, now: float) -> bool:
-        """Whether the backend neither takes nor gives the bytes of a long value."""
+        """Whether the backend has neither read nor sent bytes of a long value for `STALL_TIMEOUT_MS`."""
         receiving = self._answer is not None and not self._reading_paused
-        waits = bool(self._unsent) or receiving
-        return self._last_progress_ms > 0 and waits and now - self._last_progress_ms > STALL_MS
+        transfer_pending = bool(self._unsent) or receiving
+        return (
+            self._last_progress_ms > 0
+            and transfer_pending
+            and now - self._last_progress_ms > STALL_TIMEOUT_MS
+        )
 
     def outcome_if_broken(self) -> Outcome:
-        """What a break means now: a request whose last byte has not left can't have run, others may have."""
+        """Return the outcome if the connection breaks now.
+
+        A request whose last byte has not been sent can't have run (CONNECT_FAILED), any other may (RESET).
+        """
         may_have_run = (
             self.state is not ConnectionState.CONNECTING and self._request_state is RequestState.SENT
         )
         return Outcome.RESET if may_have_run else Outcome.CONNECT_FAILED
 
     def end(self, outcome: Outcome) -> None:
-        """Close, and end the attempt on it. It closes first, so that there are never two attempts at once."""
+        """Close the connection and end its attempt, in this order, so that two attempts never overlap."""
         attempt = self.attempt
         self.attempt = None
         if attempt is not None and outcome is Outcome.RESET and self._answer is None:
@@ -378,7 +389,7 @@
             attempt.end(outcome)
 
     def close(self) -> None:
-        """Close the socket and leave the endpoint and the pool. An attempt on it has to be ended apart."""
+        """Close the socket and leave the endpoint and the pool, without ending the attempt."""
         if self.closed:
             return
         self.state = ConnectionState.CLOSED
@@ -393,14 +404,14 @@
         self.pool.on_closed(self)
 
     def is_alive(self) -> bool:
-        """Whether an idle connection still stands, as far as this machine knows."""
+        """Whether an idle connection is open and has no unread data, as far as the local system knows."""
         try:
             self.socket.recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
             return True
         except OSError:
             return False
-        return False  # it has ended, or sends something unasked
+        return False  # the backend has closed the connection, or sent data that was not requested
 
     def _record_use(self, reset: bool) -> None:
         if self._idle_before_ms:
--- a/switchline/backends/pool.py
+++ b/switchline/backends/pool.py
@@ -1,4 +1,4 @@
-"""The connections to all backends: which one gets an attempt, and when another is opened or closed."""
+"""The pool of connections to all backends: it assigns attempts to connections, and opens and closes these."""
 
 from __future__ import annotations
 
@@ -20,36 +20,40 @@
 
 log = logging.getLogger(__name__)
 
-MAX_IDLE_RATIO = 0.6  # of the keep-alive time: retired before the backend may close it under a request
+# Idle connections are closed after this share of the keep-alive time, before the backend may close them
+# while a request is being sent.
+MAX_IDLE_RATIO = 0.6
 SWEEP_INTERVAL_MS = 1_000.0
-# After an answer, what arrives unasked behind it must not pass for the next request's answer: the connection
-# is held back for a part of the time that the answer took, and at most so long.
+# A connection is not reused directly after an answer, so that unrequested bytes that follow the answer are
+# not taken for the answer to the next request. The delay is this share of the time that the answer took, up
+# to the maximum.
 SETTLE_RATIO = 0.5
 MAX_SETTLE_MS = 30.0
-LOCAL_FAILURE_PAUSE_MS = 10.0  # before a handshake that this machine refused is begun again
-# Errors of connect that say nothing of the other side, beside a shortage of descriptors.
+LOCAL_FAILURE_PAUSE_MS = 10.0  # delay before the retry of a handshake that failed on the local machine
+# Errors of connect that are no evidence about the backend, in addition to `SHORTAGE_ERRORS`.
 LOCAL_ERRORS = {errno.EAGAIN, errno.EINTR, errno.EPERM}
 
 
 class BackendPool:
-    """Owns the endpoints and their connections. Sends attempts where it is told, or says why it can't.
+    """Owns the endpoints and their connections, and sends attempts to the backends they are addressed to.
 
-    An attempt that finds no idle connection waits for one, whichever comes first: a handshake begun for it,
-    or a connection that another attempt leaves. Few handshakes go to one backend at a time, and all
-    connections together are bounded by the descriptor budget. An attempt that gets none within the time for
-    a handshake is told so.
+    An attempt that finds no idle connection waits for the first that becomes free: either one whose
+    handshake was started for it, or one that another attempt has finished with. The number of concurrent
+    handshakes with one backend is limited, and the descriptor budget limits the number of all connections.
+    An attempt that gets no connection within the time allowed for a handshake ends with CONNECT_FAILED if a
+    handshake was in progress, otherwise with NO_CONNECTION.
 
     Args:
-        loop: the event loop.
-        timers: of the gateway.
-        connect_timeout: of a handshake, in milliseconds.
-        keepalive: milliseconds after which backends may close an idle connection.
-        budget: of descriptors.
-        metrics: counts handshakes and attempts sent.
-        buffer_budget: of long values.
+        loop: The event loop.
+        timers: The gateway's timers.
+        connect_timeout_ms: The time allowed for a handshake.
+        keepalive_ms: The time after which backends may close an idle connection.
+        budget: The descriptor budget.
+        metrics: Counts handshakes and sent attempts.
+        buffer_budget: The memory budget for buffers of long values.
     """
 
-    def __init__(  # noqa: PLR0913 - the parts of a gateway that it works with
+    def __init__(  # noqa: PLR0913 - collaborators of the pool
         self,
         loop: asyncio.AbstractEventLoop,
         timers: Timers,
@@ -68,18 +72,20 @@
         self.idle_times = IdleTimes(keepalive_ms * MAX_IDLE_RATIO)
         self.endpoints: dict[int, Endpoint] = {}
         self.connections: set[Connection] = set()
-        self._disabled_backends: set[int] = set()  # by operators, whether listed or not
+        self._disabled_backends: set[int] = set()  # disabled by operators, whether listed or not
         self._disabled_zones: set[str] = set()
-        self._starved: dict[Endpoint, None] = {}  # attempts wait and no handshake may begin, longest first
-        self._serving_starved: asyncio.Handle | None = None  # scheduled for the end of this turn
-        self._failed_opens: list[OSError] = []  # since the last sweep: one log line for all
+        # Endpoints with waiting attempts for which no handshake may be started; the longest waiting first.
+        self._starved: dict[Endpoint, None] = {}
+        # `_serve_starved`, scheduled for the next event loop iteration.
+        self._serving_starved: asyncio.Handle | None = None
+        self._failed_opens: list[OSError] = []  # errors since the last sweep, which logs them in one line
         budget.shortage_callbacks.append(self.close_longest_idle)
         timers.every(SWEEP_INTERVAL_MS, "the sweep of backends", self.sweep)
 
     # ---- the endpoint list and operators' overrides ----
 
     def update(self, backend: int, address: Address, state: BackendState, zone: str = "") -> None:
-        """Follow what the endpoint list says of a backend."""
+        """Apply the endpoint list's entry of a backend; a backend that is not ready is retired."""
         if state is not BackendState.READY:
             self.retire(backend)
             return
@@ -94,21 +100,21 @@
         self._apply_overrides(backend, endpoint)
 
     def retire(self, backend: int) -> None:
-        """Send nothing new to a backend that drains or is gone, not even what waits for a connection."""
+        """Stop sending to a backend that drains or is gone; attempts that wait for a connection fail."""
         if endpoint := self.endpoints.get(backend):
             endpoint.listed = False
             self._close_idle(endpoint)
             self._fail_waiting(endpoint)
 
     def override(self, backend: int, disabled: bool) -> None:
-        """Disable a backend or enable it again for operators, whatever the list says."""
+        """Apply an operator's override that disables or enables a backend, whether it is listed or not."""
         change = self._disabled_backends.add if disabled else self._disabled_backends.discard
         change(backend)
         if endpoint := self.endpoints.get(backend):
             self._apply_overrides(backend, endpoint)
 
     def override_zone(self, zone: str, disabled: bool) -> None:
-        """Disable or enable all backends of a zone for operators."""
+        """Apply an operator's override that disables or enables all backends of a zone."""
         change = self._disabled_zones.add if disabled else self._disabled_zones.discard
         change(zone)
         for backend, endpoint in self.endpoints.items():
@@ -128,7 +134,7 @@
     # ---- attempts ----
 
     def send(self, attempt: Attempt) -> None:
-        """Send an attempt on an idle connection, or let it wait for one."""
+        """Send an attempt on an idle connection, or queue it until a connection is free."""
         endpoint = self.endpoints.get(attempt.backend)
         if endpoint is None or not endpoint.accepts_attempts:
             attempt.end(Outcome.CONNECT_FAILED)
@@ -145,7 +151,10 @@
         self._wait_for_connection(attempt, endpoint)
 
     def give_up(self, attempt: Attempt, outcome: Outcome) -> None:
-        """End an attempt that is no longer wanted, or timed out."""
+        """End an attempt that is no longer needed or has timed out.
+
+        A timed-out attempt ends with CONNECT_FAILED if its last byte has not been sent, as it can't have run.
+        """
         connection = attempt.connection
         if connection is not None:
             unsent = outcome is Outcome.TIMED_OUT and connection.outcome_if_broken() is Outcome.CONNECT_FAILED
@@ -160,8 +169,8 @@
     def _wait_for_connection(self, attempt: Attempt, endpoint: Endpoint) -> None:
         attempt.endpoint = endpoint
         endpoint.waiting[attempt] = None
-        until_ms = min(now_ms() + self.connect_timeout_ms, attempt.expires_at_ms)
-        attempt.wait_timer = self.timers.at(until_ms, partial(self._on_wait_ended, attempt))
+        wait_deadline_ms = min(now_ms() + self.connect_timeout_ms, attempt.expires_at_ms)
+        attempt.wait_timer = self.timers.at(wait_deadline_ms, partial(self._on_wait_ended, attempt))
         self.metrics.handshake_waits += 1
         self.connect_for_waiting(endpoint)
 
@@ -170,20 +179,27 @@
             attempt.end(self._outcome_of_waiting(attempt))
 
     def _outcome_of_waiting(self, attempt: Attempt) -> Outcome:
-        """Why it got no connection: the backend's doing if a handshake was under way, else this pool's."""
+        """Return the outcome of an attempt that got no connection.
+
+        It is IGNORED if the request has expired, CONNECT_FAILED if a handshake with the backend was in
+        progress, and otherwise NO_CONNECTION, as the cause is then this pool.
+        """
         if now_ms() >= attempt.expires_at_ms:
             return Outcome.IGNORED
         endpoint = attempt.endpoint
-        handshake = attempt.handshake_started or (endpoint is not None and bool(endpoint.connecting))
-        return Outcome.CONNECT_FAILED if handshake else Outcome.NO_CONNECTION
+        handshake_in_progress = attempt.handshake_started or (
+            endpoint is not None and bool(endpoint.connecting)
+        )
+        return Outcome.CONNECT_FAILED if handshake_in_progress else Outcome.NO_CONNECTION
 
     # ---- opening connections ----
 
     def connect_for_waiting(self, endpoint: Endpoint) -> None:
-        """Begin as many handshakes as attempts wait for, as far as the bounds allow."""
+        """Start a handshake for each waiting attempt that has none, within the limits."""
         for attempt in [attempt for attempt in endpoint.waiting if not attempt.handshake_started]:
-            wanted = len(endpoint.waiting) - len(endpoint.settling)  # each of those serves one in a moment
-            if len(endpoint.connecting) >= min(wanted, self.budget.shares.connects):
+            # Each settling connection will soon be free for one of the waiting attempts.
+            wanted_handshakes = len(endpoint.waiting) - len(endpoint.settling)
+            if len(endpoint.connecting) >= min(wanted_handshakes, self.budget.shares.connects):
                 return
             if not self.budget.has_free(DescriptorOwner.BACKENDS) and not self.close_longest_idle(1):
                 self._starved[endpoint] = None
@@ -208,7 +224,7 @@
         endpoint.connecting.add(connection)
 
     def _serve_starved(self) -> None:
-        """Descriptors have become free: endpoints that want them get them in turn."""
+        """Start the handshakes that had to wait for descriptors, the longest waiting endpoint first."""
         self._serving_starved = None
         starved = list(self._starved)
         self._starved = {}
@@ -216,14 +232,14 @@
             self.connect_for_waiting(endpoint)
 
     def _close_unneeded_handshakes(self, endpoint: Endpoint) -> None:
-        """Close the handshakes that nobody waits for, as their attempts were given up meanwhile."""
+        """Close connections in handshake that no attempt needs any more, as the attempts were given up."""
         for connection in list(endpoint.connecting)[len(endpoint.waiting) :]:
             connection.close()
 
     # ---- connections that become free ----
 
     def release(self, connection: Connection) -> None:
-        """Give a free connection to an attempt that waits for its backend, or keep it idle, or close it."""
+        """Use a free connection for the attempt that has waited longest, or make it idle, or close it."""
         endpoint = connection.endpoint
         while self._is_usable(connection) and not connection.closed:
             attempt = next(iter(endpoint.waiting), None)
@@ -234,7 +250,7 @@
         if not self._is_usable(connection):
             connection.close()
         elif self._starved and not self.budget.has_free(DescriptorOwner.BACKENDS):
-            connection.close()  # its descriptor is wanted for another backend
+            connection.close()  # another backend's handshake needs the descriptor
         elif not connection.closed:
             connection.idle_since_ms = now_ms()
             endpoint.idle.append(connection)
@@ -243,7 +259,7 @@
         return connection.endpoint.accepts_attempts and connection.address == connection.endpoint.address
 
     def settle(self, connection: Connection) -> None:
-        """Free a connection once nothing has followed its answer for a moment."""
+        """Release a connection after the settle time, unless unrequested bytes have followed its answer."""
         connection.endpoint.settling.add(connection)
         settle_ms = min(MAX_SETTLE_MS, SETTLE_RATIO * (now_ms() - connection.sent_at_ms))
         self.loop.call_later(settle_ms / 1000, self._on_settled, connection)
@@ -260,7 +276,7 @@
     # ---- closing connections ----
 
     def on_closed(self, connection: Connection) -> None:
-        """Free the descriptor of a connection that has closed."""
+        """Remove a closed connection and return its descriptor to the budget."""
         endpoint = connection.endpoint
         if connection in self.connections:
             self.connections.discard(connection)
@@ -273,7 +289,7 @@
             self._serving_starved = self.loop.call_soon(self._serve_starved)
 
     def close_longest_idle(self, count: int) -> int:
-        """Close up to `count` idle connections, the longest unused first; return how many."""
+        """Close up to `count` idle connections, the longest idle first; return the number closed."""
         idle = [connection for endpoint in self.endpoints.values() for connection in endpoint.idle]
         idle.sort(key=lambda connection: connection.idle_since_ms)
         for connection in idle[:count]:
@@ -281,12 +297,12 @@
         return len(idle[:count])
 
     def sweep(self) -> None:
-        """Close what is too old, too many or stalled; forget endpoints that are no longer listed."""
+        """Close connections that are idle too long, over the limit or stalled; remove unlisted endpoints."""
         now = now_ms()
-        surplus = len(self.connections) - self.budget.limit_of(
+        excess = len(self.connections) - self.budget.limit_of(
             DescriptorOwner.BACKENDS
-        )  # the limit may have shrunk
-        self.close_longest_idle(max(0, surplus))
+        )  # the limit may have become lower
+        self.close_longest_idle(max(0, excess))
         for backend, endpoint in list(self.endpoints.items()):
             self._close_expired(endpoint, now)
             if not endpoint.listed:
@@ -296,14 +312,18 @@
                 log.warning("backend left a long value hanging: %s", connection.address)
                 connection.end(connection.outcome_if_broken())
         if self._failed_opens:
-            last = self._failed_opens[-1]
-            log.warning("%d connections not opened, the last: %s", len(self._failed_opens), last)
+            last_error = self._failed_opens[-1]
+            log.warning(
+                "connections to backends not opened: count=%d last_error=%s",
+                len(self._failed_opens),
+                last_error,
+            )
             self._failed_opens.clear()
 
     def _close_expired(self, endpoint: Endpoint, now: float) -> None:
         for connection in list(endpoint.idle):
             if self.idle_times.allows(now, now - connection.idle_since_ms):
-                break  # the others were used later
+                break  # the connections that follow were used more recently
             connection.close()
 
     def _close_idle(self, endpoint: Endpoint) -> None:
@@ -320,9 +340,9 @@
             connection.end(connection.outcome_if_broken())
 
     def gauges(self) -> dict[str, int]:
-        """Metrics for operators."""
+        """Return the current values of this pool's gauges by metric name."""
         idle = sum(len(endpoint.idle) for endpoint in self.endpoints.values())
-        connecting = sum(one.state is ConnectionState.CONNECTING for one in self.connections)
+        connecting = sum(connection.state is ConnectionState.CONNECTING for connection in self.connections)
         waiting = sum(len(endpoint.waiting) for endpoint in self.endpoints.values())
         return {
             "backends.opening": connecting,
--- a/switchline/backends/reply.py
+++ b/switchline/backends/reply.py
@@ -1,4 +1,4 @@
-"""Replies of backends: an array of value, usage and metadata, or an error."""
+"""Decoding of backend replies: a RESP array of value, usage figures and metadata, or a RESP error."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from switchline.net.resp import SimpleValue, Value
 from switchline.policy.interface import Outcome
 
-COST_KEY = b"cost"  # of the usage: the request's true units
-BUSY = b"BUSY"  # an error that begins so promises that the request did not run
+COST_KEY = b"cost"  # key of the usage figures whose value is the request's true units
+BUSY = b"BUSY"  # first word of an error that guarantees that the request did not run
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A backend's reply.
+    """A decoded reply of a backend.
 
     Attributes:
-        outcome: OK, FULL (it did not run), or FAILED.
-        value: of a good reply.
-        true_units: what the request cost; 0 if the reply does not say.
+        outcome: OK, QUEUE_FULL (the request did not run), or FAILED (it may have run).
+        value: The value of a reply with outcome OK; empty otherwise.
+        true_units: The units that the request cost; 0 if the reply names none.
     """
 
     outcome: Outcome
@@ -38,7 +38,7 @@
 
 
 def decode_true_units(value: Value) -> float:
-    """Return the true units that the usage of a reply names, 0 where it names none that can be read."""
+    """Return the true units in the usage figures of a reply, or 0 if there is no valid number."""
     if not (isinstance(value, list) and len(value) > 1 and isinstance(value[1], bytes)):
         return 0.0
     for item in value[1].split(b","):
--- a/switchline/net/__init__.py
+++ b/switchline/net/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes and sockets: RESP, JSON in a stream, descriptors, accepting."""
+"""Sockets and protocols: RESP and JSON parsers, streamed values, the descriptor budget, accepting."""
--- a/switchline/net/accept.py
+++ b/switchline/net/accept.py
@@ -1,7 +1,8 @@
-"""Accepting on a listening socket, a few connections at a time.
+"""Accepting connections on a listening socket, a few in each iteration of the event loop.
 
-Descriptors are few: accepted in one go, a whole backlog would hold all of them before the first surplus
-connection is closed. The socket may be shared with another process, so it is only closed, never shut down.
+Descriptors are limited: if a whole backlog was accepted at once, it could use all of them before the first
+surplus connection is closed. The socket may be shared with another process, so it is closed but never shut
+down.
 """
 
 from __future__ import annotations
@@ -18,11 +19,13 @@
 
 log = logging.getLogger(__name__)
 
-MAX_BATCH = 8  # connections accepted in one turn of the event loop; what they displace is closed by the next
+# Connections accepted in one iteration of the event loop; those that they displace are closed by the next.
+MAX_BATCH = 8
 MAX_FINAL_BATCH = 64  # connections taken from the backlog before the socket is closed
-LATE_TURN_S = 0.01  # a longer time between two turns that accept keeps accepted requests waiting
-SHORTAGE_PAUSE_S = 0.05  # before the next try when the system gives no descriptor
-# What accept reports of one connection that has failed meanwhile: the next one may be sound.
+# A longer interval between two iterations that accept means that accepted requests wait.
+MAX_ITERATION_INTERVAL_S = 0.01
+SHORTAGE_PAUSE_S = 0.05  # delay before accepting again after the system had no descriptor
+# Errors of accept that concern a single connection that has failed; the next one may be usable.
 SINGLE_CONNECTION_ERRORS = {
     errno.ECONNABORTED,
     errno.EPROTO,
@@ -38,41 +41,42 @@
 
 
 class AcceptRate:
-    """Decides how many connections to accept in a turn, so that accepted requests stay in time in a rush.
+    """Sets how many connections to accept in an event loop iteration, so that accepted requests stay on time.
 
-    A turn that came late had much to do, so half as many are accepted; after one in time, one more. At least
-    one: a request that waits in the backlog is waiting as well.
+    After an iteration that came late, as the gateway had much to do, half as many connections are accepted;
+    after one on time, one more. At least one is always accepted, as requests in the backlog wait too.
     """
 
     def __init__(self) -> None:
         self.batch = MAX_BATCH
-        self._last_turn_s = -1.0
+        self._last_accepted_at_s = -1.0
 
     def next_batch(self, now_s: float, backlogged: bool) -> int:
-        """Return how many connections to accept now.
+        """Return how many connections to accept in this iteration.
 
         Args:
-            now_s: monotonic time in seconds.
-            backlogged: the turn before accepted a full batch, so the time since then was spent on one turn.
+            now_s: The monotonic time in seconds.
+            backlogged: Whether the previous iteration accepted a full batch. Only then is the time since its
+                call the length of a single iteration.
         """
         if not backlogged:
             self.batch = MAX_BATCH
-        elif now_s - self._last_turn_s > LATE_TURN_S:
+        elif now_s - self._last_accepted_at_s > MAX_ITERATION_INTERVAL_S:
             self.batch = max(1, self.batch // 2)
         else:
             self.batch = min(MAX_BATCH, self.batch + 1)
-        self._last_turn_s = now_s
+        self._last_accepted_at_s = now_s
         return self.batch
 
 
 class Acceptor:
-    """Hands each connection that arrives to a protocol of its own, until it is closed.
+    """Accepts connections until it is closed and creates a protocol object for each.
 
     Args:
-        listener: owned from here on.
-        make_protocol: called for each connection.
-        budget: told of shortages.
-        may_use_reserve: it may use the budget's reserved descriptor, as operators' calls have priority.
+        listener: The listening socket, which the acceptor owns from now on.
+        make_protocol: Called for each connection; returns its protocol object.
+        budget: The descriptor budget, which is notified when the system has no descriptor.
+        may_use_reserve: Whether the budget's reserved descriptor may be used, as for operators' calls.
     """
 
     def __init__(
@@ -88,7 +92,7 @@
         self.budget = budget
         self.may_use_reserve = may_use_reserve
         self.accepting = False
-        self.opening: set[asyncio.Task[object]] = set()  # accepted, and not yet handed to a protocol
+        self.opening: set[asyncio.Task[object]] = set()  # for accepted connections without a protocol yet
         self._rate = AcceptRate()
         self._backlogged = False
         self.shortage_timer: asyncio.TimerHandle | None = None
@@ -98,7 +102,7 @@
         self.resume()
 
     def resume(self) -> None:
-        """Accept from now on, or as soon as the event loop can watch the socket."""
+        """Start to accept; if the event loop can't watch the socket now, retry after a pause."""
         if self._closed:
             return
         self.shortage_timer = None
@@ -106,11 +110,11 @@
         try:
             self.loop.add_reader(self.socket.fileno(), self._accept)
         except OSError as error:
-            log.warning("the listening socket can't be watched yet: %s", error)
+            log.warning("listening socket can't be watched, retried: error=%s", error)
             self._pause_for_shortage()
 
     def pause(self) -> None:
-        """Accept nothing for now. Another process that holds the socket goes on accepting."""
+        """Stop to accept for now. Another process that shares the socket continues to accept."""
         if self.accepting:
             self.accepting = False
             self.loop.remove_reader(self.socket.fileno())
@@ -118,12 +122,12 @@
             self.shortage_timer.cancel()
 
     def accept_backlog(self) -> None:
-        """Accept the connections that wait: closing the socket would reset them with their requests."""
+        """Accept the connections in the backlog, which closing the socket would reset with their requests."""
         if self.accepting and self.shortage_timer is None:
             self._accept_up_to(MAX_FINAL_BATCH)
 
     def close(self) -> None:
-        """Accept nothing more, and close this process's copy of the socket."""
+        """Stop to accept, and close this process's copy of the socket."""
         if not self._closed:
             self.pause()
             self._closed = True
@@ -137,16 +141,16 @@
         self._backlogged = self._accept_up_to(batch)
 
     def _accept_up_to(self, count: int) -> bool:
-        """Accept up to `count` connections; return whether there were as many."""
+        """Accept up to `count` connections; return whether there were that many."""
         for _ in range(count):
             try:
                 accepted, _ = self.socket.accept()
             except (BlockingIOError, InterruptedError):
                 return False
             except OSError as error:
-                if self._goes_on_after(error):
+                if self._may_continue_after(error):
                     continue
-                log.warning("no connection can be accepted: %s", error)
+                log.warning("accept failed, paused: error=%s", error)
                 self.loop.remove_reader(self.socket.fileno())
                 self._pause_for_shortage()
                 return False
@@ -156,16 +160,16 @@
             task.add_done_callback(self.opening.discard)
         return True
 
-    def _goes_on_after(self, error: OSError) -> bool:
-        """Whether another connection may be accepted at once after an error."""
+    def _may_continue_after(self, error: OSError) -> bool:
+        """Whether the next connection may be accepted immediately after an error."""
         if error.errno in SINGLE_CONNECTION_ERRORS:
             return True
-        # Most likely no descriptor is left.
+        # The most likely cause of any other error is that no descriptor is left.
         return self.budget.handle_shortage(error) and self.may_use_reserve and self.budget.close_reserve()
 
     async def _open(self, accepted: socket.socket) -> None:
         try:
             await self.loop.connect_accepted_socket(self.make_protocol, accepted)
-        except OSError as error:  # the peer has gone meanwhile, or the system has no resources for it
+        except OSError as error:  # the peer has closed the connection, or the system lacks resources
             close_socket(accepted)
-            log.warning("a connection could not be opened: %s", error)
+            log.warning("accepted connection could not be set up: error=%s", error)
--- a/switchline/net/descriptors.py
+++ b/switchline/net/descriptors.py
@@ -1,4 +1,4 @@
-"""The budget of file descriptors: who may hold how many, and what is done when the system gives none."""
+"""The budget of file descriptors: the limit of each owner, and the response to a shortage in the system."""
 
 from __future__ import annotations
 
@@ -14,21 +14,23 @@
 
 log = logging.getLogger(__name__)
 
-# The system has no descriptor, or no memory or port for one: it says nothing of the other side.
+# Errors that mean that the system has no descriptor, memory or port; they are no evidence about the peer.
 SHORTAGE_ERRORS = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
-# Of the process itself: standard streams 3, event loop and signals 6, listening sockets 3, the connection to
-# the peer process of an upgrade 2, a file and its lock 2, the reserve 1.
+# Descriptors of the process itself: standard streams 3, event loop and signals 6, listening sockets 3, the
+# connection to the peer process of an upgrade 2, a file and its lock 2, the reserve 1.
 PROCESS_DESCRIPTORS = 17
-STATE_DESCRIPTORS = 7  # of the state on disk: lock 1, database 3, a journal while it begins 1, folder 2
-FLEET_DESCRIPTORS = 10  # of the fleet's transport: two sockets, six exchanges accepted, two opened
-MIN_CONNECTIONS = 8  # of clients and of backends, whatever the peer process of an upgrade holds
-MAX_SHORTAGE_CLOSES = (
-    8  # connections that may be closed to find descriptors: as many as are accepted in one turn
-)
+# Descriptors of the state on disk: lock 1, database 3, a journal while the database is opened 1, folder 2.
+STATE_DESCRIPTORS = 7
+# Descriptors of the fleet's transport: sockets 2, accepted exchanges 6, opened exchanges 2.
+FLEET_DESCRIPTORS = 10
+# Lower bound of the clients' and of the backends' limit, whatever the peer process of an upgrade has in use.
+MIN_CONNECTIONS = 8
+# Idle connections closed after a shortage: as many as are accepted in one event loop iteration.
+MAX_SHORTAGE_CLOSES = 8
 
 
 class DescriptorOwner(Enum):
-    """Who holds descriptors."""
+    """The owners of descriptors, each with its own limit."""
 
     OPERATORS = "operators"
     COUNTER = "counter"
@@ -37,31 +39,32 @@
     BACKENDS = "backends"
 
 
-# Parts whose size no limit changes. Operators: 16 callers, and 8 accepted before the surplus is closed.
-# Counter: four connections, and as many being replaced. Discovery: a watch and the one before it.
+# Limits that do not depend on the configured limit. Operators: 16 callers, and 8 accepted before the surplus
+# is closed. Counter: 4 connections, and 4 that are being replaced. Discovery: a watch and the one before it.
 FIXED_LIMITS = {DescriptorOwner.OPERATORS: 24, DescriptorOwner.COUNTER: 8, DescriptorOwner.DISCOVERY: 2}
 
 
 @dataclass(frozen=True)
 class Shares:
-    """What a configuration may say of connections; the fields are its keys."""
+    """The configuration's settings for connections; the field names are its keys."""
 
-    clients: float = 0.5  # of the descriptors; the platform's clients hold a third at most
-    backends: float = 0.25
-    young: float = 0.25  # of the clients' part: for peers that have yet to send a proper request
-    connects: int = 4  # handshakes under way to one backend: each costs it work before any request
+    clients: float = 0.5  # share of the descriptors; the platform's clients use a third at most
+    backends: float = 0.25  # share of the descriptors
+    young: float = 0.25  # share of the clients' limit for peers that have not sent a valid request yet
+    connects: int = 4  # concurrent handshakes with one backend, each of which costs the backend work
 
 
 class Budget:
-    """Owns how many descriptors each part may hold, and counts how many each does.
+    """Owns the limit of descriptors for each owner and counts the descriptors that each has in use.
 
-    The parts ask before they open and report when they have closed. What the two shares and the fixed parts
-    leave is headroom: a connection that is closed keeps its descriptor for a turn of the event loop.
+    Owners ask before they open a descriptor and report when they have closed it. Descriptors that neither the
+    shares nor the fixed limits assign are headroom, as a closed connection keeps its descriptor for one
+    iteration of the event loop.
 
     Args:
-        configured_limit: descriptors of this gateway, both processes of an upgrade together.
-        shares: of the limit, for clients and backends.
-        process_descriptors: what the process holds beside connections.
+        configured_limit: The number of descriptors of this gateway; during an upgrade, of both processes.
+        shares: The shares of the limit for clients and for backends.
+        process_descriptors: The number of descriptors that the process uses apart from connections.
     """
 
     def __init__(
@@ -73,14 +76,14 @@
         self.configured_limit = configured_limit
         self.shares = shares
         self.process_descriptors = process_descriptors
-        self.peer_process_descriptors = 0  # held by the other process of an upgrade
+        self.peer_process_descriptors = 0  # in use by the other process of an upgrade
         self.in_use: Counts[DescriptorOwner] = Counts()
-        self.shortages = 0  # times that the system gave none
-        self.shortage_callbacks: list[Callable[[int], int]] = []  # each closes up to so many connections
+        self.shortages = 0  # how often the system had no descriptor
+        # Each closes up to the given number of idle connections and returns how many it has closed.
+        self.shortage_callbacks: list[Callable[[int], int]] = []
         self.reserve_fd: int | None = None
-        self._frozen: Counts[DescriptorOwner] | None = (
-            None  # another process has taken over: no part grows from here
-        )
+        # Limits in force while another process of this gateway takes over.
+        self._frozen_limits: Counts[DescriptorOwner] | None = None
 
     @property
     def limit(self) -> int:
@@ -91,71 +94,71 @@
         return min(self.configured_limit, soft)
 
     def limit_of(self, owner: DescriptorOwner) -> int:
-        """How many descriptors a part may hold now."""
+        """Return how many descriptors an owner may have in use now."""
         if owner in FIXED_LIMITS:
             return FIXED_LIMITS[owner]
         share = self.shares.clients if owner is DescriptorOwner.CLIENTS else self.shares.backends
         available = max(0, self.limit - self.peer_process_descriptors)
         all_shares = self.shares.clients + self.shares.backends
-        # Where the limit is low, the fixed parts take more than the shares leave.
+        # If the limit is low, the fixed limits need more than the shares leave.
         not_fixed = available - self.process_descriptors - sum(FIXED_LIMITS.values())
         limit = int(min(available * share, not_fixed * share / all_shares))
-        if self._frozen is not None:
-            limit = min(limit, self._frozen[owner])
+        if self._frozen_limits is not None:
+            limit = min(limit, self._frozen_limits[owner])
         return max(MIN_CONNECTIONS, limit)
 
     def has_free(self, owner: DescriptorOwner) -> bool:
-        """Whether a part may open another descriptor."""
+        """Whether an owner may open another descriptor."""
         return self.in_use[owner] < self.limit_of(owner)
 
     def acquire(self, owner: DescriptorOwner) -> None:
-        """Count a descriptor that a part has opened."""
+        """Count a descriptor that an owner has opened."""
         self.in_use[owner] += 1
 
     def release(self, owner: DescriptorOwner) -> None:
-        """Count a descriptor that a part has closed."""
+        """Count a descriptor that an owner has closed."""
         self.in_use[owner] -= 1
 
     @property
     def total_in_use(self) -> int:
-        """Descriptors that this process holds."""
+        """The number of descriptors that this process has in use."""
         return self.process_descriptors + self.in_use.total()
 
     def gauges(self) -> dict[str, int]:
-        """Metrics for operators."""
+        """Return the budget's gauges by metric name."""
         return {"descriptors.held": self.total_in_use, "descriptors.limit": self.limit}
 
     def freeze(self) -> None:
-        """Let no part grow: another process of this gateway grows into what this one gives back."""
-        self._frozen = self.in_use.copy()
+        """Limit each owner to its present use: the other process of an upgrade takes what is freed."""
+        self._frozen_limits = self.in_use.copy()
 
     def unfreeze(self) -> None:
-        """Let the parts grow again: the other process has ended."""
-        self._frozen = None
+        """Remove the limits of `freeze`, as the other process has ended."""
+        self._frozen_limits = None
 
     def handle_shortage(self, error: OSError) -> bool:
-        """Close idle connections if an error says that the system gave no descriptor.
+        """Close idle connections if an error means that the system has no descriptor.
 
         Returns:
-            Whether it does say so.
+            Whether the error means that.
         """
         if error.errno not in SHORTAGE_ERRORS:
             return False
         self.shortages += 1
         log.warning("the system gives no descriptor: %s", error)
-        wanted = MAX_SHORTAGE_CLOSES
+        remaining = MAX_SHORTAGE_CLOSES
         for close_idle in self.shortage_callbacks:
-            wanted -= close_idle(wanted)
+            remaining -= close_idle(remaining)
         return True
 
     def open_reserve(self) -> None:
-        """Hold one descriptor back, so that an operator gets in whatever else is in use."""
+        """Open the reserved descriptor, so that operators can connect when all others are in use."""
         if self.reserve_fd is None:
-            with contextlib.suppress(OSError):  # tried again with the next sweep
+            with contextlib.suppress(OSError):  # the next sweep tries again
                 self.reserve_fd = os.open(os.devnull, os.O_RDONLY)
 
     def close_reserve(self) -> bool:
-        """Give the reserve up for an operator's call; return whether there was one."""
+        """Close the reserved descriptor to make room for an operator's call; return whether there was one."""
         reserve_fd = self.reserve_fd
         self.reserve_fd = None
         if reserve_fd is not None:
@@ -163,5 +166,5 @@
         return reserve_fd is not None
 
     def close(self) -> None:
-        """Close the reserve."""
+        """Close the reserved descriptor."""
         self.close_reserve()
--- a/switchline/net/resp.py
+++ b/switchline/net/resp.py
@@ -1,9 +1,9 @@
-"""An incremental parser of RESP2 for peers that may send anything.
+"""An incremental RESP2 parser for untrusted peers.
 
-A general-purpose parser reserves memory for an array as soon as it has read the header, for as many items
-as the header announces: a line of 13 bytes can cost gigabytes. This parser knows only what the protocol
-needs, an array of strings or a single value, bounds what a header may announce, and holds only what has
-arrived.
+A general-purpose parser allocates memory for an array as soon as it has read the header, for as many items
+as the header announces, so a line of 13 bytes can cost gigabytes. This parser supports only what the protocol
+needs, an array of strings or a single value. It limits what a header may announce and buffers only bytes that
+have arrived.
 """
 
 from __future__ import annotations
@@ -11,16 +11,17 @@
 from enum import Enum
 from typing import Final, Literal, NamedTuple
 
-MAX_LINE_BYTES = 1024  # of a header, an error or a simple string; the longest known are under a hundred
+# Length limit of a header, an error or a simple string; the longest in use have less than 100 bytes.
+MAX_LINE_BYTES = 1024
 CRLF = b"\r\n"
-SIMPLE_TYPES = b"+-:"  # simple string, error, integer
+SIMPLE_TYPES = b"+-:"  # type bytes of simple strings, errors and integers
 TYPES = b"*$" + SIMPLE_TYPES
 NULL_LENGTH = b"-1"
-NONE = -1  # no string is being read
+NO_STRING = -1  # length while no string is being parsed
 
 
 class ProtocolError(Exception):
-    """The peer sent something that is not RESP2, or more of it than is accepted."""
+    """The peer sent data that is not RESP2, or that exceeds a limit of the parser."""
 
 
 class SimpleValue(NamedTuple):
@@ -34,15 +35,15 @@
 
 
 class StreamedStringStarted(NamedTuple):
-    """A long string has begun inside an array. Its bytes are read with `RespParser.read_streamed`."""
+    """The start of a long string inside an array; its bytes are read with `RespParser.read_streamed`."""
 
-    items: list[Item]  # the items of the array before it
-    remaining_items: int  # items of the array still to come, this one included
-    length_bytes: int  # bytes
+    items: list[Item]  # the items of the array before the string
+    remaining_items: int  # items of the array that have not arrived yet, including the string
+    length_bytes: int
 
 
 class Incomplete(Enum):
-    """Stands for a value whose last byte has not arrived."""
+    """The type of `INCOMPLETE`, which stands for a value whose last byte has not arrived."""
 
     INCOMPLETE = "incomplete"
 
@@ -53,15 +54,15 @@
 
 
 class RespParser:
-    """Takes bytes as they arrive and returns the values in them.
+    """Parses bytes as they arrive and returns the values in them.
 
-    After a ProtocolError the parser is of no further use.
+    After a ProtocolError the parser must not be used any more.
 
     Args:
-        max_items: of one array.
-        max_bytes: of one value, strings that are streamed not counted.
-        streaming_threshold: bytes; a longer string inside an array is streamed instead of collected.
-        max_streamed: bytes of a streamed string; 0 turns streaming off.
+        max_items: The maximum number of items of an array.
+        max_bytes: The maximum size of a value, without the bytes of streamed strings.
+        streaming_threshold_bytes: A longer string inside an array is streamed instead of buffered.
+        max_streamed_bytes: The maximum length of a streamed string; 0 disables streaming.
     """
 
     def __init__(
@@ -71,13 +72,13 @@
         self.max_bytes = max_bytes
         self.streaming_threshold_bytes = streaming_threshold_bytes
         self.max_streamed_bytes = max_streamed_bytes
-        self.streamed_remaining_bytes = NONE  # bytes still to come of the string that is being streamed
-        self.array_items: list[Item] | None = None  # of the array that is being read
-        self.bulk_length_bytes = NONE  # bytes of the string that is being collected
+        self.streamed_remaining_bytes = NO_STRING  # bytes of the streamed string that have not been read yet
+        self.array_items: list[Item] | None = None  # items parsed so far of the current array
+        self.bulk_length_bytes = NO_STRING  # length of the string that is being buffered
         self.buffer = bytearray()
-        self._offset = 0  # of the first byte of `buffer` that is not parsed
+        self._offset = 0  # index in `buffer` of the first byte that is not parsed
         self._missing_items = 0
-        self._announced_bytes = 0  # by the headers of the value that is being read
+        self._announced_bytes = 0  # sum of the string lengths announced by headers of the current value
 
     def feed(self, data: bytes | memoryview) -> None:
         """Add bytes that have arrived."""
@@ -87,7 +88,7 @@
         self.buffer += data
 
     def has_partial_value(self) -> bool:
-        """Whether bytes have arrived that belong to no value returned so far."""
+        """Whether bytes have arrived that do not belong to a value already returned."""
         return (
             self._offset < len(self.buffer)
             or self.array_items is not None
@@ -96,21 +97,22 @@
         )
 
     def read_streamed(self, max_bytes: int) -> bytes:
-        """Return the next bytes of the streamed string that have arrived, `max_bytes` at most."""
-        wanted = max(0, min(self.streamed_remaining_bytes, max_bytes))
-        end = min(self._offset + wanted, len(self.buffer))
+        """Return up to `max_bytes` of the next bytes of the streamed string that have arrived."""
+        max_length = max(0, min(self.streamed_remaining_bytes, max_bytes))
+        end = min(self._offset + max_length, len(self.buffer))
         data = bytes(memoryview(self.buffer)[self._offset : end])
         self._offset = end
         self.streamed_remaining_bytes -= len(data)
         return data
 
     def next_value(self) -> Value | StreamedStringStarted | Literal[Incomplete.INCOMPLETE]:
-        """Return the next value, or INCOMPLETE.
+        """Return the next value, or INCOMPLETE if its last byte has not arrived.
 
-        A string that was streamed stands in its array as an empty one.
+        At the start of a long string, return a StreamedStringStarted. A string that was streamed is empty in
+        the array that is returned later.
 
         Raises:
-            ProtocolError: as soon as what has arrived can't become a value that is accepted.
+            ProtocolError: As soon as the bytes that have arrived can't become an accepted value.
         """
         while True:
             if self.streamed_remaining_bytes >= 0:
@@ -141,20 +143,20 @@
         if self.streamed_remaining_bytes or len(self.buffer) < end:
             return INCOMPLETE
         if self.buffer[self._offset : end] != CRLF:
-            raise ProtocolError("a string longer than its length")
+            raise ProtocolError("string is longer than its announced length")
         self._offset = end
-        self.streamed_remaining_bytes = NONE
+        self.streamed_remaining_bytes = NO_STRING
         return b""
 
     def _parse_line(self) -> _Parsed:
-        """Parse a value on one line, or a header; an array's header returns its number of items."""
+        """Parse a single-line value or a header; return the number of items for the header of an array."""
         start = self._offset
         if start < len(self.buffer) and self.buffer[start] not in TYPES:
-            raise ProtocolError(f"no value begins with {chr(self.buffer[start])!a}")
+            raise ProtocolError(f"unknown type byte {chr(self.buffer[start])!a}")
         end = self.buffer.find(CRLF, start, start + MAX_LINE_BYTES)
         if end < 0:
             if len(self.buffer) - start >= MAX_LINE_BYTES:
-                raise ProtocolError("line too long")
+                raise ProtocolError("line is longer than the maximum")
             return INCOMPLETE
         kind = bytes(self.buffer[start : start + 1])
         text = bytes(self.buffer[start + 1 : end])
@@ -164,14 +166,14 @@
         if text == NULL_LENGTH:
             return None
         if not text.isdigit():
-            raise ProtocolError("malformed length")
+            raise ProtocolError("length is not a decimal number")
         if kind == b"*":
             return self._array_size(int(text))
         return self._begin_bulk(int(text))
 
     def _array_size(self, size: int) -> int:
         if self.array_items is not None or size > self.max_items:
-            raise ProtocolError("too many items")
+            raise ProtocolError("array is nested or has too many items")
         return size
 
     def _begin_bulk(self, length: int) -> _Parsed:
@@ -184,17 +186,17 @@
         self.bulk_length_bytes = length
         self._announced_bytes += length
         if self._announced_bytes > self.max_bytes:
-            raise ProtocolError("value too long")
+            raise ProtocolError("value is longer than the maximum")
         return self._parse_bulk()
 
     def _parse_bulk(self) -> bytes | Literal[Incomplete.INCOMPLETE]:
-        end_of_string = self._offset + self.bulk_length_bytes
-        end = end_of_string + len(CRLF)
+        string_end = self._offset + self.bulk_length_bytes
+        end = string_end + len(CRLF)
         if len(self.buffer) < end:
             return INCOMPLETE
-        if self.buffer[end_of_string:end] != CRLF:
-            raise ProtocolError("a string longer than its length")
-        value = bytes(self.buffer[self._offset : end_of_string])
+        if self.buffer[string_end:end] != CRLF:
+            raise ProtocolError("string is longer than its announced length")
+        value = bytes(self.buffer[self._offset : string_end])
         self._offset = end
-        self.bulk_length_bytes = NONE
+        self.bulk_length_bytes = NO_STRING
         return value
--- a/switchline/net/socket_state.py
+++ b/switchline/net/socket_state.py
@@ -1,4 +1,4 @@
-"""What the system knows of a socket and this process has not read yet."""
+"""Queries to the system about events on a socket that this process has not read yet."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def _pending_events(fd: int, events: int) -> int:
-    """Return the events that are pending; raises OSError where the system can't say."""
+    """Return the pending poll events of a descriptor; raises OSError if the system can't tell."""
     poller = select.poll()
     poller.register(fd, events)
     ready = poller.poll(0)
@@ -16,7 +16,7 @@
 def peer_has_closed(fd: int) -> bool:
     """Whether the peer has closed its side or reset the connection, even if unread bytes precede that.
 
-    False where the system can't say.
+    False if the system can't tell.
     """
     closed = select.POLLRDHUP | select.POLLHUP | select.POLLERR
     try:
@@ -26,9 +26,9 @@
 
 
 def has_unread_bytes(fd: int) -> bool:
-    """Whether a read would return something: bytes, or the end of the stream.
+    """Whether a read would return bytes or the end of the stream.
 
-    True where the system can't say, as a close over unread bytes would lose them.
+    True if the system can't tell, as closing the socket would discard unread bytes.
     """
     try:
         return bool(_pending_events(fd, select.POLLIN))
