--- a/switchline/requests/arrivals.py
+++ b/switchline/requests/arrivals.py
@@ -1,22 +1,21 @@
-"""Translation of a client's command into the policy's event; a malformed one is rejected here."""
+"""Translation of a client's command into an event for the policy, and rejection of malformed commands."""
 
 from __future__ import annotations
 
 from switchline.clients.commands import Command
 from switchline.policy import interface as api
 
-MAX_CLIENT_WAIT_MS = 60_000.0  # that a client can ask for; the longest deadlines are well under it
-MAX_BODY_TRANSFER_MS = (
-    120_000.0  # for a streamed body to come in; a client that stalls is dropped long before
-)
+MAX_CLIENT_WAIT_MS = 60_000.0  # upper bound of a client's timeout; the longest deadlines are well under it
+# Upper bound of the time in which a streamed body arrives; a client that stalls is disconnected much earlier.
+MAX_BODY_TRANSFER_MS = 120_000.0
 
 
 class MalformedCommandError(ValueError):
-    """A command that the settings do not allow, or whose attributes are out of range."""
+    """The settings do not allow the command, or an attribute is out of range; the client gets the message."""
 
 
 class CommandReader:
-    """Reads commands by the classes, plans and gateways of the settings."""
+    """Converts commands into events, checked against the classes, plans and gateways of the settings."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.classes = {kind.name: kind for kind in settings.classes}
@@ -24,10 +23,14 @@
         self._gateways = settings.gateways
 
     def read(self, command: Command) -> api.RequestArrived:
-        """The event of a command; raises MalformedCommandError, or another ValueError for a number.
+        """Return the event for a command.
 
-        Forwarded, an unknown class would fail at each backend and make healthy ones count as failing, and an
-        unknown plan has no quota to meter.
+        Unknown classes and plans are rejected here: each backend would fail a request of an unknown class, so
+        that healthy backends would count as failing, and an unknown plan has no quota to meter.
+
+        Raises:
+            MalformedCommandError: If the settings do not allow the command, or an attribute is out of range.
+            ValueError: If an attribute can't be parsed.
         """
         attributes = command.attributes
         event = api.RequestArrived(
--- a/switchline/requests/context.py
+++ b/switchline/requests/context.py
@@ -1,4 +1,4 @@
-"""The parts of the gateway that requests and attempts share."""
+"""The parts of the gateway that the request lifecycle and the attempt sender use."""
 
 from __future__ import annotations
 
@@ -15,10 +15,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestContext:
-    """What a request needs of the gateway; `send_event` hands the policy an event."""
+    """The parts of the gateway that handle requests.
+
+    Attributes:
+        settings: The policy's settings.
+        max_in_flight: The maximum number of requests in flight.
+        timers: The gateway's timers.
+        backends: The connection pool.
+        metrics: Counts outcomes of requests.
+        buffer_budget: The memory budget for buffers of long values.
+        report: Counts events for the periodic log line.
+        send_event: Passes an event to the policy.
+    """
 
     settings: api.Settings
-    max_in_flight: int  # requests at once
+    max_in_flight: int
     timers: Timers
     backends: BackendPool
     metrics: Metrics
--- a/switchline/requests/lifecycle.py
+++ b/switchline/requests/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a request: admitted or refused, answered once, expired, or left by its client."""
+"""The lifecycle of a request: admitted or rejected, then answered, expired or abandoned by its client."""
 
 from __future__ import annotations
 
@@ -22,15 +22,16 @@
 FAILED_REPLY = b"-ERR failed\r\n"
 BUSY_REPLY = b"-BUSY\r\n"
 CAPACITY_RETRY_AFTER_MS = 200
-REQUESTS_PER_CONNECTION = 2  # requests open for each backend connection that there may be: one of them waits
+# Limit of requests in flight for each backend connection in the budget; one of the two waits.
+REQUESTS_PER_CONNECTION = 2
 
 
 class RequestLifecycle:
-    """Owns the open requests; gives each one final answer."""
+    """Owns the requests in flight and gives each exactly one final answer."""
 
     def __init__(self, context: RequestContext) -> None:
         self.reader = CommandReader(context.settings)
-        self.shares = FairShares(context.max_in_flight)  # of requests open at once, among customers
+        self.shares = FairShares(context.max_in_flight)  # divides the requests in flight among customers
         self.max_in_flight = context.max_in_flight
         self.timers = context.timers
         self.backends = context.backends
@@ -38,10 +39,14 @@
         self.report = context.report
         self.send_event = context.send_event
         self.in_flight: dict[str, Request] = {}
-        self.is_shutting_down = False  # the process is about to end
+        self.is_shutting_down = False  # whether the process is about to end
 
     def on_command(self, command: Command, slot: Slot) -> None:
-        """A client's command is complete, or its streamed body has begun; raises MalformedCommandError."""
+        """Handle a client's command that is complete or whose streamed body has begun.
+
+        Raises:
+            MalformedCommandError: If the command is malformed or its id is in use.
+        """
         if command.id in self.in_flight:
             raise MalformedCommandError("id in use")
         event = self.reader.read(command)
@@ -55,8 +60,8 @@
             return
         self.report.counts["requests taken"] += 1
         self.shares.take(event.customer)
-        kind = self.reader.classes[event.request_class]
-        request = self.in_flight[command.id] = Request(command, slot, kind, event.expires_ms)
+        request_class = self.reader.classes[event.request_class]
+        request = self.in_flight[command.id] = Request(command, slot, request_class, event.expires_ms)
         request.expiry_timer = self.timers.at(request.expires_at_ms, partial(self._on_expired, request))
         self.send_event(event)
 
@@ -65,29 +70,30 @@
         self.reader.read(command)
 
     def on_command_without_place(self, command: Command, slot: Slot) -> None:
-        """A command came on a connection that there is no place for."""
+        """Reject a command on a connection that has no place in the descriptor budget."""
         self._reject_for_capacity(self.reader.read(command).request_class, slot)
 
-    def _reject_for_capacity(self, kind: str, slot: Slot) -> None:
-        """Refuse a request before the policy has seen it."""
-        self.metrics.count_outcome(kind, OutcomeKind.DECLINED)
+    def _reject_for_capacity(self, class_name: str, slot: Slot) -> None:
+        """Reject a request because of the gateway's load, before the policy sees it."""
+        self.metrics.count_outcome(class_name, OutcomeKind.DECLINED)
         self.metrics.rejected_for_capacity += 1
         self.report.counts["refused for room"] += 1
         slot.answer(b"-BUSY %d\r\n" % CAPACITY_RETRY_AFTER_MS)
 
     def on_body_received(self, request_id: str) -> None:
-        """A streamed body is complete: from now on its request is one as any other.
+        """Handle the end of a streamed body: set the request's expiry and notify the policy.
 
-        Its client may count the time from its first byte or from its last. One that still sends has not given
-        up, so where the first reckoning has run out, the second must be meant.
+        The client's timeout may start at the first byte or at the last byte of the command. A client that is
+        still sending has not given up, so if the timeout from the first byte has passed, it is counted from
+        the last byte.
         """
         request = self.in_flight.get(request_id)
         now = now_ms()
         if request is None or request.streaming_attempt is not None:
             return
-        wait = min(request.command.time_left_ms, MAX_CLIENT_WAIT_MS)
-        from_head = request.arrived_at_ms + wait
-        request.expires_at_ms = from_head if now < from_head else now + wait
+        wait_ms = min(request.command.time_left_ms, MAX_CLIENT_WAIT_MS)
+        expires_by_first_byte_ms = request.arrived_at_ms + wait_ms
+        request.expires_at_ms = expires_by_first_byte_ms if now < expires_by_first_byte_ms else now + wait_ms
         if request.expiry_timer is not None:
             request.expiry_timer.cancel()
         request.expiry_timer = self.timers.at(request.expires_at_ms, partial(self._on_expired, request))
@@ -96,38 +102,38 @@
         self.send_event(api.RequestBodyReceived(request_id, request.expires_at_ms))
 
     def _on_expired(self, request: Request) -> None:
-        """The client's patience ends: so do the attempts, and the policy owes the final answer."""
+        """End the attempts of an expired request, after which the policy gives the final answer."""
         self.give_up_attempts(request, api.Outcome.TIMED_OUT)
         if self.in_flight.get(request.id) is request:
-            # Only a fault leaves a request unanswered here; its client must not wait in vain even so.
+            # The request is unanswered only because of a fault, but the client still needs an answer.
             log.error(log_events.REQUEST_UNANSWERED, request.id)
             self.fail(request.id)
             self.send_event(api.RequestAbandoned(request.id))
 
     def on_client_gone(self, request_id: str) -> None:
-        """The client has closed its connection: nobody waits for the answer."""
+        """Abandon a request whose client has closed its connection."""
         request = self.release(request_id)
         if request is None:
             return
-        self.metrics.count_outcome(request.kind.name, OutcomeKind.ABORTED)
+        self.metrics.count_outcome(request.request_class.name, OutcomeKind.ABORTED)
         if request.response is not None:
             request.response.drop()
         self.drop_body(request)
         self.send_event(api.RequestAbandoned(request_id))
-        self.give_up_attempts(request, api.Outcome.CANCELLED)  # a backend may drop what it has not begun
+        self.give_up_attempts(request, api.Outcome.CANCELLED)  # a backend may skip it if it has not begun
         self.cancel_timer_if_finished(request)
 
     def fail(self, request_id: str) -> None:
-        """Answer that it failed: it may have run, or not."""
+        """Answer that the request failed, which leaves open whether it ran."""
         self.finish(request_id, FAILED_REPLY, OutcomeKind.ABORTED)
 
     def finish(self, request_id: str, reply: bytes, outcome: OutcomeKind) -> None:
-        """Give the one final answer; a second one is not sent."""
+        """Give the final answer and count its outcome; do nothing if the request already has one."""
         request = self.release(request_id)
         if request is None:
             return
-        self.metrics.count_outcome(request.kind.name, outcome)
-        if request.response is not None:  # begun, and not to be finished
+        self.metrics.count_outcome(request.request_class.name, outcome)
+        if request.response is not None:  # part of a long answer is written, and the rest won't follow
             request.slot.abort_stream(reply)
             request.response.drop()
         else:
@@ -136,14 +142,14 @@
         self.cancel_timer_if_finished(request)
 
     def release(self, request_id: str) -> Request | None:
-        """A request has ended: its place is free."""
+        """Remove a request that has ended and free its share; None if it is not in flight."""
         request = self.in_flight.pop(request_id, None)
         if request is not None:
             self.shares.release(request.command.customer)
         return request
 
     def drop_body(self, request: Request) -> None:
-        """Nobody needs the rest of a streamed body: nor can an attempt be finished without it."""
+        """Discard the rest of a streamed body, and give up attempts that have not sent all of it."""
         body = request.command.stream
         if body is not None and not body.dropped:
             body.drop()
@@ -151,21 +157,21 @@
                 self.give_up_attempts(request, api.Outcome.CANCELLED)
 
     def give_up_attempts(self, request: Request, outcome: api.Outcome) -> None:
-        """End all attempts of a request."""
+        """End all attempts of a request with an outcome."""
         for attempt in list(request.in_flight.values()):
             self.backends.give_up(attempt, outcome)
 
     def cancel_timer_if_finished(self, request: Request) -> None:
-        """Once a request is answered and no attempt is in flight, its timer is not needed."""
+        """Cancel the expiry timer of an answered request that has no attempt in flight."""
         if request.expiry_timer is not None and not request.in_flight:
             request.expiry_timer.cancel()
 
     def end_all(self) -> None:
-        """Answer what is open as the process has to end, and refuse what still comes."""
+        """Answer all requests in flight because the process ends, and reject those that arrive later."""
         self.is_shutting_down = True
         for request_id, request in list(self.in_flight.items()):
             if request.sent_at_ms or any(attempt.connection for attempt in request.in_flight.values()):
                 self.fail(request_id)
-            else:  # nothing of it has left
+            else:  # no byte of the request has been sent to a backend
                 self.finish(request_id, BUSY_REPLY, OutcomeKind.DECLINED)
             self.send_event(api.RequestAbandoned(request_id))
--- a/switchline/requests/request.py
+++ b/switchline/requests/request.py
@@ -1,4 +1,4 @@
-"""One open request, as the lifecycle and the attempts share it."""
+"""A request in flight; shared by the request lifecycle and the attempt sender."""
 
 from __future__ import annotations
 
@@ -12,43 +12,61 @@
 from switchline.net.streams import StreamedResponse
 from switchline.policy import interface as api
 
-RETRY_MARGIN_MS = 50.0  # before an idempotency key's window ends: a retry is on its way that long at most
+# No retry is sent this close to the end of an idempotency key's window: it takes up to this time to arrive.
+RETRY_MARGIN_MS = 50.0
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One request that is owed a final answer. Times are Unix milliseconds."""
+    """A request that has not had its final answer yet, or still has attempts in flight.
+
+    Attributes:
+        command: The client's command.
+        slot: The place of the answer among the answers on the client's connection.
+        request_class: The class of the request.
+        expires_at_ms: When the client's timeout ends, in Unix milliseconds.
+        attempts_made: The number of attempts started so far; also the number of the next attempt.
+        sent_at_ms: When the last byte of an attempt was sent, in Unix milliseconds, by the attempt's number.
+            Only of attempts that may have run.
+        in_flight: The attempts in flight, by number.
+        expiry_timer: Ends the request at `expires_at_ms`.
+        streaming_attempt: The number of the attempt whose long answer is being forwarded.
+        response: The long answer that is being forwarded.
+    """
 
     command: Command
     slot: Slot
-    kind: api.RequestClass
+    request_class: api.RequestClass
     expires_at_ms: float
     attempts_made: int = 0
-    sent_at_ms: dict[int, float] = field(default_factory=dict)  # attempts that may have run: their last byte
-    in_flight: dict[int, Attempt] = field(default_factory=dict)  # by number
+    sent_at_ms: dict[int, float] = field(default_factory=dict)
+    in_flight: dict[int, Attempt] = field(default_factory=dict)
     expiry_timer: Timer | None = None
-    streaming_attempt: int | None = None  # whose long answer is being passed on
+    streaming_attempt: int | None = None
     response: StreamedResponse | None = None
 
     @property
     def id(self) -> str:
-        """The request's name, unique among the open ones."""
+        """The request's identifier, which is unique among the requests in flight."""
         return self.command.id
 
     @property
     def arrived_at_ms(self) -> float:
-        """When its head came."""
+        """When the command's first arguments arrived, in Unix milliseconds."""
         return self.command.received_at_ms
 
     @property
     def body_discarded(self) -> bool:
-        """Whether a streamed body has been sent so far that no further attempt can send it."""
+        """Whether the beginning of a streamed body is discarded, so that no further attempt can send it."""
         body = self.command.stream
         return body is not None and not body.repeatable
 
     @property
     def retry_deadline_ms(self) -> float:
-        """When a further attempt may begin at the latest: after a key's window it would run again."""
-        if not self.sent_at_ms or self.kind.effect is not api.Effect.IDEMPOTENT_WITH_KEY:
+        """The latest time for a further attempt, in Unix milliseconds.
+
+        After the deduplication window of an idempotency key, the backend would run the request again.
+        """
+        if not self.sent_at_ms or self.request_class.effect is not api.Effect.IDEMPOTENT_WITH_KEY:
             return math.inf
-        return min(self.sent_at_ms.values()) + self.kind.deduplication_window_ms - RETRY_MARGIN_MS
+        return min(self.sent_at_ms.values()) + self.request_class.deduplication_window_ms - RETRY_MARGIN_MS
--- a/tests/service/test_guard.py
+++ b/tests/service/test_guard.py
@@ -138,7 +138,7 @@
         scene.connection.connection_made(Wire())
         scene.ask()
         owner = scene.driver.requests.in_flight["r1"]
-        owner.kind = next(
+        owner.request_class = next(
             kind for kind in scene.driver.settings.classes if kind.effect is api.Effect.NOT_IDEMPOTENT
         )
         assert hindered(scene, "r1") is None
