--- a/tests/backends/test_backends.py
+++ b/tests/backends/test_backends.py
@@ -1,4 +1,4 @@
-"""Attempts on backend connections, over loopback sockets."""
+"""Attempts on backend connections over loopback sockets."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 from backend_attempts import RecordedAttempt, running_pool
 
-from switchline.backends import connection as module
+from switchline.backends import connection as connection_module
 from switchline.backends import pool as pool_module
 from switchline.backends.connection import Connection
 from switchline.backends.pool import BackendPool
@@ -18,11 +18,11 @@
 from testbed.stand_ins.backends import Backend
 from testbed.stand_ins.single_gateway import World, in_loop, running
 
-SERVED = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
+OK_REPLY = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
 
 async def idle_connection(pool: BackendPool) -> Connection:
-    """The one idle connection, once its last answer has settled."""
+    """Wait until the only connection to backend 0 is idle and return it."""
     await until(lambda: pool.endpoints[0].idle)
     (connection,) = pool.endpoints[0].idle
     return connection
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize(
     ("reply", "outcome"),
     [
-        (SERVED, Outcome.OK),
+        (OK_REPLY, Outcome.OK),
         (b"-BUSY\r\n", Outcome.QUEUE_FULL),
         (b"-BUSY queue\r\n", Outcome.QUEUE_FULL),
         (b"-ERR failed\r\n", Outcome.FAILED),
@@ -44,19 +44,19 @@
         (b">1000000000\r\n", Outcome.RESET),
     ],
 )
-def test_what_comes_back_tells_the_outcome(reply: bytes, outcome: Outcome) -> None:
+def test_reply_determines_the_outcome(reply: bytes, outcome: Outcome) -> None:
     async def script(command: list[bytes]) -> Reply:
         return reply
 
     async def scenario() -> None:
-        async with running_pool(Backend(script)) as made:
-            assert (await RecordedAttempt(made).result())[0] is outcome
+        async with running_pool(Backend(script)) as pool:
+            assert (await RecordedAttempt(pool).result())[0] is outcome
 
     in_loop(scenario)
 
 
 @pytest.mark.parametrize(
-    ("figures", "cost"),
+    ("usage_figures", "true_units"),
     [
         (b"$16\r\nused=37,cost=4.5\r\n", 4.5),
         (b"$7\r\nused=37\r\n", 0.0),
@@ -66,198 +66,201 @@
         (b"$6\r\ncost=x\r\n", 0.0),
     ],
 )
-def test_the_true_units_are_read_from_the_figures_on_use(figures: bytes, cost: float) -> None:
+def test_true_units_are_read_from_the_usage_figures(usage_figures: bytes, true_units: float) -> None:
     async def script(command: list[bytes]) -> Reply:
-        return b"*3\r\n$5\r\nvalue\r\n" + figures + b"$-1\r\n"
+        return b"*3\r\n$5\r\nvalue\r\n" + usage_figures + b"$-1\r\n"
 
     async def scenario() -> None:
-        async with running_pool(Backend(script)) as made:
-            tried = RecordedAttempt(made)
-            assert (await tried.result())[0] is Outcome.OK
-            assert tried.attempt.true_units == cost
+        async with running_pool(Backend(script)) as pool:
+            recorded = RecordedAttempt(pool)
+            assert (await recorded.result())[0] is Outcome.OK
+            assert recorded.attempt.true_units == true_units
 
     in_loop(scenario)
 
 
-def test_a_refused_connection_never_ran() -> None:
+def test_refused_connection_ends_as_connect_failed() -> None:
     async def scenario() -> None:
         server = Backend()
-        async with running_pool(server) as made:
+        async with running_pool(server) as pool:
             server.server.close()
-            assert await RecordedAttempt(made).result() == (Outcome.CONNECT_FAILED, b"")
-            assert await RecordedAttempt(made, backend=9).result() == (
-                Outcome.CONNECT_FAILED,
-                b"",
-            )  # never listed
+            assert await RecordedAttempt(pool).result() == (Outcome.CONNECT_FAILED, b"")
+            # Backend 9 was never listed.
+            assert await RecordedAttempt(pool, backend=9).result() == (Outcome.CONNECT_FAILED, b"")
 
     in_loop(scenario)
 
 
-def test_a_break_before_the_last_byte_never_ran() -> None:
-    """Nobody reads, so the tail of a large request stays in the process until the connection breaks."""
+def test_break_before_the_last_byte_ends_as_connect_failed() -> None:
+    """The server does not read, so the end of a large request is unsent when the connection breaks.
 
-    class Deaf(Server):
+    Such a request can't have run and must be reported as safe to retry.
+    """
+
+    class NonReadingServer(Server):
         async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            go_on = self.go_on = asyncio.Event()
+            may_abort = self.may_abort = asyncio.Event()
             writer.transport.pause_reading()  # type: ignore[attr-defined]
-            await go_on.wait()
+            await may_abort.wait()
             writer.transport.abort()
 
     async def scenario() -> None:
-        server = Deaf()
-        async with running_pool(server) as made:
-            tried = RecordedAttempt(made, body=b"x" * 32_000_000)
-            await until(lambda: server.accepted and tried.attempt.connection is not None)
-            connection = tried.attempt.connection
+        server = NonReadingServer()
+        async with running_pool(server) as pool:
+            recorded = RecordedAttempt(pool, body=b"x" * 32_000_000)
+            await until(lambda: server.accepted and recorded.attempt.connection is not None)
+            connection = recorded.attempt.connection
             assert connection is not None
             await until(lambda: connection.writing_blocked)
-            server.go_on.set()
-            assert (await tried.result())[0] is Outcome.CONNECT_FAILED
+            server.may_abort.set()
+            assert (await recorded.result())[0] is Outcome.CONNECT_FAILED
 
     in_loop(scenario)
 
 
-def test_a_large_request_goes_out_whole() -> None:
+def test_large_request_is_sent_completely() -> None:
     async def scenario() -> None:
         server = Backend()
-        async with running_pool(server) as made:
-            assert (await RecordedAttempt(made, body=b"x" * 8_000_000).result())[0] is Outcome.OK
+        async with running_pool(server) as pool:
+            assert (await RecordedAttempt(pool, body=b"x" * 8_000_000).result())[0] is Outcome.OK
             assert server.got[0][4] == b"x" * 8_000_000
 
     in_loop(scenario)
 
 
-def test_the_connection_used_last_is_used_again() -> None:
+def test_idle_connections_are_reused() -> None:
     async def scenario() -> None:
         server = Backend()
-        async with running_pool(server) as made:
-            await asyncio.gather(RecordedAttempt(made).result(), RecordedAttempt(made).result())
+        async with running_pool(server) as pool:
+            await asyncio.gather(RecordedAttempt(pool).result(), RecordedAttempt(pool).result())
             assert server.accepted == 2
             for _ in range(5):
-                assert (await RecordedAttempt(made).result())[0] is Outcome.OK
+                assert (await RecordedAttempt(pool).result())[0] is Outcome.OK
             assert server.accepted == 2
 
     in_loop(scenario)
 
 
-def test_a_connection_that_the_backend_has_closed_is_not_written_to() -> None:
-    """The end of a pooled connection may lie unread; a request written to it would end as a reset."""
+def test_connection_closed_by_the_backend_is_not_reused() -> None:
+    """Guards against sending on a pooled connection whose end has not been read yet.
+
+    A request written to it would end with a reset, after which it may have run.
+    """
 
     async def scenario() -> None:
         server = Backend()
-        async with running_pool(server) as made:
-            assert (await RecordedAttempt(made).result())[0] is Outcome.OK
-            connection = await idle_connection(made)
-            made.loop.remove_reader(connection.fd)  # as if the event loop had not yet come to it
+        async with running_pool(server) as pool:
+            assert (await RecordedAttempt(pool).result())[0] is Outcome.OK
+            connection = await idle_connection(pool)
+            pool.loop.remove_reader(connection.fd)  # as if the event loop had not yet processed the close
             server.hang_up()
             await until(lambda: not connection.is_alive())
-            assert (await RecordedAttempt(made).result())[0] is Outcome.OK
+            assert (await RecordedAttempt(pool).result())[0] is Outcome.OK
             assert server.accepted == 2 and len(server.got) == 2
 
     in_loop(scenario)
 
 
-def test_an_idle_connection_is_retired_before_the_backend_closes_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_connection_is_closed_before_the_keep_alive_time_ends(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(pool_module, "SWEEP_INTERVAL_MS", 5.0)
 
     async def scenario() -> None:
         server = Backend()
-        async with running_pool(server) as made:
-            assert (await RecordedAttempt(made).result())[0] is Outcome.OK
-            connection = await idle_connection(made)
-            connection.idle_since_ms -= made.idle_times.limit_ms - 20
+        async with running_pool(server) as pool:
+            assert (await RecordedAttempt(pool).result())[0] is Outcome.OK
+            connection = await idle_connection(pool)
+            connection.idle_since_ms -= pool.idle_times.limit_ms - 20
             await until(lambda: server.ended)
-            assert not made.connections and made.idle_times.limit_ms < 15_000 * 0.8
+            assert not pool.connections and pool.idle_times.limit_ms < 15_000 * 0.8
 
     in_loop(scenario)
 
 
-def test_a_given_up_attempt_is_closed_before_its_end_is_told() -> None:
-    """What follows a given-up attempt is sent at once, and two must never be out together."""
+def test_given_up_attempt_is_closed_before_its_end_is_reported() -> None:
+    """The next attempt is sent when the end is reported, and two must never be in flight together."""
 
     async def silent(command: list[bytes]) -> Reply:
         return None
 
     async def scenario() -> None:
         server = Backend(silent)
-        async with running_pool(server) as made:
-            tried = RecordedAttempt(made)
+        async with running_pool(server) as pool:
+            recorded = RecordedAttempt(pool)
             await until(lambda: server.got)
-            connection = tried.attempt.connection
+            connection = recorded.attempt.connection
             assert connection is not None
             closed: list[bool] = []
-            tried.attempt.on_ended = lambda *_: closed.append(connection.socket.fileno() == -1)
-            made.give_up(tried.attempt, Outcome.CANCELLED)
+            recorded.attempt.on_ended = lambda *_: closed.append(connection.socket.fileno() == -1)
+            pool.give_up(recorded.attempt, Outcome.CANCELLED)
             assert closed == [True]
             await until(lambda: server.ended)
 
     in_loop(scenario)
 
 
-def test_a_drain_heard_while_connecting_keeps_the_request_back() -> None:
-    """The cutoff holds at the first byte written, not when the attempt was asked for."""
+def test_drain_during_the_handshake_prevents_sending() -> None:
+    """The check whether a backend accepts attempts is made at the first byte, not when `send` is called."""
 
     async def scenario() -> None:
         server = Backend()
-        async with running_pool(server) as made:
-            tried = RecordedAttempt(made)  # the connection is not up yet
-            made.update(0, (LOCAL, server.port), BackendState.DRAINING)
-            assert (await tried.result())[0] is Outcome.CONNECT_FAILED
-            assert (await RecordedAttempt(made).result())[0] is Outcome.CONNECT_FAILED
+        async with running_pool(server) as pool:
+            recorded = RecordedAttempt(pool)  # the handshake is not finished yet
+            pool.update(0, (LOCAL, server.port), BackendState.DRAINING)
+            assert (await recorded.result())[0] is Outcome.CONNECT_FAILED
+            assert (await RecordedAttempt(pool).result())[0] is Outcome.CONNECT_FAILED
             await until(lambda: not server.open)
             assert not server.got
 
     in_loop(scenario)
 
 
-def test_a_request_that_ended_while_connecting_is_not_sent() -> None:
+def test_request_that_expired_during_the_handshake_is_not_sent() -> None:
     async def scenario() -> None:
         server = Backend()
-        async with running_pool(server) as made:
-            assert (await RecordedAttempt(made, wait_ms=0).result())[0] is Outcome.IGNORED
+        async with running_pool(server) as pool:
+            assert (await RecordedAttempt(pool, wait_ms=0).result())[0] is Outcome.IGNORED
             assert not server.got
 
     in_loop(scenario)
 
 
-def test_a_time_out_before_the_connection_is_up_never_ran() -> None:
+def test_timeout_during_the_handshake_ends_as_connect_failed() -> None:
     async def scenario() -> None:
         server = Backend()
-        async with running_pool(server) as made:
-            tried = RecordedAttempt(made)
-            made.give_up(tried.attempt, Outcome.TIMED_OUT)
-            assert (await tried.result())[0] is Outcome.CONNECT_FAILED
+        async with running_pool(server) as pool:
+            recorded = RecordedAttempt(pool)
+            pool.give_up(recorded.attempt, Outcome.TIMED_OUT)
+            assert (await recorded.result())[0] is Outcome.CONNECT_FAILED
 
     in_loop(scenario)
 
 
-def test_the_bound_closes_idle_connections_and_then_there_is_no_room() -> None:
+def test_descriptor_limit_closes_idle_connections_then_gives_no_connection() -> None:
     async def silent(command: list[bytes]) -> Reply:
         return None
 
     async def scenario() -> None:
         first, second = Backend(), Backend(silent)
-        async with running_pool(
-            first, second, budget=Budget(1), connect_timeout_ms=100
-        ) as made:  # eight connections
-            assert (await RecordedAttempt(made).result())[0] is Outcome.OK
-            held = [RecordedAttempt(made, backend=1) for _ in range(8)]
+        # The budget allows eight connections.
+        async with running_pool(first, second, budget=Budget(1), connect_timeout_ms=100) as pool:
+            assert (await RecordedAttempt(pool).result())[0] is Outcome.OK
+            in_use = [RecordedAttempt(pool, backend=1) for _ in range(8)]
             await until(lambda: len(second.got) == 8)
             await until(lambda: first.ended)
-            assert (await RecordedAttempt(made).result())[0] is Outcome.NO_CONNECTION
-            assert not any(t.endings for t in held) and len(made.connections) == 8
+            assert (await RecordedAttempt(pool).result())[0] is Outcome.NO_CONNECTION
+            assert not any(attempt.endings for attempt in in_use) and len(pool.connections) == 8
 
     in_loop(scenario)
 
 
-def test_a_changed_address_is_followed() -> None:
+def test_changed_address_gets_the_next_attempt() -> None:
     async def scenario() -> None:
         old, new = Backend(), Backend()
-        async with running_pool(old) as made:
+        async with running_pool(old) as pool:
             await new.start()
-            assert (await RecordedAttempt(made).result())[0] is Outcome.OK
-            made.update(0, (LOCAL, new.port), BackendState.READY)
-            assert (await RecordedAttempt(made).result())[0] is Outcome.OK
+            assert (await RecordedAttempt(pool).result())[0] is Outcome.OK
+            pool.update(0, (LOCAL, new.port), BackendState.READY)
+            assert (await RecordedAttempt(pool).result())[0] is Outcome.OK
             assert len(old.got) == len(new.got) == 1
             await until(lambda: old.ended)
             await new.stop()
@@ -265,24 +268,24 @@
     in_loop(scenario)
 
 
-def test_a_reset_is_tried_again_elsewhere_by_the_module() -> None:
+def test_idempotent_request_is_retried_on_another_backend_after_a_reset() -> None:
     async def scenario() -> None:
-        broke: list[bytes] = []
+        reset_requests: list[bytes] = []
 
         async def script(command: list[bytes]) -> Reply:
-            if not broke:
-                broke.append(command[2])
+            if not reset_requests:
+                reset_requests.append(command[2])
                 return b""
-            return SERVED
+            return OK_REPLY
 
         async with running(World(Backend(script), Backend(script))) as world:
             assert await world.ask(await world.client()) == b"value"
-            assert sorted(len(b.got) for b in world.backends) == [1, 1]
+            assert sorted(len(backend.got) for backend in world.backends) == [1, 1]
 
     in_loop(scenario)
 
 
-def test_unsafe_work_that_may_have_run_is_failed_and_not_sent_again() -> None:
+def test_not_idempotent_request_that_may_have_run_fails_without_retry() -> None:
     async def script(command: list[bytes]) -> Reply:
         return b""
 
@@ -290,14 +293,14 @@
         async with running(World(Backend(script), Backend(script))) as world:
             reply = await world.ask(await world.client(), name=b"wipe", body=b"x")
             assert str(reply) == "ERR failed"
-            assert sum(len(b.got) for b in world.backends) == 1
+            assert sum(len(backend.got) for backend in world.backends) == 1
 
     in_loop(scenario)
 
 
-def test_an_idle_time_after_which_requests_are_reset_is_shunned_until_the_evidence_fades() -> None:
+def test_idle_time_with_many_resets_is_not_allowed_until_the_counts_decay() -> None:
     times = IdleTimes(9_000.0)
-    for number in range(40):  # resets as such, at whatever idle time, shun nothing
+    for number in range(40):  # resets that are equally frequent at all idle times do not lower the limit
         times.record_use(5.0 + number * 10, reset=number % 10 == 0)
     assert times.allows(1_000.0, 8_000.0)
     for number in range(40):
@@ -307,14 +310,15 @@
     assert times.allows(2_000.0 + 3 * EVIDENCE_DECAY_MS, 400.0)
 
 
-def test_a_backend_that_drops_idle_connections_unsaid_is_no_longer_sent_work_on_them(
+def test_idle_connections_are_not_reused_after_the_backend_has_reset_several(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(module, "IMMEDIATE_RESET_MS", 10_000.0)  # a test machine may be slow
+    # A test machine may be too slow for the real limit.
+    monkeypatch.setattr(connection_module, "IMMEDIATE_RESET_MS", 10_000.0)
 
     async def scenario() -> None:
-        class Dropping(Backend):
-            """Resets what comes on a connection that stood idle, and did not close it before."""
+        class IdleResettingBackend(Backend):
+            """Resets an idle connection when the next request arrives, without closing it before."""
 
             async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 peer, fresh = Peer(reader, writer), True
@@ -322,29 +326,29 @@
                     if not fresh and b"idle" in command[2]:
                         return writer.transport.abort()
                     fresh = False
-                    writer.write(SERVED)
+                    writer.write(OK_REPLY)
 
-        async with running_pool(Dropping()) as made:
+        async with running_pool(IdleResettingBackend()) as pool:
             resets = 0
             for number in range(30):
-                assert (await RecordedAttempt(made).result())[0] is Outcome.OK
-                connection = await idle_connection(made)
-                connection.idle_since_ms -= 500  # as if it had stood for so long
-                tried = RecordedAttempt(made, id=b"idle%d" % number)
-                resets += (await tried.result())[0] is Outcome.RESET
+                assert (await RecordedAttempt(pool).result())[0] is Outcome.OK
+                connection = await idle_connection(pool)
+                connection.idle_since_ms -= 500  # as if it had been idle for that long
+                recorded = RecordedAttempt(pool, id=b"idle%d" % number)
+                resets += (await recorded.result())[0] is Outcome.RESET
             assert 3 <= resets < 10
 
     in_loop(scenario)
 
 
-# ---- what may come between the decision to send and the first byte ----
+# ---- changes between the decision to send and the first byte ----
 
 
-def test_an_attempt_that_is_hindered_while_it_waits_is_never_written() -> None:
+def test_attempt_with_a_reason_not_to_send_after_the_wait_is_not_sent() -> None:
     async def scenario() -> None:
         server = Backend()
-        async with running_pool(server) as made:
-            first, second = RecordedAttempt(made), RecordedAttempt(made)
+        async with running_pool(server) as pool:
+            first, second = RecordedAttempt(pool), RecordedAttempt(pool)
             first.reason_not_to_send = Outcome.CANCELLED
             assert (await first.result())[0] is Outcome.CANCELLED
             assert (await second.result())[0] is Outcome.OK
@@ -353,81 +357,83 @@
     in_loop(scenario)
 
 
-def test_a_request_hindered_before_its_last_byte_never_arrives_whole() -> None:
+def test_request_with_a_reason_not_to_send_before_its_last_byte_never_arrives_completely() -> None:
     async def scenario() -> None:
-        read = asyncio.Event()
+        may_read = asyncio.Event()
 
-        class Slow(Backend):
+        class DelayedBackend(Backend):
             async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-                await read.wait()
+                await may_read.wait()
                 await super().talk(reader, writer)
 
-        server = Slow()
-        async with running_pool(server) as made:
-            tried = RecordedAttempt(made, body=bytes(32_000_000))
+        server = DelayedBackend()
+        async with running_pool(server) as pool:
+            recorded = RecordedAttempt(pool, body=bytes(32_000_000))
             await until(
-                lambda: tried.attempt.connection is not None and tried.attempt.connection.writing_blocked
+                lambda: (
+                    recorded.attempt.connection is not None and recorded.attempt.connection.writing_blocked
+                )
             )
-            tried.reason_not_to_send = Outcome.IGNORED
-            read.set()
-            assert (await tried.result())[0] is Outcome.CONNECT_FAILED  # it can't have run
+            recorded.reason_not_to_send = Outcome.IGNORED
+            may_read.set()
+            assert (await recorded.result())[0] is Outcome.CONNECT_FAILED  # the request can't have run
             await until(lambda: server.ended)
-            assert not server.got and not tried.written
+            assert not server.got and not recorded.written
 
     in_loop(scenario)
 
 
-def test_a_drain_ends_at_once_what_waits_for_a_connection() -> None:
+def test_drain_ends_waiting_attempts_at_once() -> None:
     async def scenario() -> None:
         server = Backend()
-        async with running_pool(server) as made:
-            tried = RecordedAttempt(made)
-            made.update(0, (LOCAL, server.port), BackendState.DRAINING)
-            assert tried.endings == [(Outcome.CONNECT_FAILED, b"")]
-            assert not made.connections  # nor does its handshake go on
+        async with running_pool(server) as pool:
+            recorded = RecordedAttempt(pool)
+            pool.update(0, (LOCAL, server.port), BackendState.DRAINING)
+            assert recorded.endings == [(Outcome.CONNECT_FAILED, b"")]
+            assert not pool.connections  # the handshake is also aborted
 
     in_loop(scenario)
 
 
-def test_a_handshake_that_nobody_waits_for_is_given_up() -> None:
-    """A connection that comes up late is not written to after its attempt was given up."""
+def test_handshake_that_no_attempt_needs_is_closed() -> None:
+    """A connection whose attempt was given up during the handshake must not be used later."""
 
     async def scenario() -> None:
         server = Backend()
-        async with running_pool(server) as made:
-            gone, stays = RecordedAttempt(made), RecordedAttempt(made)
-            assert made.gauges()["backends.opening"] == 2
-            made.give_up(gone.attempt, Outcome.TIMED_OUT)
-            assert made.gauges()["backends.opening"] == 1
-            assert (await stays.result())[0] is Outcome.OK
-            assert len(made.connections) == 1
+        async with running_pool(server) as pool:
+            given_up, waiting = RecordedAttempt(pool), RecordedAttempt(pool)
+            assert pool.gauges()["backends.opening"] == 2
+            pool.give_up(given_up.attempt, Outcome.TIMED_OUT)
+            assert pool.gauges()["backends.opening"] == 1
+            assert (await waiting.result())[0] is Outcome.OK
+            assert len(pool.connections) == 1
 
     in_loop(scenario)
 
 
-def test_a_second_answer_that_comes_late_is_not_taken_for_the_next_request_s(
+def test_late_second_answer_is_not_taken_for_the_next_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(pool_module, "SETTLE_RATIO", 1e9)
     monkeypatch.setattr(pool_module, "MAX_SETTLE_MS", 60_000.0)
 
     async def scenario() -> None:
-        go_on = asyncio.Event()
+        send_second_answer = asyncio.Event()
 
-        class Twice(Backend):
+        class DoubleAnsweringBackend(Backend):
             async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 peer = Peer(reader, writer)
                 while (command := await peer.receive()) is not None:
                     self.got.append(command)
                     writer.write(b"*3\r\n$3\r\n%b\r\n$-1\r\n$-1\r\n" % command[2])
                     if command[2] == b"one":
-                        await go_on.wait()
+                        await send_second_answer.wait()
                         writer.write(b"*3\r\n$3\r\none\r\n$-1\r\n$-1\r\n")
 
-        async with running_pool(Twice()) as made:
-            assert await RecordedAttempt(made, id=b"one").result() == (Outcome.OK, b"one")
-            second = RecordedAttempt(made, id=b"two")
-            go_on.set()
+        async with running_pool(DoubleAnsweringBackend()) as pool:
+            assert await RecordedAttempt(pool, id=b"one").result() == (Outcome.OK, b"one")
+            second = RecordedAttempt(pool, id=b"two")
+            send_second_answer.set()
             assert await second.result() == (Outcome.OK, b"two")
 
     in_loop(scenario)
--- a/tests/net/test_json_stream.py
+++ b/tests/net/test_json_stream.py
@@ -1,4 +1,4 @@
-"""Objects are found in a byte stream however it is formatted and cut."""
+"""JSON objects are found in a byte stream, however it is formatted and split into pieces."""
 
 from __future__ import annotations
 
@@ -21,19 +21,21 @@
     st.sampled_from([b"\n", b"\r\n", b"\n\n\r\n", b""]),
     st.integers(1, 40),
 )
-def test_objects_are_found_however_they_are_indented_and_cut(
-    given_objects: list[tuple[dict[str, Any], int | None]], between: bytes, size: int
+def test_objects_are_found_with_any_indentation_and_piece_size(
+    objects_with_indents: list[tuple[dict[str, Any], int | None]], separator: bytes, piece_bytes: int
 ) -> None:
-    text = b"".join(json.dumps(one, indent=indent).encode() + between for one, indent in given_objects)
+    text = b"".join(
+        json.dumps(value, indent=indent).encode() + separator for value, indent in objects_with_indents
+    )
     stream = JsonStream(1_000_000)
-    found: list[Any] = []
-    for start in range(0, len(text), size):
-        found += stream.feed(text[start : start + size])
-    assert found == [one for one, _ in given_objects]
+    parsed: list[Any] = []
+    for start in range(0, len(text), piece_bytes):
+        parsed += stream.feed(text[start : start + piece_bytes])
+    assert parsed == [value for value, _ in objects_with_indents]
     assert not stream.unfinished and stream.finish() == []
 
 
-def test_an_object_is_given_with_its_last_byte_and_not_with_the_next_line() -> None:
+def test_object_is_returned_at_its_last_byte_without_a_line_break() -> None:
     stream = JsonStream(1_000)
     assert stream.feed(b'{\n  "seq": 4') == []
     assert stream.unfinished
@@ -43,19 +45,19 @@
 
 
 @pytest.mark.parametrize("text", [b"nonsense\n", b'{"a": }\n', b'{"a": 1}}\n', b"\xff\n"])
-def test_what_is_no_object_is_an_error(text: bytes) -> None:
+def test_text_that_is_not_an_object_is_an_error(text: bytes) -> None:
     with pytest.raises(StreamError):
         JsonStream(1_000).feed(text)
 
 
-def test_an_object_cut_short_is_an_error_at_the_end() -> None:
+def test_incomplete_object_is_an_error_at_the_end_of_the_stream() -> None:
     stream = JsonStream(1_000)
     assert stream.feed(b'{"a": [1,') == []
     with pytest.raises(StreamError):
         stream.finish()
 
 
-def test_an_object_without_end_is_bounded() -> None:
+def test_unfinished_object_over_the_size_limit_is_an_error() -> None:
     stream = JsonStream(1_000)
     with pytest.raises(StreamError):
         for _ in range(200):
--- a/tests/net/test_resp.py
+++ b/tests/net/test_resp.py
@@ -1,4 +1,4 @@
-"""The reader of RESP2, without sockets."""
+"""The RESP2 parser, without sockets."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from switchline.net.resp import INCOMPLETE, MAX_LINE_BYTES, ProtocolError, RespParser, SimpleValue, Value
 
 
-def read(data: bytes, cuts: list[int] | None = None) -> list[Value]:
-    """All values in data that comes in pieces."""
-    reader = RespParser(max_items=5, max_bytes=1000)
-    places = sorted({0, len(data), *(cut % (len(data) + 1) for cut in cuts or [])})
+def parse_pieces(data: bytes, cuts: list[int] | None = None) -> list[Value]:
+    """Parse data that arrives in pieces, split at `cuts`, and return all its values."""
+    parser = RespParser(max_items=5, max_bytes=1000)
+    boundaries = sorted({0, len(data), *(cut % (len(data) + 1) for cut in cuts or [])})
     values: list[Value] = []
-    for start, end in zip(places, places[1:], strict=False):
-        reader.feed(data[start:end])
-        while (value := reader.next_value()) is not INCOMPLETE:
+    for start, end in zip(boundaries, boundaries[1:], strict=False):
+        parser.feed(data[start:end])
+        while (value := parser.next_value()) is not INCOMPLETE:
             values.append(value)
-    assert not reader.has_partial_value()
+    assert not parser.has_partial_value()
     return values
 
 
@@ -44,17 +44,17 @@
 
 
 @given(st.lists(VALUES, max_size=6), st.lists(st.integers(0, 10_000), max_size=8))
-def test_values_are_read_whole_however_they_are_cut(values: list[Value], cuts: list[int]) -> None:
-    assert read(b"".join(map(encode, values)), cuts) == values
+def test_values_are_parsed_completely_however_they_are_split(values: list[Value], cuts: list[int]) -> None:
+    assert parse_pieces(b"".join(map(encode, values)), cuts) == values
 
 
-def test_a_value_is_not_given_before_its_last_byte() -> None:
-    reader = RespParser(5, 1000)
+def test_value_is_not_returned_before_its_last_byte() -> None:
+    parser = RespParser(5, 1000)
     for byte in encode([b"PING", b""])[:-1]:
-        reader.feed(bytes([byte]))
-        assert reader.next_value() is INCOMPLETE and reader.has_partial_value()
-    reader.feed(b"\n")
-    assert reader.next_value() == [b"PING", b""] and not reader.has_partial_value()
+        parser.feed(bytes([byte]))
+        assert parser.next_value() is INCOMPLETE and parser.has_partial_value()
+    parser.feed(b"\n")
+    assert parser.next_value() == [b"PING", b""] and not parser.has_partial_value()
 
 
 @pytest.mark.parametrize(
@@ -78,19 +78,19 @@
         b"+" + b"a" * MAX_LINE_BYTES,
     ],
 )
-def test_what_is_not_taken_is_told_at_once(data: bytes) -> None:
-    reader = RespParser(max_items=5, max_bytes=1000)
-    reader.feed(data)
+def test_unaccepted_data_is_an_error_at_once(data: bytes) -> None:
+    parser = RespParser(max_items=5, max_bytes=1000)
+    parser.feed(data)
     with pytest.raises(ProtocolError):
-        reader.next_value()
+        parser.next_value()
 
 
-def test_nothing_is_set_aside_for_what_has_not_come() -> None:
-    reader = RespParser(max_items=1_000_000, max_bytes=1_000_000_000)
-    reader.feed(b"*1000000\r\n$900000000\r\n")
+def test_no_memory_is_allocated_for_announced_data_that_has_not_arrived() -> None:
+    parser = RespParser(max_items=1_000_000, max_bytes=1_000_000_000)
+    parser.feed(b"*1000000\r\n$900000000\r\n")
     tracemalloc.start()
     try:
-        assert reader.next_value() is INCOMPLETE
+        assert parser.next_value() is INCOMPLETE
         assert tracemalloc.get_traced_memory()[1] < 10_000
     finally:
         tracemalloc.stop()
--- a/tests/support/backend_attempts.py
+++ b/tests/support/backend_attempts.py
@@ -1,4 +1,4 @@
-"""A connection pool over loopback servers, and attempts whose ends are noted."""
+"""A connection pool over loopback servers, and attempts that record how they ended."""
 
 from __future__ import annotations
 
@@ -19,29 +19,29 @@
 
 
 @asynccontextmanager
-async def running_pool(*servers: Server, **given: Any) -> AsyncIterator[BackendPool]:
+async def running_pool(*servers: Server, **arguments: Any) -> AsyncIterator[BackendPool]:
     loop = asyncio.get_running_loop()
-    values: dict[str, Any] = dict(
+    defaults: dict[str, Any] = dict(
         connect_timeout_ms=250,
         keepalive_ms=15_000,
         budget=Budget(1024),
         metrics=Metrics([]),
         buffer_budget=BufferBudget(2**26),
     )
-    made = BackendPool(loop, Timers(loop), **{**values, **given})
+    pool = BackendPool(loop, Timers(loop), **{**defaults, **arguments})
     for number, server in enumerate(servers):
         await server.start()
-        made.update(number, (LOCAL, server.port), BackendState.READY)
+        pool.update(number, (LOCAL, server.port), BackendState.READY)
     try:
-        yield made
+        yield pool
     finally:
-        made.close()
+        pool.close()
         for server in servers:
             await server.stop()
 
 
 class RecordedAttempt:
-    """An attempt and how it ended."""
+    """An attempt that is sent at once and records how it ended."""
 
     def __init__(
         self,
@@ -53,23 +53,23 @@
     ) -> None:
         self.endings: list[tuple[Outcome, bytes]] = []
         self.has_ended = asyncio.Event()
-        expires = now_ms() + wait_ms
-        self.reason_not_to_send: Outcome | None = None  # why it must not begin
-        self.written = False  # its last byte has left
-        calls = (
+        expires_at_ms = now_ms() + wait_ms
+        self.reason_not_to_send: Outcome | None = None  # what the attempt's check before sending returns
+        self.written = False  # whether the last byte was sent
+        arguments = (
             self.encode,
-            expires,
+            expires_at_ms,
             self.on_ended,
             self.on_written,
             lambda *_: None,
             lambda _: self.reason_not_to_send,
         )
-        self.attempt = Attempt(backend, *calls)
+        self.attempt = Attempt(backend, *arguments)
         self.body, self.id = body, id
         pool.send(self.attempt)
 
-    def encode(self, wait: int) -> bytes:
-        return encode(*request(self.id, wait=wait, body=self.body))
+    def encode(self, wait_ms: int) -> bytes:
+        return encode(*request(self.id, wait=wait_ms, body=self.body))
 
     def on_written(self, attempt: Attempt) -> None:
         self.written = True
--- a/tests/support/cutting_backend.py
+++ b/tests/support/cutting_backend.py
@@ -1,4 +1,4 @@
-"""A backend that cuts streamed values short."""
+"""A backend that sends its answer in pieces and may break it off."""
 
 from __future__ import annotations
 
@@ -9,11 +9,17 @@
 
 
 class PiecewiseBackend(Backend):
-    """Gives its answer in pieces, each when it is told to go on, and then perhaps breaks."""
+    """Sends its answer in pieces: the first at once, each other one after a release of `next_piece`.
+
+    Args:
+        reply: The complete answer.
+        cuts: The offsets in the answer at which the pieces after the first begin.
+        breaks_off: Whether the connection is closed after the last piece.
+    """
 
     def __init__(self, reply: bytes, cuts: list[int], breaks_off: bool = False) -> None:
         super().__init__()
-        self.pieces = [reply[a:b] for a, b in zip([0, *cuts], [*cuts, len(reply)], strict=True)]
+        self.pieces = [reply[start:end] for start, end in zip([0, *cuts], [*cuts, len(reply)], strict=True)]
         self.breaks_off, self.next_piece = breaks_off, asyncio.Semaphore(0)
 
     async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
