--- a/switchline/net/descriptors.py
+++ b/switchline/net/descriptors.py
@@ -158,7 +158,7 @@
                 self.reserve_fd = os.open(os.devnull, os.O_RDONLY)
 
     def close_reserve(self) -> bool:
-        """Close the reserved descriptor to make room for an operator's call; return whether there was one."""
+        """Close the reserved descriptor to make room for an operator's call; return whether it was open."""
         reserve_fd = self.reserve_fd
         self.reserve_fd = None
         if reserve_fd is not None:
--- a/switchline/requests/arrivals.py
+++ b/switchline/requests/arrivals.py
@@ -18,9 +18,9 @@
     """Converts commands into events, checked against the classes, plans and gateways of the settings."""
 
     def __init__(self, settings: api.Settings) -> None:
-        self.classes = {kind.name: kind for kind in settings.classes}
+        self.classes = {request_class.name: request_class for request_class in settings.classes}
         self._plans = {plan.name for plan in settings.plans}
-        self._gateways = settings.gateways
+        self._gateway_count = settings.gateways
 
     def read(self, command: Command) -> api.RequestArrived:
         """Return the event for a command.
@@ -56,17 +56,17 @@
         )
 
     def _check(self, event: api.RequestArrived, command: Command) -> None:
-        kind = self.classes.get(event.request_class)
-        if kind is None or event.plan not in self._plans:
+        request_class = self.classes.get(event.request_class)
+        if request_class is None or event.plan not in self._plans:
             raise MalformedCommandError("unknown class or plan")
-        if command.safe is not (kind.effect is api.Effect.IDEMPOTENT):
+        if command.safe is not (request_class.effect is api.Effect.IDEMPOTENT):
             raise MalformedCommandError("wrong command for the class")
-        if kind.effect is api.Effect.IDEMPOTENT_WITH_KEY and not command.attributes.get(b"k"):
+        if request_class.effect is api.Effect.IDEMPOTENT_WITH_KEY and not command.attributes.get(b"k"):
             raise MalformedCommandError("idempotency key missing")
-        gateways = self._gateways
+        gateway_count = self._gateway_count
         if not (
             event.units > 0
-            and 1 <= event.customer_gateway_count <= gateways
-            and 0 <= event.first_gateway < gateways
+            and 1 <= event.customer_gateway_count <= gateway_count
+            and 0 <= event.first_gateway < gateway_count
         ):
             raise MalformedCommandError("malformed units or gateways")
