--- a/switchline/clients/commands.py
+++ b/switchline/clients/commands.py
@@ -135,7 +135,7 @@
         after_time_left=attributes.after_time_left,
         encoded_value=b"".join(map(encode_bulk_string, value_arguments))
         if streamed_body is None
-        else b"$%d\r\n" % streamed_body.length,
+        else b"$%d\r\n" % streamed_body.length_bytes,
         argument_count=len(arguments),
         id=id_text,
         customer=customer_text,
--- a/switchline/clients/connection.py
+++ b/switchline/clients/connection.py
@@ -125,7 +125,7 @@
         """See asyncio.BufferedProtocol."""
         if self.streamed_body is None:
             return self.server.read_buffer
-        return self.server.read_buffer[: self.streamed_body.buffer_budget.window]
+        return self.server.read_buffer[: self.streamed_body.buffer_budget.window_bytes]
 
     def buffer_updated(self, nbytes: int) -> None:
         """See asyncio.BufferedProtocol."""
@@ -198,10 +198,10 @@
 
     def _begin_streamed_request(self, streamed_string: StreamedStringStarted) -> None:
         """Dispatch a request whose value is too long to be collected, before the value has arrived."""
-        if streamed_string.missing != 1 or not begins_request(streamed_string.items):
+        if streamed_string.remaining_items != 1 or not begins_request(streamed_string.items):
             raise ProtocolError("long value that is not the last argument of a request")
         self.receiving.record_stream_start(time.monotonic())
-        self.streamed_body = StreamedRequestBody(self.server.buffer_budget, streamed_string.length)
+        self.streamed_body = StreamedRequestBody(self.server.buffer_budget, streamed_string.length_bytes)
         self.streamed_body.on_capacity = self.pump
         body = self.streamed_body
         slot = self.streamed_body_slot = dispatch(self, [*streamed_string.items, b""], body)
@@ -213,7 +213,7 @@
         if piece := self.parser.read_streamed(READ_BUFFER_BYTES):
             self.receiving.last_received_s = time.monotonic()
             body.feed(piece)
-        elif self.parser.streamed_remaining > 0 or self.parser.next_value() is INCOMPLETE:
+        elif self.parser.streamed_remaining_bytes > 0 or self.parser.next_value() is INCOMPLETE:
             self._has_unparsed_bytes = False
             return False
         else:
--- a/switchline/clients/dispatch.py
+++ b/switchline/clients/dispatch.py
@@ -73,7 +73,7 @@
         if connection.validated or server.promote(connection, command):
             server.handler.on_command(command, slot)
         else:
-            server.handler.on_no_place(command, slot)
+            server.handler.on_command_without_place(command, slot)
     except ValueError as error:
         slot.request_id = None
         _reject_command(connection, slot, " ".join(str(error).split()), wait_started_at_s)
--- a/switchline/clients/places.py
+++ b/switchline/clients/places.py
@@ -12,7 +12,7 @@
 import logging
 from typing import TYPE_CHECKING
 
-from switchline.net.descriptors import Budget, Part
+from switchline.net.descriptors import Budget, DescriptorOwner
 from switchline.operators.metrics import EvictionReason, Metrics
 from switchline.policy.quota.fair_shares import FairShares
 
@@ -42,12 +42,12 @@
         self.validated: dict[str, dict[ClientConnection, None]] = {}
         self.shares = FairShares(0)  # divides validated connections among peers
         self._update_limits()
-        budget.relief_callbacks.append(self.make_room)
+        budget.shortage_callbacks.append(self.make_room)
 
     @property
     def limit(self) -> int:
         """Maximum number of client connections."""
-        return self.budget.limit_of(Part.CLIENTS)
+        return self.budget.limit_of(DescriptorOwner.CLIENTS)
 
     @property
     def young_limit(self) -> int:
--- a/switchline/clients/server.py
+++ b/switchline/clients/server.py
@@ -14,7 +14,7 @@
 from switchline.clients.supervision import LINGER_TIMEOUT_S, check_connection
 from switchline.guard import Guard
 from switchline.net.accept import Acceptor
-from switchline.net.descriptors import Budget, Part
+from switchline.net.descriptors import Budget, DescriptorOwner
 from switchline.net.streams import BufferBudget
 from switchline.operators.metrics import Metrics
 
@@ -136,7 +136,7 @@
 
     def on_connection_opened(self, connection: ClientConnection) -> None:
         """Count the descriptor of a new connection and give the connection a place."""
-        self.budget.acquire(Part.CLIENTS)
+        self.budget.acquire(DescriptorOwner.CLIENTS)
         self.connections.add(connection)
         self.empty.clear()
         self.places.add(connection)
@@ -167,7 +167,7 @@
     def on_connection_lost(self, connection: ClientConnection) -> None:
         """Free the place and the descriptor of a connection that has ended."""
         self.places.remove(connection)
-        self.budget.release(Part.CLIENTS)
+        self.budget.release(DescriptorOwner.CLIENTS)
         self.connections.discard(connection)
         self._half_closed_connections.discard(connection)
         if not self.connections:
@@ -181,7 +181,7 @@
             self.guard.call("a client's connection", check_connection, connection, now_s)
         # The budget may have shrunk: by SIGHUP, or by the descriptors of the peer process of an upgrade.
         self.places.make_room(self.places.live_count - self.places.limit)
-        self.budget.keep_reserve()
+        self.budget.open_reserve()
 
     def gauges(self) -> dict[str, int]:
         """Metrics for operators."""
--- a/switchline/clients/supervision.py
+++ b/switchline/clients/supervision.py
@@ -64,5 +64,5 @@
     if connection.streamed_body is not None:
         return connection.receiving.has_stream_timed_out(now_s)
     items = connection.parser.array_items or []
-    in_value = connection.parser.bulk_length >= 0 and is_request_head(items)
+    in_value = connection.parser.bulk_length_bytes >= 0 and is_request_head(items)
     return connection.receiving.has_command_timed_out(now_s, in_value)
--- a/switchline/requests/arrivals.py
+++ b/switchline/requests/arrivals.py
@@ -1,67 +1,72 @@
-"""Translation of a client's command into the policy's event; a malformed one is rejected here."""
+"""Translation of a client's command into an event for the policy, and rejection of malformed commands."""
 
 from __future__ import annotations
 
 from switchline.clients.commands import Command
 from switchline.policy import interface as api
 
-LONGEST_WAIT_MS = 60_000.0  # that a client can ask for; the longest deadlines are well under it
-LONGEST_BODY_MS = 120_000.0  # for a streamed body to come in; a client that stalls is dropped long before
+MAX_CLIENT_WAIT_MS = 60_000.0  # upper bound of a client's timeout; the longest deadlines are well under it
+# Upper bound of the time in which a streamed body arrives; a client that stalls is disconnected much earlier.
+MAX_BODY_TRANSFER_MS = 120_000.0
 
 
 class MalformedCommandError(ValueError):
-    """A command that the settings do not allow, or whose attributes are out of range."""
+    """The settings do not allow the command, or an attribute is out of range; the client gets the message."""
 
 
 class CommandReader:
-    """Reads commands by the classes, plans and gateways of the settings."""
+    """Converts commands into events, checked against the classes, plans and gateways of the settings."""
 
     def __init__(self, settings: api.Settings) -> None:
-        self.classes = {kind.name: kind for kind in settings.classes}
+        self.classes = {request_class.name: request_class for request_class in settings.classes}
         self._plans = {plan.name for plan in settings.plans}
-        self._gateways = settings.gateways
+        self._gateway_count = settings.gateways
 
     def read(self, command: Command) -> api.RequestArrived:
-        """The event of a command; raises MalformedCommandError, or another ValueError for a number.
+        """Return the event for a command.
 
-        Forwarded, an unknown class would fail at each backend and make healthy ones count as failing, and an
-        unknown plan has no quota to meter.
+        Unknown classes and plans are rejected here: each backend would fail a request of an unknown class, so
+        that healthy backends would count as failing, and an unknown plan has no quota to meter.
+
+        Raises:
+            MalformedCommandError: If the settings do not allow the command, or an attribute is out of range.
+            ValueError: If an attribute can't be parsed.
         """
-        given = command.attributes
+        attributes = command.attributes
         event = api.RequestArrived(
             request=command.id,
-            request_class=given[b"c"].decode(),
-            plan=given.get(b"t", b"").decode(),
+            request_class=attributes[b"c"].decode(),
+            plan=attributes.get(b"t", b"").decode(),
             customer=command.customer,
-            expires_ms=command.received_at_ms + self._patience_ms(command),
-            units=float(given.get(b"units", b"0")),
-            customer_gateway_count=int(given.get(b"spread", b"1")),
-            first_gateway=int(given.get(b"first", b"0")),
-            is_repeat=given.get(b"r") == b"1",
+            expires_ms=command.received_at_ms + self._wait_ms(command),
+            units=float(attributes.get(b"units", b"0")),
+            customer_gateway_count=int(attributes.get(b"spread", b"1")),
+            first_gateway=int(attributes.get(b"first", b"0")),
+            is_repeat=attributes.get(b"r") == b"1",
             streamed=command.streamed_body is not None,
         )
         self._check(event, command)
         return event
 
-    def _patience_ms(self, command: Command) -> float:
+    def _wait_ms(self, command: Command) -> float:
         return (
-            LONGEST_BODY_MS
+            MAX_BODY_TRANSFER_MS
             if command.streamed_body is not None
-            else min(command.time_left_ms, LONGEST_WAIT_MS)
+            else min(command.time_left_ms, MAX_CLIENT_WAIT_MS)
         )
 
     def _check(self, event: api.RequestArrived, command: Command) -> None:
-        kind = self.classes.get(event.request_class)
-        if kind is None or event.plan not in self._plans:
+        request_class = self.classes.get(event.request_class)
+        if request_class is None or event.plan not in self._plans:
             raise MalformedCommandError("unknown class or plan")
-        if command.idempotent is not (kind.effect is api.Effect.IDEMPOTENT):
+        if command.idempotent is not (request_class.effect is api.Effect.IDEMPOTENT):
             raise MalformedCommandError("wrong command for the class")
-        if kind.effect is api.Effect.IDEMPOTENT_WITH_KEY and not command.attributes.get(b"k"):
+        if request_class.effect is api.Effect.IDEMPOTENT_WITH_KEY and not command.attributes.get(b"k"):
             raise MalformedCommandError("idempotency key missing")
-        gateways = self._gateways
+        gateway_count = self._gateway_count
         if not (
             event.units > 0
-            and 1 <= event.customer_gateway_count <= gateways
-            and 0 <= event.first_gateway < gateways
+            and 1 <= event.customer_gateway_count <= gateway_count
+            and 0 <= event.first_gateway < gateway_count
         ):
             raise MalformedCommandError("malformed units or gateways")
--- a/switchline/service/drain.py
+++ b/switchline/service/drain.py
@@ -75,7 +75,7 @@
         """Stop accepting once the front has noticed, and wait until all requests in flight are answered."""
         parts = self.parts
         clients = parts.clients
-        log.info(log_events.SHUTDOWN_STARTED, len(parts.driver.requests.open))
+        log.info(log_events.SHUTDOWN_STARTED, len(parts.driver.requests.in_flight))
         self.trail.record("ending", "", "", "SIGTERM")
         parts.guard.call("leaving the fleet", self.fleet.leave, not clients.handed_over)
         abort_at = parts.loop.time() + self.max_drain_s()
@@ -92,7 +92,7 @@
     async def _abort(self) -> None:
         """Fail the requests still in flight; give their answers `LAST_ANSWERS_TIMEOUT_S` to be sent."""
         requests = self.parts.driver.requests
-        log.warning(log_events.SHUTDOWN_DEADLINE, len(requests.open))
+        log.warning(log_events.SHUTDOWN_DEADLINE, len(requests.in_flight))
         requests.end_all()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(LAST_ANSWERS_TIMEOUT_S):
--- a/switchline/service/service.py
+++ b/switchline/service/service.py
@@ -73,7 +73,7 @@
         self.upgrade = ProcessUpgrade(self.parts, self.fleet, self.persistence, stop)
         self.reload = ConfigReload(self.parts, self.trail, self.fleet)
         self.drain = FinalDrain(self.parts, self.trail, self.fleet)
-        self.parts.driver.report.states = self.status.report_counts
+        self.parts.driver.report.connection_counts = self.status.report_counts
 
     def _make_persistence(self) -> StatePersistence | None:
         """Return what restores and stores the state on disk; None if the configuration has no `state`."""
--- a/switchline/service/upgrade.py
+++ b/switchline/service/upgrade.py
@@ -81,8 +81,8 @@
 
     async def _wait_until_idle(self) -> None:
         """Report the descriptors in use until no connection and no request is left; then end the process."""
-        while self.parts.clients.has_connections or self.parts.driver.requests.open:
-            self.handover.report_descriptors(self.parts.descriptors.total)
+        while self.parts.clients.has_connections or self.parts.driver.requests.in_flight:
+            self.handover.report_descriptors(self.parts.descriptors.total_in_use)
             await asyncio.sleep(DESCRIPTOR_REPORT_INTERVAL_S)
         self.stop.set()
 
--- a/tests/clients/test_connections.py
+++ b/tests/clients/test_connections.py
@@ -16,9 +16,9 @@
 from typing import Any
 
 import pytest
-from backend_attempts import Try, pool
+from backend_attempts import RecordedAttempt, running_pool
 from connection_figures import gateway_config, gateway_metrics
-from cutting_backend import Cutting
+from cutting_backend import PiecewiseBackend
 from driver_scene import DriverScene
 from gateway_process import connect_client, start_gateway
 from hypothesis import given
@@ -33,7 +33,14 @@
 from switchline.config import ConfigError, load_config, parse_config
 from switchline.net import accept
 from switchline.net.accept import Acceptor, AcceptRate
-from switchline.net.descriptors import FIXED_PARTS, MIN_CONNECTIONS, PROCESS_DESCRIPTORS, Budget, Part, Shares
+from switchline.net.descriptors import (
+    FIXED_LIMITS,
+    MIN_CONNECTIONS,
+    PROCESS_DESCRIPTORS,
+    Budget,
+    DescriptorOwner,
+    Shares,
+)
 from switchline.net.listen import listen
 from switchline.net.streams import BufferBudget
 from switchline.operators.metrics import EvictionReason, Metrics
@@ -53,8 +60,8 @@
 ) -> None:
     budget = Budget(limit, Shares(clients=clients, backends=backends))
     budget.peer_process_descriptors = peer_process_descriptors
-    parts = PROCESS_DESCRIPTORS + sum(budget.limit_of(part) for part in Part)
-    minimum = PROCESS_DESCRIPTORS + sum(FIXED_PARTS.values()) + 2 * MIN_CONNECTIONS
+    parts = PROCESS_DESCRIPTORS + sum(budget.limit_of(part) for part in DescriptorOwner)
+    minimum = PROCESS_DESCRIPTORS + sum(FIXED_LIMITS.values()) + 2 * MIN_CONNECTIONS
     assert parts <= max(limit - peer_process_descriptors, minimum) and all(
         budget.limit_of(part) >= MIN_CONNECTIONS for part in budget.in_use
     )
@@ -64,30 +71,30 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     budget = Budget(256)
-    assert (budget.limit_of(Part.CLIENTS), budget.limit_of(Part.BACKENDS)) == (128, 64)
+    assert (budget.limit_of(DescriptorOwner.CLIENTS), budget.limit_of(DescriptorOwner.BACKENDS)) == (128, 64)
     budget.peer_process_descriptors = 100
-    assert (budget.limit_of(Part.CLIENTS), budget.limit_of(Part.BACKENDS)) == (70, 35)
+    assert (budget.limit_of(DescriptorOwner.CLIENTS), budget.limit_of(DescriptorOwner.BACKENDS)) == (70, 35)
     budget.peer_process_descriptors = 250
-    assert (budget.limit_of(Part.CLIENTS), budget.limit_of(Part.BACKENDS)) == (
+    assert (budget.limit_of(DescriptorOwner.CLIENTS), budget.limit_of(DescriptorOwner.BACKENDS)) == (
         MIN_CONNECTIONS,
         MIN_CONNECTIONS,
     )
     budget.peer_process_descriptors, budget.configured_limit = 0, 1024
-    assert budget.limit_of(Part.CLIENTS) == 512
+    assert budget.limit_of(DescriptorOwner.CLIENTS) == 512
     monkeypatch.setattr("resource.getrlimit", lambda _: (300, 400))  # lower than the configured limit
-    assert budget.limit_of(Part.CLIENTS) == 150 and budget.gauges()["descriptors.limit"] == 300
+    assert budget.limit_of(DescriptorOwner.CLIENTS) == 150 and budget.gauges()["descriptors.limit"] == 300
 
 
 def test_frozen_budget_of_the_old_process_of_an_upgrade_does_not_grow() -> None:
     budget = Budget(256)
     for _ in range(20):
-        budget.acquire(Part.BACKENDS)
+        budget.acquire(DescriptorOwner.BACKENDS)
     budget.freeze()
-    assert not budget.has_free(Part.BACKENDS)
-    budget.release(Part.BACKENDS)
-    assert budget.has_free(Part.BACKENDS)
+    assert not budget.has_free(DescriptorOwner.BACKENDS)
+    budget.release(DescriptorOwner.BACKENDS)
+    assert budget.has_free(DescriptorOwner.BACKENDS)
     budget.unfreeze()
-    assert budget.limit_of(Part.BACKENDS) == 64
+    assert budget.limit_of(DescriptorOwner.BACKENDS) == 64
 
 
 def test_descriptor_shortage_asks_each_callback_only_for_what_is_still_missing() -> None:
@@ -101,9 +108,9 @@
 
         return relieve
 
-    budget.relief_callbacks = [releases(3), releases(2)]
-    assert not budget.relieve(OSError(errno.ECONNREFUSED, "refused"))
-    assert budget.relieve(OSError(errno.EMFILE, "none left")) and requested_counts == [8, 5]
+    budget.shortage_callbacks = [releases(3), releases(2)]
+    assert not budget.handle_shortage(OSError(errno.ECONNREFUSED, "refused"))
+    assert budget.handle_shortage(OSError(errno.EMFILE, "none left")) and requested_counts == [8, 5]
     assert budget.shortages == 1
 
 
@@ -283,7 +290,7 @@
     )
     assert harness.metrics.evictions[EvictionReason.YOUNG] == 68
     harness.report_closed()
-    assert harness.budget.in_use[Part.CLIENTS] == 128
+    assert harness.budget.in_use[DescriptorOwner.CLIENTS] == 128
     assert harness.server.gauges() == {"clients.young": 32, "clients.in_use": 0, "clients.idle": 96}
 
 
@@ -404,7 +411,7 @@
             <= harness.server.places.limit + 1
         )
         assert len(harness.server.places.young) <= 2 or harness.server.places.live_count <= 7
-        assert harness.budget.in_use[Part.CLIENTS] == len(harness.server.connections)
+        assert harness.budget.in_use[DescriptorOwner.CLIENTS] == len(harness.server.connections)
         assert harness.server.places.shares.slots_by_holder == {
             p: len(h) for p, h in harness.server.places.validated.items()
         }
@@ -434,8 +441,8 @@
 def test_backend_pool_shrinks_with_its_budget() -> None:
     async def scenario() -> None:
         server = Backend()
-        async with pool(server) as backend_pool:
-            await asyncio.gather(*(Try(backend_pool).result() for _ in range(20)))
+        async with running_pool(server) as backend_pool:
+            await asyncio.gather(*(RecordedAttempt(backend_pool).result() for _ in range(20)))
             opened = len(backend_pool.connections)
             assert opened > 8
             await until(lambda: len(backend_pool.endpoints[0].idle) == opened)
@@ -480,7 +487,7 @@
         assert end_kind(connection) and harness.metrics.evictions[reason] == 1, reason
     harness.report_closed()
     assert (
-        harness.budget.in_use[Part.CLIENTS] == 0
+        harness.budget.in_use[DescriptorOwner.CLIENTS] == 0
         and not harness.server.places.shares.slots_by_holder
         and not harness.server.places.validated
     )
@@ -520,7 +527,7 @@
     supervision.check_connection(
         slow, slow.receiving.stream_started_at_s + watchdog.MAX_STREAMED_VALUE_DURATION_S + 1
     )
-    assert end_kind(slow) and harness.server.buffer_budget.values == 0
+    assert end_kind(slow) and harness.server.buffer_budget.active_values == 0
 
 
 def test_command_sent_byte_by_byte_exceeds_the_command_timeout() -> None:
@@ -600,16 +607,16 @@
     async def scenario() -> None:
         for may_use_reserve, call_count in ((False, 1), (True, 2)):
             budget, listener = Budget(256), listen((LOCAL, 0), 5)
-            budget.keep_reserve()
+            budget.open_reserve()
             acceptor = Acceptor(listener, asyncio.Protocol, budget, may_use_reserve)
             scarce_socket = ScarceSocket(1)
             acceptor.socket = SimpleNamespace(accept=scarce_socket, fileno=listener.fileno)  # type: ignore[assignment]
             acceptor._accept()
             assert (
                 scarce_socket.call_count == call_count
-                and (acceptor.paused_by_shortage is None) is may_use_reserve
+                and (acceptor.shortage_timer is None) is may_use_reserve
             )
-            assert (budget.reserve is None) is may_use_reserve and budget.shortages == 1
+            assert (budget.reserve_fd is None) is may_use_reserve and budget.shortages == 1
             acceptor.socket = listener
             acceptor.close()
             budget.close()
@@ -664,8 +671,8 @@
 def test_concurrent_handshakes_with_one_backend_are_limited() -> None:
     async def scenario() -> None:
         server = Backend(silent)
-        async with pool(server) as backend_pool:
-            attempts = [Try(backend_pool) for _ in range(10)]
+        async with running_pool(server) as backend_pool:
+            attempts = [RecordedAttempt(backend_pool) for _ in range(10)]
             assert (
                 backend_pool.gauges()["backends.opening"] == 4
                 and backend_pool.gauges()["backends.waiting"] == 10
@@ -690,10 +697,10 @@
             return b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
         server = Backend(script)
-        async with pool(
-            server, budget=Budget(1024, Shares(connects=1)), connect_timeout=5_000
+        async with running_pool(
+            server, budget=Budget(1024, Shares(connects=1)), connect_timeout_ms=5_000
         ) as backend_pool:
-            first = Try(backend_pool)
+            first = RecordedAttempt(backend_pool)
             await until(lambda: server.got)
             # A handshake that never completes: nobody accepts, and the backlog is full.
             with socket.create_server((LOCAL, 0), backlog=0) as unanswered:
@@ -702,7 +709,7 @@
                     sock.setblocking(False)
                     sock.connect_ex(unanswered.getsockname())
                 backend_pool.endpoints[0].address = unanswered.getsockname()
-                second = Try(backend_pool)
+                second = RecordedAttempt(backend_pool)
                 await asyncio.sleep(0.01)
                 backend_pool.endpoints[0].address = (LOCAL, server.port)
                 go_on.set()
@@ -745,8 +752,8 @@
 def test_attempts_that_wait_for_a_draining_backend_are_not_sent() -> None:
     async def scenario() -> None:
         server = Backend()
-        async with pool(server) as backend_pool:
-            attempts = [Try(backend_pool) for _ in range(8)]
+        async with running_pool(server) as backend_pool:
+            attempts = [RecordedAttempt(backend_pool) for _ in range(8)]
             backend_pool.update(0, (LOCAL, server.port), BackendState.DRAINING)
             assert [(await t.result())[0] for t in attempts] == [Outcome.CONNECT_FAILED] * 8
             assert not server.got and not backend_pool.endpoints[0].waiting
@@ -757,8 +764,8 @@
 def test_cancelled_waiting_attempts_are_not_sent() -> None:
     async def scenario() -> None:
         server = Backend()
-        async with pool(server) as backend_pool:
-            attempts = [Try(backend_pool) for _ in range(6)]
+        async with running_pool(server) as backend_pool:
+            attempts = [RecordedAttempt(backend_pool) for _ in range(6)]
             for cancelled in attempts[1:]:
                 backend_pool.give_up(cancelled.attempt, Outcome.CANCELLED)
                 assert cancelled.endings == [(Outcome.CANCELLED, b"")]
@@ -774,11 +781,11 @@
 
     async def scenario() -> None:
         servers = [Backend() for _ in range(40)]
-        async with pool(*servers, budget=Budget(256), connect_timeout=5_000) as backend_pool:
-            attempts = [Try(backend_pool, backend=n % 40, wait=8_000) for n in range(400)]
+        async with running_pool(*servers, budget=Budget(256), connect_timeout_ms=5_000) as backend_pool:
+            attempts = [RecordedAttempt(backend_pool, backend=n % 40, wait_ms=8_000) for n in range(400)]
             outcomes = Counts([(await t.result())[0] for t in attempts])
             assert outcomes == {Outcome.OK: 400}
-            assert len(backend_pool.connections) <= 64 and backend_pool.budget.in_use[Part.BACKENDS] == len(
+            assert len(backend_pool.connections) <= 64 and backend_pool.budget.in_use[DescriptorOwner.BACKENDS] == len(
                 backend_pool.connections
             )
 
@@ -797,7 +804,7 @@
         arguments = list(request(b"small"))
         arguments[1] = b"00000000b4d65522"
         scene.driver.requests.on_command(parse_command(arguments), other_customer_slot)
-        assert other_customer_slot.reply is None and len(scene.driver.requests.open) == 13
+        assert other_customer_slot.reply is None and len(scene.driver.requests.in_flight) == 13
         scene.driver.requests.on_client_gone("r0")
         assert scene.driver.requests.shares.slots_by_holder == {"00000000b4d65521": 11, "00000000b4d65522": 1}
         scene.driver.requests.end_all()
@@ -892,7 +899,7 @@
     reply = b"*3\r\n$%d\r\n%b\r\n$-1\r\n$-1\r\n" % (len(long_value), long_value)
 
     async def scenario() -> None:
-        backend = Cutting(reply, [500_000])
+        backend = PiecewiseBackend(reply, [500_000])
         async with running(World(backend, sockets=1)) as world:
             peer = await world.client()
             command = encode(*request(name=b"wipe", body=long_value))
@@ -901,7 +908,7 @@
             peer.writer.write(command[400_000:])
             await until(lambda: backend.got)
             flood += [await world.client() for _ in range(30)]  # while the answer arrives
-            backend.go_on.release()
+            backend.next_piece.release()
             assert await peer.receive() == long_value and backend.got[0][4] == long_value
             assert (await gateway_metrics(world))["evicted.young"] >= 40 and len(flood) == 60
 
@@ -911,26 +918,26 @@
 def test_budgets_of_both_upgrade_processes_fit_into_the_limit() -> None:
     old, new = Budget(256), Budget(256)
     # Descriptors in use by the parts with fixed limits.
-    usual_counts = {Part.OPERATORS: 2, Part.COUNTER: 4, Part.DISCOVERY: 1}
+    usual_counts = {DescriptorOwner.OPERATORS: 2, DescriptorOwner.COUNTER: 4, DescriptorOwner.DISCOVERY: 1}
     for budget in (old, new):
         for part, number in usual_counts.items():
             for _ in range(number):
                 budget.acquire(part)
-    for part in (Part.CLIENTS, Part.BACKENDS):
+    for part in (DescriptorOwner.CLIENTS, DescriptorOwner.BACKENDS):
         while old.has_free(part):
             old.acquire(part)
     old.freeze()
     # The clients of the old process leave one by one, and the new process takes over their descriptors.
-    while old.in_use[Part.CLIENTS]:
-        new.peer_process_descriptors = old.total
-        for part in (Part.CLIENTS, Part.BACKENDS):
+    while old.in_use[DescriptorOwner.CLIENTS]:
+        new.peer_process_descriptors = old.total_in_use
+        for part in (DescriptorOwner.CLIENTS, DescriptorOwner.BACKENDS):
             while new.has_free(part):
                 new.acquire(part)
             while new.in_use[part] > new.limit_of(part):
                 new.release(part)
-        assert old.total + new.total <= 256
-        old.release(Part.CLIENTS)
-        assert not old.has_free(Part.BACKENDS)
+        assert old.total_in_use + new.total_in_use <= 256
+        old.release(DescriptorOwner.CLIENTS)
+        assert not old.has_free(DescriptorOwner.BACKENDS)
 
 
 def test_bursts_during_sighup_and_drain_get_answers_and_the_process_ends(tmp_path: Path) -> None:
--- a/tests/support/cutting_backend.py
+++ b/tests/support/cutting_backend.py
@@ -1,4 +1,4 @@
-"""A backend that cuts streamed values short."""
+"""A backend that sends its answer in pieces and may break it off."""
 
 from __future__ import annotations
 
@@ -8,13 +8,19 @@
 from testbed.stand_ins.backends import Backend
 
 
-class Cutting(Backend):
-    """Gives its answer in pieces, each when it is told to go on, and then perhaps breaks."""
+class PiecewiseBackend(Backend):
+    """Sends its answer in pieces: the first at once, each other one after a release of `next_piece`.
 
-    def __init__(self, reply: bytes, cuts: list[int], breaks: bool = False) -> None:
+    Args:
+        reply: The complete answer.
+        cuts: The offsets in the answer at which the pieces after the first begin.
+        breaks_off: Whether the connection is closed after the last piece.
+    """
+
+    def __init__(self, reply: bytes, cuts: list[int], breaks_off: bool = False) -> None:
         super().__init__()
-        self.pieces = [reply[a:b] for a, b in zip([0, *cuts], [*cuts, len(reply)], strict=True)]
-        self.breaks, self.go_on = breaks, asyncio.Semaphore(0)
+        self.pieces = [reply[start:end] for start, end in zip([0, *cuts], [*cuts, len(reply)], strict=True)]
+        self.breaks_off, self.next_piece = breaks_off, asyncio.Semaphore(0)
 
     async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         peer = Peer(reader, writer)
@@ -22,8 +28,8 @@
             self.got.append(command)
             for number, piece in enumerate(self.pieces):
                 if number:
-                    await self.go_on.acquire()
+                    await self.next_piece.acquire()
                 writer.write(piece)
                 await writer.drain()
-            if self.breaks:
+            if self.breaks_off:
                 return
