--- a/switchline/counter/client.py
+++ b/switchline/counter/client.py
@@ -154,7 +154,7 @@
         lane.add(call)
         call.timer = self.timers.at(now_ms() + self.timeout_ms, partial(self._expire, lane, call))
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Follow the service to another address."""
         if address != self.address:
             log.info("counter moves to %s:%d", *address)
--- a/switchline/discovery/client.py
+++ b/switchline/discovery/client.py
@@ -61,13 +61,13 @@
         address: of discovery.
         version: of the list that this gateway has; None if it has none.
         listener: called with each change.
-        chance: the gateway's random numbers.
+        rng: the gateway's random numbers.
         budget: of descriptors.
         spread_s: that the polls of the fleet are spread over; 0: a poll costs nobody anything.
 
     Attributes:
         valid_until_ms: by `now_ms`, until when the list was known to be valid.
-        heard: set once something has arrived.
+        first_list_accepted: set once something has arrived.
         on_accepted: called after each change that was accepted.
         persist: called with each list or change that was accepted, as discovery sent it.
         filter_list: called with each list or change before it is accepted; returns what is accepted, or None.
@@ -78,7 +78,7 @@
         address: Address,
         version: int | None,
         listener: Listener,
-        chance: random.Random,
+        rng: random.Random,
         budget: Budget,
         spread_s: float = 0.0,
     ) -> None:
@@ -86,10 +86,10 @@
         self.version = version
         self.listener = listener
         self.budget = budget
-        self.schedule = PollSchedule(chance, spread_s)
-        self.first_wait = self.schedule.first_delay_s() if version is not None else 0.0
+        self.schedule = PollSchedule(rng, spread_s)
+        self.first_delay_s = self.schedule.first_delay_s() if version is not None else 0.0
         self.valid_until_ms = -math.inf
-        self.heard = asyncio.Event()
+        self.first_list_accepted = asyncio.Event()
         self.on_accepted: Callable[[], None] = lambda: None
         self.persist: Callable[[dict[str, Any]], None] = lambda raw: None
         self.filter_list: Callable[[dict[str, Any]], dict[str, Any] | None] = lambda raw: raw
@@ -97,7 +97,7 @@
         self._ended: OpenCall | None = None  # the newest call, if it has ended by itself
         self._wake = asyncio.Event()  # a call has ended, another one is followed, or all shall begin anew
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Follow the list at another address, from the version that this gateway has."""
         if address != self.address:
             log.info("discovery moves to %s:%d", *address)
@@ -105,7 +105,7 @@
             self.schedule.make_urgent()
             self._close_calls()
 
-    def anew(self) -> None:
+    def refetch_list(self) -> None:
         """Read the complete list again: what is known did not come from discovery alone."""
         self.version = None
         self._close_calls()
@@ -113,7 +113,7 @@
     async def run(self) -> None:
         """Follow the list until this is cancelled."""
         try:
-            await self._pause(self.first_wait)
+            await self._pause(self.first_delay_s)
             while True:
                 if not self._is_followed():
                     self._open()
@@ -217,7 +217,7 @@
         except DiscoveryError:
             self.version = None  # what this change held is not known: read everything again
             raise
-        if not received.whole and self.version is not None and received.version < self.version:
+        if not received.is_full and self.version is not None and received.version < self.version:
             self.version = None  # discovery counts anew, or repeats what is long over
             raise DiscoveryError(f"a change of an older list, {received.version}")
         accepted = self.filter_list(raw)
@@ -225,10 +225,10 @@
             raise DiscoveryError("its list is held back")
         if accepted is not raw:
             received = read_list(accepted)
-        if received.whole or received.members:
-            self.listener(ListScope.FULL if received.whole else ListScope.CHANGES, received.members)
+        if received.is_full or received.backends:
+            self.listener(ListScope.FULL if received.is_full else ListScope.CHANGES, received.backends)
         self.version = received.version
         self.valid_until_ms = now_ms()
         self.persist(accepted)
         self.on_accepted()
-        self.heard.set()
+        self.first_list_accepted.set()
--- a/switchline/discovery/endpoint_list.py
+++ b/switchline/discovery/endpoint_list.py
@@ -37,13 +37,13 @@
 
     Attributes:
         version: of the list after the change.
-        whole: all backends are named; else only those that have changed.
-        members: that are named.
+        is_full: all backends are named; else only those that have changed.
+        backends: that are named.
     """
 
     version: int
-    whole: bool
-    members: tuple[ListedBackend, ...]
+    is_full: bool
+    backends: tuple[ListedBackend, ...]
 
 
 def host_number(host: str) -> int:
@@ -55,13 +55,13 @@
 def read_list(raw: Any) -> BackendList:
     """Decode a list or a change; raises DiscoveryError if it is malformed."""
     try:
-        members = tuple(read_member(host) for host in raw.get("hosts") or ())
-        return BackendList(int(raw["seq"]), bool(raw.get("whole")), members)
+        backends = tuple(read_backend(host) for host in raw.get("hosts") or ())
+        return BackendList(int(raw["seq"]), bool(raw.get("whole")), backends)
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
         raise DiscoveryError(f"{type(error).__name__}: {error}") from error
 
 
-def read_member(raw: dict[str, Any]) -> ListedBackend:
+def read_backend(raw: dict[str, Any]) -> ListedBackend:
     """Decode a host; raises KeyError, TypeError or ValueError if it is malformed."""
     started = float(raw.get("born_ms") or 0)
     if not math.isfinite(started):
--- a/switchline/discovery/poll_schedule.py
+++ b/switchline/discovery/poll_schedule.py
@@ -27,19 +27,19 @@
     """Owns the backoff of one gateway's calls.
 
     Args:
-        chance: the gateway's random numbers.
+        rng: the gateway's random numbers.
         spread_s: that the fleet's polls are spread over; 0: a poll costs nobody anything.
     """
 
-    def __init__(self, chance: random.Random, spread_s: float) -> None:
+    def __init__(self, rng: random.Random, spread_s: float) -> None:
         self.spread_s = spread_s
-        self._chance = chance
+        self._rng = rng
         self._backoff_s = FIRST_BACKOFF_S
         self._urgent = False
 
     def first_delay_s(self) -> float:
         """Return the delay before the first call of a gateway that has a list."""
-        return self._chance.uniform(0, self.spread_s)
+        return self._rng.uniform(0, self.spread_s)
 
     def make_urgent(self) -> None:
         """Let the next delay ignore the spread: the platform expects changes to be followed soon."""
@@ -53,4 +53,4 @@
             self._backoff_s = min(MAX_BACKOFF_S, self._backoff_s * BACKOFF_FACTOR)
         spread_s = 0.0 if self._urgent else self.spread_s
         self._urgent = False
-        return max(self._backoff_s, spread_s) * self._chance.uniform(1 - JITTER_RATIO, 1 + JITTER_RATIO)
+        return max(self._backoff_s, spread_s) * self._rng.uniform(1 - JITTER_RATIO, 1 + JITTER_RATIO)
--- a/switchline/fleet_runtime/list_repair.py
+++ b/switchline/fleet_runtime/list_repair.py
@@ -130,7 +130,7 @@
         senders = ", ".join(sorted(self.lists))
         log.warning(log_events.LIST_REPAIRED, self.repaired_seq, senders, named)
         self.record("brought up", "list", str(self.repaired_seq), f"by {senders}: {named}")
-        self.driver.apply_list(api.ListScope.CHANGES, found.members)
+        self.driver.apply_list(api.ListScope.CHANGES, found.backends)
 
     def _read(self, changes: list[Host]) -> BackendList | None:
         try:
--- a/switchline/fleet_runtime/recovery/backend_list.py
+++ b/switchline/fleet_runtime/recovery/backend_list.py
@@ -71,9 +71,9 @@
             return
         log.info(log_events.PEER_LIST_NEWER, newer.seq, number)
         self.record("brought up", "list", str(newer.seq), "at the start, by another gateway's list")
-        self.hosts = len(found.members)
-        self.driver.apply_list(api.ListScope.CHANGES, found.members)
-        self.discovery.anew()
+        self.hosts = len(found.backends)
+        self.driver.apply_list(api.ListScope.CHANGES, found.backends)
+        self.discovery.refetch_list()
 
     def _read(self, number: int, changes: list[dict[str, Any]]) -> BackendList | None:
         try:
@@ -106,7 +106,7 @@
         """Once the doubt is over, ask discovery anew for what was withheld."""
         if self.is_withheld and now_s >= self.doubt_until_s:
             self.is_withheld = False
-            self.discovery.anew()
+            self.discovery.refetch_list()
 
     def trust_discovery(self, since_s: float) -> None:
         """Discovery's lists apply as they are, from `since_s` (monotonic) on."""
--- a/switchline/service/parts.py
+++ b/switchline/service/parts.py
@@ -81,7 +81,7 @@
         if config.known:
             known = read_list(config.known)
             version = known.version
-            self.driver.apply_list(api.ListScope.SAVED, known.members)
+            self.driver.apply_list(api.ListScope.SAVED, known.backends)
         spread_s = (
             poll_spread_s(config.settings.gateways) if config.settings.must_watch_endpoint_list else 0.0
         )
--- a/switchline/service/reload.py
+++ b/switchline/service/reload.py
@@ -43,6 +43,6 @@
         if config.fleet != before.fleet:
             self.fleet.leave(announce=True)
             await self.fleet.join()
-        parts.discovery.move(config.discovery)
+        parts.discovery.change_address(config.discovery)
         if parts.counter is not None and config.counter is not None:
-            parts.counter.move(config.counter)
+            parts.counter.change_address(config.counter)
--- a/switchline/service/service.py
+++ b/switchline/service/service.py
@@ -124,11 +124,11 @@
     async def _wait_for_first_list(self) -> None:
         """Give discovery a moment: a backend of the last known list may be new or gone by now."""
         discovery = self.parts.discovery
-        if discovery.first_wait > FIRST_LIST_WAIT_S:
+        if discovery.first_delay_s > FIRST_LIST_WAIT_S:
             return
         try:
             async with asyncio.timeout(FIRST_LIST_WAIT_S):
-                await discovery.heard.wait()
+                await discovery.first_list_accepted.wait()
         except TimeoutError:
             log.info(log_events.NO_FIRST_LIST, FIRST_LIST_WAIT_S)
 
--- a/switchline/state/restore.py
+++ b/switchline/state/restore.py
@@ -110,7 +110,7 @@
             log.info("the endpoint list on disk is not restored: %s", error)
             return
         if self.discovery.version is None or stored_list.version > self.discovery.version:
-            self.driver.apply_list(api.ListScope.SAVED, stored_list.members)
+            self.driver.apply_list(api.ListScope.SAVED, stored_list.backends)
             self.discovery.version = stored_list.version
             self.saved_list.replace(hosts)
             self.restored += len(hosts)
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from discovery_watch import Watch
+from discovery_watch import DiscoveryFixture
 
 from switchline.discovery import client as module
 from switchline.discovery import poll_schedule
@@ -27,14 +27,14 @@
 
 def test_changes_are_followed_from_the_known_version_on() -> None:
     async def scenario() -> None:
-        async with Watch() as watch:
-            await watch.watched(1)
+        async with DiscoveryFixture() as watch:
+            await watch.wait_for_watches(1)
             assert watch.service.requests == ["/catalog/members?stream=1&index=41"]
             watch.service.say(b"")
             watch.service.change(42, host("h0", 1, "draining"))
             watch.service.change(43, host("h1", 1), whole=True)
-            await until(lambda: len(watch.heard) == 2)
-            assert watch.heard == [
+            await until(lambda: len(watch.reported) == 2)
+            assert watch.reported == [
                 (ListScope.CHANGES, [(host_number("h0"), BackendState.DRAINING)]),
                 (ListScope.FULL, [(host_number("h1"), BackendState.READY)]),
             ]
@@ -44,24 +44,24 @@
 
 def test_without_a_known_list_the_whole_one_is_read_first() -> None:
     async def scenario() -> None:
-        async with Watch(version=None) as watch:
+        async with DiscoveryFixture(version=None) as watch:
             watch.service.whole = {"seq": 7, "whole": True, "hosts": [host("h0", 1)]}
-            await watch.watched(1)
+            await watch.wait_for_watches(1)
             assert watch.service.requests[0] == "/catalog/members"
             assert watch.service.requests[1] == "/catalog/members?stream=1&index=7"
-            assert [scope for scope, _ in watch.heard] == [ListScope.FULL]
+            assert [scope for scope, _ in watch.reported] == [ListScope.FULL]
 
     in_loop(scenario)
 
 
 def test_a_watch_that_ends_is_taken_up_where_it_stood() -> None:
     async def scenario() -> None:
-        async with Watch() as watch:
-            await watch.watched(1)
+        async with DiscoveryFixture() as watch:
+            await watch.wait_for_watches(1)
             watch.service.change(50, host("h0", 1))
-            await until(lambda: watch.heard)
+            await until(lambda: watch.reported)
             watch.service.hang_up()
-            await watch.watched(2)
+            await watch.wait_for_watches(2)
             assert watch.service.requests[-1] == "/catalog/members?stream=1&index=50"
 
     in_loop(scenario)
@@ -72,40 +72,40 @@
     monkeypatch.setattr(module, "SILENCE_LIMIT_S", 0.05)
 
     async def scenario() -> None:
-        async with Watch() as watch:
-            await watch.watched(2)
+        async with DiscoveryFixture() as watch:
+            await watch.wait_for_watches(2)
 
     in_loop(scenario)
 
 
 def test_a_change_that_cannot_be_read_brings_the_whole_list() -> None:
     async def scenario() -> None:
-        async with Watch() as watch:
-            await watch.watched(1)
+        async with DiscoveryFixture() as watch:
+            await watch.wait_for_watches(1)
             watch.service.change(42, {"host": "h0"})
             await until(lambda: "/catalog/members" in watch.service.requests)
-            await watch.watched(2)
-            assert [scope for scope, _ in watch.heard] == [] or watch.heard[0][0] is ListScope.FULL
+            await watch.wait_for_watches(2)
+            assert [scope for scope, _ in watch.reported] == [] or watch.reported[0][0] is ListScope.FULL
 
     in_loop(scenario)
 
 
 def test_a_watch_outlives_a_fault_in_taking_a_change() -> None:
     async def scenario() -> None:
-        async with Watch() as watch:
-            await watch.watched(1)
-            take, faults = watch.take, [RuntimeError("not now")]
+        async with DiscoveryFixture() as watch:
+            await watch.wait_for_watches(1)
+            record_report, faults = watch.record_report, [RuntimeError("not now")]
 
             def faulty(scope: ListScope, members: tuple[ListedBackend, ...]) -> None:
                 if faults:
                     raise faults.pop()
-                take(scope, members)
+                record_report(scope, members)
 
             watch.client.listener = faulty
             watch.service.whole = {"seq": 43, "whole": True, "hosts": [host("h1", 1)]}
             watch.service.change(42, host("h0", 1))
-            await watch.watched(2)
-            assert watch.heard == [(ListScope.FULL, [(host_number("h1"), BackendState.READY)])]
+            await watch.wait_for_watches(2)
+            assert watch.reported == [(ListScope.FULL, [(host_number("h1"), BackendState.READY)])]
 
     in_loop(scenario)
 
@@ -182,7 +182,7 @@
     for index in range(gateways):
         chance = random.Random(index)
         client = module.Discovery((LOCAL, 1), 41, lambda *_: None, chance, Budget(256), apart)
-        now = client.first_wait
+        now = client.first_delay_s
         while now < seconds:
             asked[int(now)] += 1
             now += client.schedule.next_delay_s(received=False)
@@ -202,7 +202,7 @@
     for seed in range(20):
         apart = poll_spread_s(gateways)
         client = module.Discovery((LOCAL, 1), 41, lambda *_: None, random.Random(seed), Budget(256), apart)
-        waits = [client.first_wait, *(client.schedule.next_delay_s(received=False) for _ in range(10))]
+        waits = [client.first_delay_s, *(client.schedule.next_delay_s(received=False) for _ in range(10))]
         assert module.SILENCE_LIMIT_S + max(waits) + module.ANSWER_LIMIT_S <= TOLD_S - 0.5
         if not apart:  # where an ask costs nothing, the next call may be silent as well
             assert module.SILENCE_LIMIT_S + 2 * module.ANSWER_LIMIT_S + max(waits) <= TOLD_S - 0.5
@@ -213,14 +213,15 @@
     chance = random.Random(1)
     client = module.Discovery((LOCAL, 1), 41, lambda *_: None, chance, Budget(256), poll_spread_s(3))
     assert (
-        client.first_wait == 0 and max(client.schedule.next_delay_s(received=False) for _ in range(20)) <= 1.5
+        client.first_delay_s == 0
+        and max(client.schedule.next_delay_s(received=False) for _ in range(20)) <= 1.5
     )
 
 
 def test_after_a_move_of_discovery_even_a_large_fleet_asks_soon() -> None:
     chance = random.Random(1)
     client = module.Discovery((LOCAL, 1), 41, lambda *_: None, chance, Budget(256), poll_spread_s(40))
-    client.move((LOCAL, 2))
+    client.change_address((LOCAL, 2))
     assert (
         client.schedule.next_delay_s(received=True)
         <= 0.2
@@ -303,11 +304,11 @@
 @pytest.mark.parametrize("first", [silent, head_only, half_an_object, ends, is_reset, cut_short])
 def test_a_call_that_breaks_anywhere_is_followed_by_one_that_tells(first: Script) -> None:
     async def scenario() -> None:
-        watch = Watch()
+        watch = DiscoveryFixture()
         watch.service = Agent(first, tells)
         async with watch:
-            await until(lambda: watch.heard)
-            assert watch.heard == [(ListScope.FULL, [(host_number("h1"), BackendState.READY)])]
+            await until(lambda: watch.reported)
+            assert watch.reported == [(ListScope.FULL, [(host_number("h1"), BackendState.READY)])]
 
     in_loop(scenario)
 
@@ -315,11 +316,11 @@
 @pytest.mark.parametrize("version", [41, None])
 def test_a_list_may_come_indented_and_byte_by_byte(version: int | None) -> None:
     async def scenario() -> None:
-        watch = Watch(version)
+        watch = DiscoveryFixture(version)
         watch.service = Agent(tells_indented_in_pieces)
         async with watch:
-            await until(lambda: watch.heard)
-            assert watch.heard == [(ListScope.FULL, [(host_number("h1"), BackendState.READY)])]
+            await until(lambda: watch.reported)
+            assert watch.reported == [(ListScope.FULL, [(host_number("h1"), BackendState.READY)])]
 
     in_loop(scenario)
 
@@ -339,14 +340,14 @@
                 writer.write(WATCH_HEAD)
             writer.write(chunk(json.dumps(CHANGED).encode() + b"\n"))
 
-        watch = Watch()
+        watch = DiscoveryFixture()
         agent = watch.service = Agent(down)
         async with watch:
-            await watch.watched(4)
+            await watch.wait_for_watches(4)
             assert len(watch.client.calls) == module.MAX_CALLS
             open_before = len(agent.requests)
             back.set()
-            await until(lambda: watch.heard)
+            await until(lambda: watch.reported)
             assert len(agent.requests) <= open_before + 1  # it was asked already
             await until(lambda: len(watch.client.calls) == 1)
 
@@ -357,12 +358,12 @@
     monkeypatch.setattr(module, "ANSWER_LIMIT_S", 0.05)
 
     async def scenario() -> None:
-        watch = Watch()
+        watch = DiscoveryFixture()
         agent = watch.service = Agent(silent)
         async with watch:
-            await watch.watched(1)
+            await watch.wait_for_watches(1)
             (older,) = watch.client.calls
-            await watch.watched(2)
+            await watch.wait_for_watches(2)
             agent.watches[0].write(WATCH_HEAD + chunk(b"\n"))
             await until(lambda: agent.closed)
             await until(lambda: watch.client.calls == [older] or older not in watch.client.calls)
@@ -374,12 +375,12 @@
     """Discovery has begun to count anew, or tells what is long over."""
 
     async def scenario() -> None:
-        async with Watch() as watch:
-            await watch.watched(1)
+        async with DiscoveryFixture() as watch:
+            await watch.wait_for_watches(1)
             watch.service.whole = {"seq": 3, "whole": True, "hosts": [host("h1", 1)]}
             watch.service.change(2, host("h0", 1))
-            await watch.watched(2)
-            assert watch.heard == [(ListScope.FULL, [(host_number("h1"), BackendState.READY)])]
+            await watch.wait_for_watches(2)
+            assert watch.reported == [(ListScope.FULL, [(host_number("h1"), BackendState.READY)])]
             assert watch.service.requests[-1] == "/catalog/members?stream=1&index=3"
 
     in_loop(scenario)
@@ -393,15 +394,15 @@
     monkeypatch.setattr(poll_schedule, "MAX_BACKOFF_S", 60.0)
 
     async def scenario() -> None:
-        watch, new = Watch(), Agent(tells)
+        watch, new = DiscoveryFixture(), Agent(tells)
         watch.service = Agent(first)
         await new.start()
         async with watch:
-            await watch.watched(1)
+            await watch.wait_for_watches(1)
             if first is ends:
                 await until(lambda: not watch.client.calls)
-            watch.client.move((LOCAL, new.port))
-            await until(lambda: watch.heard)
+            watch.client.change_address((LOCAL, new.port))
+            await until(lambda: watch.reported)
         await new.stop()
 
     in_loop(scenario)
--- a/tests/service/test_wall_clock.py
+++ b/tests/service/test_wall_clock.py
@@ -6,7 +6,7 @@
 import math
 
 import pytest
-from discovery_watch import Watch
+from discovery_watch import DiscoveryFixture
 from helpers import RULES, World, counts, entry
 from lease_answers import answer
 
@@ -96,7 +96,7 @@
 
 def test_an_empty_line_says_that_the_list_still_holds() -> None:
     async def scenario() -> None:
-        async with Watch() as watch:
+        async with DiscoveryFixture() as watch:
             await until(lambda: watch.service.watches)
             assert watch.client.valid_until_ms == -math.inf
             watch.service.say(b"")
--- a/tests/support/discovery_watch.py
+++ b/tests/support/discovery_watch.py
@@ -12,23 +12,25 @@
 from testbed.network.sockets import LOCAL, until
 from testbed.stand_ins.agents import Discovery
 
-Heard = list[tuple[ListScope, list[tuple[int, BackendState]]]]
+Reported = list[tuple[ListScope, list[tuple[int, BackendState]]]]
 
 
-class Watch:
+class DiscoveryFixture:
     """Discovery's client at work against a fake, and what it reported."""
 
     def __init__(self, version: int | None = 41) -> None:
         self.service: Discovery = Discovery()
-        self.version, self.heard = version, Heard()
+        self.version, self.reported = version, Reported()
 
-    def take(self, scope: ListScope, members: tuple[ListedBackend, ...]) -> None:
-        self.heard.append((scope, [(m.entry.backend, m.entry.state) for m in members]))
+    def record_report(self, scope: ListScope, members: tuple[ListedBackend, ...]) -> None:
+        self.reported.append((scope, [(m.entry.backend, m.entry.state) for m in members]))
 
-    async def __aenter__(self) -> Watch:
+    async def __aenter__(self) -> DiscoveryFixture:
         await self.service.start()
         address = (LOCAL, self.service.port)
-        self.client = module.Discovery(address, self.version, self.take, random.Random(1), Budget(256))
+        self.client = module.Discovery(
+            address, self.version, self.record_report, random.Random(1), Budget(256)
+        )
         self.task = asyncio.create_task(self.client.run())
         return self
 
@@ -37,5 +39,5 @@
         await asyncio.wait({self.task})
         await self.service.stop()
 
-    async def watched(self, count: int) -> None:
+    async def wait_for_watches(self, count: int) -> None:
         await until(lambda: len(self.service.watches) >= count)
