--- a/switchline/counter/__init__.py
+++ b/switchline/counter/__init__.py
@@ -1,1 +1,1 @@
-"""The client of the counter service."""
+"""Client of the counter service, which adds up units for all gateways."""
--- a/switchline/counter/client.py
+++ b/switchline/counter/client.py
@@ -1,4 +1,4 @@
-"""The client of the counter service: calls by name over a few connections."""
+"""Client of the counter service, which distributes calls by name over a few connections."""
 
 from __future__ import annotations
 
@@ -17,56 +17,68 @@
 
 log = logging.getLogger(__name__)
 
-# Of the settings' wait. A busy counter's late answers are as true as others, and waiting adds no calls.
+# A call times out after the configured time for an answer multiplied by this factor. A late answer of a busy
+# counter is as valid as any other, and waiting for it adds no calls.
 TIMEOUT_FACTOR = 4.0
-CONNECTIONS = 4  # a slow part of the counter delays only the answers behind it on one of them
-MAX_IDLE_MS = 3_000.0  # an unused connection is replaced before the counter closes it under a call
-MAX_UNANSWERED = 1_000  # calls on one connection
+# With several connections, a slow part of the counter delays only the answers behind it on one of them.
+CONNECTION_COUNT = 4
+# A connection that has been idle for longer is replaced before the counter closes it during a call.
+MAX_IDLE_MS = 3_000.0
+# Limits the unanswered calls on one connection, beyond which further calls fail.
+MAX_UNANSWERED_CALLS = 1_000
 
 
-class Lane:
-    """The calls whose names share a connection, so that answers for one name keep the order of its calls."""
+class CallQueue:
+    """Queues the calls whose names share one connection, so that calls for one name are answered in order.
+
+    Args:
+        counter: The client that this queue belongs to.
+    """
 
     def __init__(self, counter: Counter) -> None:
         self.counter = counter
         self.connection: CounterConnection | None = None
-        self.waiting: list[Call] = []  # for a connection, or for the end of this turn of the event loop
-        self.connecting: asyncio.Task[None] | None = None
+        # Calls that wait for a connection, or for the end of this iteration of the event loop.
+        self.unwritten: list[Call] = []
+        self.connect_task: asyncio.Task[None] | None = None
         self._flush_scheduled = False
 
     def add(self, call: Call) -> None:
-        """Write a call at the end of this turn of the event loop, with others that arrive in it."""
-        self.waiting.append(call)
+        """Queue a call; all calls that are queued in one iteration of the event loop are written together."""
+        self.unwritten.append(call)
         if not self._flush_scheduled:
             self._flush_scheduled = True
             self.counter.loop.call_soon(self._flush)
 
     def replace_connection(self) -> None:
-        """Open a new connection for the next call; the old one stays a while for the answers it owes."""
+        """Open a new connection for the next call; the old one stays open for its unanswered calls.
+
+        The old connection is closed after SILENCE_LIMIT_MS.
+        """
         if self.connection is not None:
             self.counter.loop.call_later(SILENCE_LIMIT_MS / 1000, self.connection.drop)
             self.connection = None
 
     def close(self) -> None:
-        """Close the connection, or stop opening one."""
-        if self.connecting is not None:
-            self.connecting.cancel()
+        """Close the connection, and cancel an attempt to open one."""
+        if self.connect_task is not None:
+            self.connect_task.cancel()
         if self.connection is not None:
             self.connection.drop()
 
     def _flush(self) -> None:
         self._flush_scheduled = False
-        self.waiting = [call for call in self.waiting if not call.ended]
-        if not self.waiting:
+        self.unwritten = [call for call in self.unwritten if not call.ended]
+        if not self.unwritten:
             return
         self._drop_unusable_connection()
         if self.connection is None or self.connection.closed:
             self._connect_in_background()
-        elif len(self.connection.unanswered) >= MAX_UNANSWERED:
-            self._fail_waiting(Outcome.QUEUE_FULL)
+        elif len(self.connection.unanswered) >= MAX_UNANSWERED_CALLS:
+            self._fail_unwritten(Outcome.QUEUE_FULL)
         else:
-            calls = self.waiting
-            self.waiting = []
+            calls = self.unwritten
+            self.unwritten = []
             self.connection.write(calls)
 
     def _drop_unusable_connection(self) -> None:
@@ -75,7 +87,7 @@
             return
         now = now_ms()
         if connection.is_silent(now):
-            connection.drop("silent")
+            connection.drop("no bytes were received for too long while calls were unanswered")
             return
         in_use = bool(connection.unanswered)
         if not in_use and not self.counter.idle_times.allows(now, connection.idle_ms(now)):
@@ -83,9 +95,9 @@
 
     def _connect_in_background(self) -> None:
         if not self.counter.budget.has_free(Part.COUNTER):
-            self._fail_waiting(Outcome.CONNECT_FAILED)
-        elif self.connecting is None:
-            self.connecting = self.counter.loop.create_task(self._connect())
+            self._fail_unwritten(Outcome.CONNECT_FAILED)
+        elif self.connect_task is None:
+            self.connect_task = self.counter.loop.create_task(self._connect())
 
     async def _connect(self) -> None:
         address = self.counter.address
@@ -96,18 +108,18 @@
             if address == self.counter.address:
                 self.connection = connection
             else:
-                connection.drop()  # the counter moved meanwhile
-        except OSError as error:  # TimeoutError is one
+                connection.drop()  # the address of the counter has changed meanwhile
+        except OSError as error:  # TimeoutError is a subclass
             self.counter.budget.relieve(error)
-            self._fail_waiting(Outcome.CONNECT_FAILED)
+            self._fail_unwritten(Outcome.CONNECT_FAILED)
         finally:
-            self.connecting = None
+            self.connect_task = None
         self._flush()
 
-    def _fail_waiting(self, outcome: Outcome) -> None:
-        """End the calls that were never written: nothing was added."""
-        calls = self.waiting
-        self.waiting = []
+    def _fail_unwritten(self, outcome: Outcome) -> None:
+        """End the calls that were not written, so nothing was added for them."""
+        calls = self.unwritten
+        self.unwritten = []
         for call in calls:
             call.end(outcome)
 
@@ -116,11 +128,12 @@
     """Adds to named numbers on the counter service.
 
     Args:
-        loop: the event loop.
-        timers: of the gateway.
-        address: of the service.
-        wait_ms: the settings' wait for an answer.
-        budget: of descriptors.
+        loop: The event loop.
+        timers: Timers of the gateway.
+        address: Address of the service.
+        counter_call_ms: Configured time for an answer in milliseconds; calls time out after TIMEOUT_FACTOR
+            times as long.
+        budget: Budget of descriptors, in which each connection is counted.
     """
 
     def __init__(
@@ -128,45 +141,45 @@
         loop: asyncio.AbstractEventLoop,
         timers: Timers,
         address: Address,
-        wait_ms: float,
+        counter_call_ms: float,
         budget: Budget,
     ) -> None:
         self.loop = loop
         self.timers = timers
         self.address = address
-        self.timeout_ms = wait_ms * TIMEOUT_FACTOR
+        self.timeout_ms = counter_call_ms * TIMEOUT_FACTOR
         self.budget = budget
         self.idle_times = IdleTimes(MAX_IDLE_MS)
-        self.lanes = [Lane(self) for _ in range(CONNECTIONS)]
+        self.queues = [CallQueue(self) for _ in range(CONNECTION_COUNT)]
 
     def add(self, name: str, amount: float, expire_ms: float, callback: Callback) -> None:
-        """Add an amount to a named number; 0 only reads it.
+        """Add an amount to a named number; an amount of 0 only reads it.
 
         Args:
-            name: of the number.
-            amount: to add.
-            expire_ms: how long the counter keeps the number.
-            callback: called once with the name, the outcome and the total.
+            name: Name of the number.
+            amount: Amount to add, in the unit of the number.
+            expire_ms: Time in milliseconds for which the counter keeps the number after its first addition.
+            callback: Called exactly once with the name, the outcome and the total after the addition.
         """
         encoded_name = name.encode()
         call = Call(name, encode_call(encoded_name, amount, expire_ms), callback)
-        lane = self.lanes[zlib.crc32(encoded_name) % len(self.lanes)]
-        lane.add(call)
-        call.timer = self.timers.at(now_ms() + self.timeout_ms, partial(self._expire, lane, call))
+        queue = self.queues[zlib.crc32(encoded_name) % len(self.queues)]
+        queue.add(call)
+        call.timer = self.timers.at(now_ms() + self.timeout_ms, partial(self._expire, queue, call))
 
     def change_address(self, address: Address) -> None:
-        """Follow the service to another address."""
+        """Use another address for further calls; nothing happens if the address is the same."""
         if address != self.address:
-            log.info("counter moves to %s:%d", *address)
+            log.info("counter address changed to %s:%d", *address)
             self.address = address
-            for lane in self.lanes:
-                lane.replace_connection()
+            for queue in self.queues:
+                queue.replace_connection()
 
     def close(self) -> None:
-        """Close all connections."""
-        for lane in self.lanes:
-            lane.close()
+        """Close all connections; unanswered calls end as timed out."""
+        for queue in self.queues:
+            queue.close()
 
-    def _expire(self, lane: Lane, call: Call) -> None:
-        written = call not in lane.waiting
-        call.end(Outcome.TIMED_OUT if written else Outcome.CONNECT_FAILED)
+    def _expire(self, queue: CallQueue, call: Call) -> None:
+        was_written = call not in queue.unwritten
+        call.end(Outcome.TIMED_OUT if was_written else Outcome.CONNECT_FAILED)
--- a/switchline/counter/connection.py
+++ b/switchline/counter/connection.py
@@ -1,4 +1,4 @@
-"""One connection to the counter, with its calls written one behind another."""
+"""One connection to the counter, on which calls are pipelined."""
 
 from __future__ import annotations
 
@@ -16,13 +16,21 @@
 
 log = logging.getLogger(__name__)
 
-SILENCE_LIMIT_MS = 1_000.0  # a connection that owes an answer and is silent for longer is taken for lost
+# A connection with unanswered calls that receives no bytes for longer is considered lost.
+SILENCE_LIMIT_MS = 1_000.0
 
-Callback = Callable[[str, Outcome, float], None]  # name, outcome, total
+# Called with the name of the number, the outcome of the call and the total after the addition.
+Callback = Callable[[str, Outcome, float], None]
 
 
 class Call:
-    """One call; the callback is called exactly once."""
+    """One call to the counter.
+
+    Args:
+        name: Name of the number.
+        line: The encoded call, with its line ending.
+        callback: Called exactly once, when the call ends.
+    """
 
     __slots__ = ("callback", "ended", "line", "name", "timer")
 
@@ -31,10 +39,10 @@
         self.line = line
         self.callback = callback
         self.ended = False
-        self.timer: Timer | None = None  # its time-out
+        self.timer: Timer | None = None  # ends the call at its timeout
 
     def end(self, outcome: Outcome, total: float = 0.0) -> None:
-        """End the call, unless it has ended."""
+        """End the call and call its callback, unless the call has already ended."""
         if self.ended:
             return
         self.ended = True
@@ -44,11 +52,11 @@
 
 
 class CounterConnection(asyncio.Protocol):
-    """Owns the calls that are written and unanswered: the oldest gets the next answer, however late.
+    """A connection with its written and unanswered calls; the oldest call gets the next answer, however late.
 
     Args:
-        idle_times: learns from resets.
-        budget: counts the descriptor.
+        idle_times: Learns from resets how long a connection may be idle before it is used again.
+        budget: Counts the descriptor of the connection.
     """
 
     def __init__(self, idle_times: IdleTimes, budget: Budget) -> None:
@@ -59,16 +67,16 @@
         self.closed = False
         self.last_received_ms = now_ms()
         self.last_written_ms = self.last_received_ms
-        self._idle_before_ms = 0.0  # idle time before the calls that are unanswered
+        self._idle_before_ms = 0.0  # idle time before the unanswered calls were written
         self._partial_line = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """See asyncio.BaseProtocol."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass of it
         self.budget.acquire(Part.COUNTER)
 
     def write(self, calls: list[Call]) -> None:
-        """Write calls at once, in this order."""
+        """Write calls in this order, in one piece."""
         assert self.transport is not None
         now = now_ms()
         if not self.unanswered:
@@ -79,13 +87,13 @@
         self.transport.write(b"".join(call.line for call in calls))
 
     def idle_ms(self, now: float) -> float:
-        """Milliseconds since bytes went either way."""
+        """Return the milliseconds since bytes were last written or received."""
         return now - max(self.last_written_ms, self.last_received_ms)
 
     def is_silent(self, now: float) -> bool:
-        """Whether it owes an answer for too long.
+        """Whether calls are unanswered and no bytes have been received for too long.
 
-        The counter's machine may have vanished: such a connection stays open and silent for ever.
+        The machine of the counter may have disappeared; its connections then stay open and silent for ever.
         """
         return bool(self.unanswered) and now - self.last_received_ms > SILENCE_LIMIT_MS
 
@@ -96,20 +104,24 @@
         *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         for line in lines:
             if not self.unanswered:
-                self.drop("an answer to nothing")
+                self.drop("received an answer while no call was unanswered")
                 return
-            # A late answer belongs to its own call, which has ended, and is not the next one's.
+            # A late answer belongs to its own call, even if that has timed out, and not to the next call.
             answer = decode_answer(line)
             self.unanswered.popleft().end(answer.outcome, answer.total)
             if answer is UNREADABLE:
-                # Where it ends is not known, so what follows could be taken for another call's answer.
-                self.drop(f"it said {line[:80]!r}")
+                # The end of this answer is unknown: later bytes could be mistaken for another call's answer.
+                self.drop(f"received an unreadable answer: {line[:80]!r}")
                 return
         if len(self._partial_line) > MAX_LINE_BYTES:
-            self.drop("an endless line")
+            self.drop("received an answer longer than MAX_LINE_BYTES")
 
     def drop(self, reason: str = "") -> None:
-        """Close at once; the calls that are unanswered end as timed out."""
+        """Close the connection at once; its unanswered calls end as timed out.
+
+        Args:
+            reason: Logged as a warning if it is not empty.
+        """
         if reason:
             log.warning("counter connection dropped: %s", reason)
         self.closed = True
@@ -125,7 +137,7 @@
         unanswered = self.unanswered
         self.unanswered = deque()
         for call in unanswered:
-            call.end(Outcome.TIMED_OUT)  # it may have been added
+            call.end(Outcome.TIMED_OUT)  # the amount may have been added
 
     def _record_use(self, reset: bool) -> None:
         if self._idle_before_ms:
--- a/switchline/counter/protocol.py
+++ b/switchline/counter/protocol.py
@@ -1,9 +1,9 @@
-"""The counter's line protocol: one line a call, one line an answer, in order.
+"""The line protocol of the counter: each call and each answer is one line, and answers come in order.
 
     tally NAME AMOUNT EXPIRE_MS  ->  ok TOTAL  |  busy  |  error
 
-A call adds an amount to a named number, which expires some time after its first addition, and returns the
-total. The protocol's word for it, `tally`, stands here alone.
+A call adds an amount to a named number, which expires EXPIRE_MS after its first addition, and returns the
+total. Only this module uses the command word of the protocol, `tally`.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What the counter answered.
+    """An answer of the counter.
 
     Attributes:
-        outcome: OK, FULL (nothing was added), or TIMED_OUT (it is not known whether it was added).
-        total: after the addition; 0 unless OK.
+        outcome: OK, QUEUE_FULL (nothing was added) or TIMED_OUT (it is unknown whether the amount was added).
+        total: Value of the number after the addition; 0 unless the outcome is OK.
     """
 
     outcome: Outcome
@@ -35,12 +35,12 @@
 
 
 def encode_call(name: bytes, amount: float, expire_ms: float) -> bytes:
-    """Encode one call; the amount is told to six decimal places."""
+    """Encode one call with its line ending; the amount is written with six decimal places."""
     return b"tally %b %b %d\r\n" % (name, b"%.6f" % amount, max(1, int(expire_ms)))
 
 
 def decode_answer(line: bytes) -> Answer:
-    """Decode one line, without its line feed."""
+    """Decode one line, passed without its line feed; the answer is UNREADABLE if the line is malformed."""
     words = line.split()
     if words in REJECTIONS:
         return NOT_ADDED
--- a/switchline/discovery/__init__.py
+++ b/switchline/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The client of discovery: reading the endpoint list and watching it."""
+"""Client of the discovery service: fetches the endpoint list and watches it for changes."""
--- a/switchline/discovery/call.py
+++ b/switchline/discovery/call.py
@@ -1,4 +1,4 @@
-"""One HTTP call to discovery: a watch of changes, or the complete list."""
+"""One HTTP call to discovery, which watches for changes or fetches the complete endpoint list."""
 
 from __future__ import annotations
 
@@ -14,63 +14,70 @@
 from switchline.net.descriptors import Budget, Part
 from switchline.net.json_stream import JsonStream
 
-PATH = "/catalog/members"
+LIST_PATH = "/catalog/members"
 HTTP_OK = 200
-MAX_OBJECT_BYTES = 1024 * 1024  # a list of thousands of backends, yet little beside any memory limit
-READ_BYTES = 65_536
+# Large enough for a list of thousands of backends, and small beside any memory limit.
+MAX_OBJECT_BYTES = 1024 * 1024
+MAX_READ_BYTES = 65_536
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
-    """The head of the answer has arrived."""
+class HeadReceived:
+    """The head of the HTTP answer has arrived, with status 200."""
 
 
 @dataclass(frozen=True, slots=True)
-class Received:
-    """Bytes of the answer have arrived.
+class BodyReceived:
+    """Bytes of the answer's body have arrived.
 
     Attributes:
-        lists: lists and changes that are complete with them.
-        unfinished: part of another one has arrived.
+        objects: The JSON objects, each a list or a change of it, that these bytes complete.
+        unfinished: Whether a further object has arrived only in part.
     """
 
-    lists: list[Any]
+    objects: list[Any]
     unfinished: bool
 
     @property
     def has_content(self) -> bool:
-        """Whether discovery has said something: a list, or an empty line."""
-        return bool(self.lists) or not self.unfinished
+        """Whether discovery has sent something complete: a list, a change or an empty line."""
+        return bool(self.objects) or not self.unfinished
 
     @property
     def is_heartbeat(self) -> bool:
-        """Whether it is an empty line: nothing has changed."""
-        return not self.lists and not self.unfinished
+        """Whether only an empty line has arrived, which says that nothing has changed."""
+        return not self.objects and not self.unfinished
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
-    """The answer has ended, with the lists that only its end completes."""
+class AnswerEnded:
+    """The answer has ended.
 
-    lists: list[Any]
+    Attributes:
+        objects: The JSON objects that only the end of the answer completes.
+    """
+
+    objects: list[Any]
 
 
-CallEvent = Opened | Received | Ended
+CallEvent = HeadReceived | BodyReceived | AnswerEnded
 
 
-async def call(address: Address, version: int | None, budget: Budget) -> AsyncGenerator[CallEvent, None]:
-    """Call discovery and yield what arrives, until the answer ends.
+async def call_discovery(
+    address: Address, version: int | None, budget: Budget
+) -> AsyncGenerator[CallEvent, None]:
+    """Call discovery and yield an event for each part of the answer until it ends.
 
     Args:
-        address: of discovery.
-        version: changes since then are watched; None: the complete list is read.
-        budget: counts the descriptor.
+        address: Address of discovery.
+        version: Version of the list after which changes are watched; None fetches the complete list.
+        budget: Counts the descriptor of the connection.
 
     Raises:
-        OSError: the connection failed.
-        h11.ProtocolError: the answer is not HTTP.
-        DiscoveryError: its status is not 200.
-        StreamError: its body holds something else than JSON objects.
+        OSError: The connection failed.
+        h11.ProtocolError: The answer is not valid HTTP.
+        DiscoveryError: The status of the answer is not 200.
+        StreamError: The body holds something other than JSON objects, or an object that is too long.
     """
     reader, writer = await asyncio.open_connection(*address)
     budget.acquire(Part.DISCOVERY)
@@ -81,16 +88,18 @@
         while True:
             event = http.next_event()
             if event is h11.NEED_DATA:
-                http.receive_data(await reader.read(READ_BYTES))
+                http.receive_data(await reader.read(MAX_READ_BYTES))
             elif isinstance(event, h11.Response):
                 if event.status_code != HTTP_OK:
-                    raise DiscoveryError(f"status {event.status_code}")
-                yield Opened()
+                    raise DiscoveryError(
+                        f"expected HTTP status 200 of discovery, received {event.status_code}"
+                    )
+                yield HeadReceived()
             elif isinstance(event, h11.Data):
-                lists = stream.feed(event.data)
-                yield Received(lists, stream.unfinished)
+                objects = stream.feed(event.data)
+                yield BodyReceived(objects, stream.unfinished)
             elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
-                yield Ended(stream.finish())
+                yield AnswerEnded(stream.finish())
                 return
     finally:
         writer.close()
@@ -99,7 +108,7 @@
 
 def _encode_request(http: h11.Connection, address: Address, version: int | None) -> bytes:
     host, port = address
-    target = PATH if version is None else f"{PATH}?stream=1&index={version}"
+    target = LIST_PATH if version is None else f"{LIST_PATH}?stream=1&index={version}"
     headers = [("Host", f"{host}:{port}"), ("Accept", "application/json")]
     request = h11.Request(method="GET", target=target, headers=headers)
     return (http.send(request) or b"") + (http.send(h11.EndOfMessage()) or b"")
--- a/switchline/discovery/endpoint_list.py
+++ b/switchline/discovery/endpoint_list.py
@@ -1,7 +1,7 @@
-"""The endpoint list as discovery sends it, decoded.
+"""Decodes the endpoint list that discovery sends as JSON.
 
-Discovery's own words for the fields of a host (`host`, `dial`, `site`, `block`, `born_ms`, `health`) and of a
-list (`seq`, `whole`, `hosts`) are mapped here.
+This module maps discovery's names for the fields of a host (`host`, `dial`, `site`, `block`, `born_ms`,
+`health`) and of a list (`seq`, `whole`, `hosts`) to those of this program.
 """
 
 from __future__ import annotations
@@ -15,17 +15,22 @@
 from switchline.errors import SwitchlineError
 from switchline.policy.interface import BackendEntry, BackendState
 
-HEALTH = {"up": BackendState.READY, "draining": BackendState.DRAINING, "removed": BackendState.GONE}
-NUMBER_BYTES = 8
+STATE_BY_HEALTH = {"up": BackendState.READY, "draining": BackendState.DRAINING, "removed": BackendState.GONE}
+HOST_NUMBER_BYTES = 8
 
 
 class DiscoveryError(SwitchlineError):
-    """Discovery sent something that can't be accepted."""
+    """Discovery sent an answer, a list or a change that is not accepted."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListedBackend:
-    """A backend on the list, with the address to connect to."""
+    """A backend on the endpoint list.
+
+    Attributes:
+        entry: What the policy is given of the backend.
+        address: Host and port to connect to.
+    """
 
     entry: BackendEntry
     address: Address
@@ -33,12 +38,12 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendList:
-    """The list, or a change of it.
+    """The complete endpoint list, or a change of it.
 
     Attributes:
-        version: of the list after the change.
-        is_full: all backends are named; else only those that have changed.
-        backends: that are named.
+        version: Version of the list after the change.
+        is_full: Whether all backends are listed, rather than only those that have changed.
+        backends: The backends that are listed.
     """
 
     version: int
@@ -47,30 +52,38 @@
 
 
 def host_number(host: str) -> int:
-    """Return a number for a host's name, the same at every gateway and after every start."""
-    digest = hashlib.blake2b(host.encode(), digest_size=NUMBER_BYTES).digest()
+    """Return a 64-bit number for a host name, which is the same at every gateway and after every start."""
+    digest = hashlib.blake2b(host.encode(), digest_size=HOST_NUMBER_BYTES).digest()
     return int.from_bytes(digest, "big")
 
 
 def read_list(raw: Any) -> BackendList:
-    """Decode a list or a change; raises DiscoveryError if it is malformed."""
+    """Decode a list or a change from parsed JSON.
+
+    Raises:
+        DiscoveryError: The list or one of its hosts is malformed.
+    """
     try:
         backends = tuple(read_backend(host) for host in raw.get("hosts") or ())
         return BackendList(int(raw["seq"]), bool(raw.get("whole")), backends)
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-        raise DiscoveryError(f"{type(error).__name__}: {error}") from error
+        raise DiscoveryError(f"{type(error).__name__} in the endpoint list: {error}") from error
 
 
 def read_backend(raw: dict[str, Any]) -> ListedBackend:
-    """Decode a host; raises KeyError, TypeError or ValueError if it is malformed."""
-    started = float(raw.get("born_ms") or 0)
-    if not math.isfinite(started):
-        raise ValueError("born_ms")
+    """Decode one host of a list from parsed JSON.
+
+    Raises:
+        KeyError, TypeError, ValueError, AttributeError, OverflowError: The host is malformed.
+    """
+    started_ms = float(raw.get("born_ms") or 0)
+    if not math.isfinite(started_ms):
+        raise ValueError("born_ms of a host must be a finite number")
     entry = BackendEntry(
         backend=host_number(raw["host"]),
         zone=str(raw.get("site") or ""),
         cell=int(raw.get("block") or 0),
-        started_ms=started,
-        state=HEALTH[raw["health"]],
+        started_ms=started_ms,
+        state=STATE_BY_HEALTH[raw["health"]],
     )
     return ListedBackend(entry, parse_address(raw["dial"]))
--- a/switchline/discovery/poll_schedule.py
+++ b/switchline/discovery/poll_schedule.py
@@ -1,8 +1,8 @@
-"""When discovery is called again. Pure: chance and results are handed in.
+"""Delays between calls to discovery. The module has no I/O: the caller passes random numbers and results.
 
-A list that has to be polled comes from one service of a fixed capacity for all gateways. A fleet that polls
-at once, or again in step, fills its queue with calls that have been given up, and nobody is told anything;
-so polls are spread over time.
+A list that has to be polled comes from one service with a fixed capacity for all gateways. If all gateways
+poll at the same time, or repeat their polls in step, they fill the queue of the service with calls that have
+already been abandoned, and no gateway receives an answer. Polls are therefore spread over time.
 """
 
 from __future__ import annotations
@@ -12,23 +12,27 @@
 FIRST_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 0.5
 BACKOFF_FACTOR = 2
-JITTER_RATIO = 0.5  # of a delay, either way
-FREE_POLLS = 4  # of the whole fleet at once
-POLLS_PER_S = 4.0  # of the whole fleet
-MAX_SPREAD_S = 1.0  # however large the fleet: more would not fit into the time in which a change is due
+# Each delay is lengthened or shortened at random by up to this share.
+JITTER_RATIO = 0.5
+# A fleet of up to this many gateways polls without spreading.
+MAX_SIMULTANEOUS_POLLS = 4
+FLEET_POLLS_PER_S = 4.0
+# Bounds the spread for a fleet of any size; more would not fit into the time in which a change is due.
+MAX_SPREAD_S = 1.0
 
 
 def poll_spread_s(gateways: int) -> float:
-    """Return the time that the polls of all gateways are spread over: none in a small fleet."""
-    return min(MAX_SPREAD_S, max(0, gateways - FREE_POLLS) / POLLS_PER_S)
+    """Return the time in seconds over which the polls of all gateways are spread; 0 for a small fleet."""
+    return min(MAX_SPREAD_S, max(0, gateways - MAX_SIMULTANEOUS_POLLS) / FLEET_POLLS_PER_S)
 
 
 class PollSchedule:
-    """Owns the backoff of one gateway's calls.
+    """Computes the delays between the calls of one gateway, with exponential backoff and jitter.
 
     Args:
-        rng: the gateway's random numbers.
-        spread_s: that the fleet's polls are spread over; 0: a poll costs nobody anything.
+        rng: Random number generator of the gateway.
+        spread_s: Time in seconds over which the polls of all gateways are spread; 0 if a poll takes no
+            capacity from other gateways.
     """
 
     def __init__(self, rng: random.Random, spread_s: float) -> None:
@@ -38,15 +42,19 @@
         self._urgent = False
 
     def first_delay_s(self) -> float:
-        """Return the delay before the first call of a gateway that has a list."""
+        """Return the delay in seconds before the first call of a gateway that already has a list."""
         return self._rng.uniform(0, self.spread_s)
 
     def make_urgent(self) -> None:
-        """Let the next delay ignore the spread: the platform expects changes to be followed soon."""
+        """Make the next delay ignore the spread: the platform expects a new address to be used soon."""
         self._urgent = True
 
     def next_delay_s(self, received: bool) -> float:
-        """Return the delay before the next call, after one that brought something or did not."""
+        """Return the delay in seconds before the next call.
+
+        Args:
+            received: Whether the last call delivered something; this resets the backoff.
+        """
         if received:
             self._backoff_s = FIRST_BACKOFF_S
         else:
--- a/tests/counter/test_counter.py
+++ b/tests/counter/test_counter.py
@@ -228,7 +228,7 @@
             for number in range(20):
                 calls.add(amount=1.0)
                 await calls.ended(2 * number + 1)
-                connection = next(lane.connection for lane in calls.counter.lanes if lane.connection)
+                connection = next(queue.connection for queue in calls.counter.queues if queue.connection)
                 connection.last_written_ms -= 500  # as if it had stood for so long
                 connection.last_received_ms -= 500
                 calls.add(amount=2.0)
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -203,9 +203,9 @@
         apart = poll_spread_s(gateways)
         client = module.Discovery((LOCAL, 1), 41, lambda *_: None, random.Random(seed), Budget(256), apart)
         waits = [client.first_delay_s, *(client.schedule.next_delay_s(received=False) for _ in range(10))]
-        assert module.SILENCE_LIMIT_S + max(waits) + module.ANSWER_LIMIT_S <= TOLD_S - 0.5
+        assert module.SILENCE_LIMIT_S + max(waits) + module.HEAD_TIMEOUT_S <= TOLD_S - 0.5
         if not apart:  # where an ask costs nothing, the next call may be silent as well
-            assert module.SILENCE_LIMIT_S + 2 * module.ANSWER_LIMIT_S + max(waits) <= TOLD_S - 0.5
+            assert module.SILENCE_LIMIT_S + 2 * module.HEAD_TIMEOUT_S + max(waits) <= TOLD_S - 0.5
 
 
 def test_a_small_fleet_asks_at_once() -> None:
@@ -297,7 +297,7 @@
 @pytest.fixture
 def hasty(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "SILENCE_LIMIT_S", 0.05)
-    monkeypatch.setattr(module, "ANSWER_LIMIT_S", 0.05)
+    monkeypatch.setattr(module, "HEAD_TIMEOUT_S", 0.05)
 
 
 @pytest.mark.usefixtures("hasty")
@@ -344,7 +344,7 @@
         agent = watch.service = Agent(down)
         async with watch:
             await watch.wait_for_watches(4)
-            assert len(watch.client.calls) == module.MAX_CALLS
+            assert len(watch.client.calls) == module.MAX_CONCURRENT_CALLS
             open_before = len(agent.requests)
             back.set()
             await until(lambda: watch.reported)
@@ -355,7 +355,7 @@
 
 
 def test_of_two_calls_the_first_to_tell_something_is_followed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "ANSWER_LIMIT_S", 0.05)
+    monkeypatch.setattr(module, "HEAD_TIMEOUT_S", 0.05)
 
     async def scenario() -> None:
         watch = DiscoveryFixture()
