--- a/switchline/fleet_runtime/list_repair.py
+++ b/switchline/fleet_runtime/list_repair.py
@@ -131,7 +131,7 @@
         senders = ", ".join(sorted(self.lists))
         log.warning(log_events.LIST_REPAIRED, self.repaired_seq, senders, changed_hosts)
         self.record("brought up", "list", str(self.repaired_seq), f"by {senders}: {changed_hosts}")
-        self.driver.apply_list(api.ListScope.CHANGES, parsed.members)
+        self.driver.apply_list(api.ListScope.CHANGES, parsed.backends)
 
     def _parse(self, changes: list[Host]) -> BackendList | None:
         try:
--- a/switchline/fleet_runtime/recovery/backend_list.py
+++ b/switchline/fleet_runtime/recovery/backend_list.py
@@ -74,9 +74,9 @@
             return
         log.info(log_events.PEER_LIST_NEWER, newer.seq, own_seq)
         self.record("brought up", "list", str(newer.seq), "at the start, by another gateway's list")
-        self.repaired_hosts = len(parsed.members)
-        self.driver.apply_list(api.ListScope.CHANGES, parsed.members)
-        self.discovery.anew()
+        self.repaired_hosts = len(parsed.backends)
+        self.driver.apply_list(api.ListScope.CHANGES, parsed.backends)
+        self.discovery.refetch_list()
 
     def _parse(self, number: int, changes: list[dict[str, Any]]) -> BackendList | None:
         try:
@@ -110,7 +110,7 @@
         """Ask discovery again for the list that was withheld, once `doubt_until_s` is reached."""
         if self.is_withheld and now_s >= self.doubt_until_s:
             self.is_withheld = False
-            self.discovery.anew()
+            self.discovery.refetch_list()
 
     def trust_discovery(self, from_s: float) -> None:
         """Apply discovery's lists unchanged from `from_s` (monotonic time) on."""
--- a/switchline/service/parts.py
+++ b/switchline/service/parts.py
@@ -88,7 +88,7 @@
         if config.last_known_list:
             known = read_list(config.last_known_list)
             version = known.version
-            self.driver.apply_list(api.ListScope.SAVED, known.members)
+            self.driver.apply_list(api.ListScope.SAVED, known.backends)
         spread_s = (
             poll_spread_s(config.settings.gateways) if config.settings.must_watch_endpoint_list else 0.0
         )
--- a/switchline/service/reload.py
+++ b/switchline/service/reload.py
@@ -44,6 +44,6 @@
         if config.fleet != previous.fleet:
             self.fleet.leave(announce=True)
             await self.fleet.join()
-        parts.discovery.move(config.discovery)
+        parts.discovery.change_address(config.discovery)
         if parts.counter is not None and config.counter is not None:
-            parts.counter.move(config.counter)
+            parts.counter.change_address(config.counter)
--- a/switchline/service/service.py
+++ b/switchline/service/service.py
@@ -135,11 +135,11 @@
     async def _wait_for_first_list(self) -> None:
         """Wait for a newer list: backends may have been added or removed since the last known one."""
         discovery = self.parts.discovery
-        if discovery.first_wait > FIRST_LIST_TIMEOUT_S:
+        if discovery.first_delay_s > FIRST_LIST_TIMEOUT_S:
             return
         try:
             async with asyncio.timeout(FIRST_LIST_TIMEOUT_S):
-                await discovery.heard.wait()
+                await discovery.first_list_accepted.wait()
         except TimeoutError:
             log.info(log_events.NO_FIRST_LIST, FIRST_LIST_TIMEOUT_S)
 
