--- a/switchline/clients/server.py
+++ b/switchline/clients/server.py
@@ -36,7 +36,7 @@
     def on_command(self, command: Command, slot: Slot) -> None:
         """Process a request and answer it through its slot. Raises ValueError as `check` does."""
 
-    def on_no_place(self, command: Command, slot: Slot) -> None:
+    def on_command_without_place(self, command: Command, slot: Slot) -> None:
         """Reject a valid request because there is no place for its connection."""
 
     def on_body_received(self, request_id: str) -> None:
--- a/switchline/log_events.py
+++ b/switchline/log_events.py
@@ -55,7 +55,9 @@
 )
 PEER_LIST_NEWER: Final = "recovery: endpoint list of another gateway is newer: version=%d own_version=%d"
 PEER_LIST_UNREADABLE: Final = "recovery: endpoint list of another gateway rejected: error=%s"
-DISCOVERY_WITHHELD: Final = "discovery's list of %d hosts is held back: its version is %s, the known one is %s"
+DISCOVERY_WITHHELD: Final = (
+    "discovery's list of %d hosts is held back: its version is %s, the known one is %s"
+)
 SPENDING_RECEIVED: Final = "recovery: spending received: customers=%d"
 SPENDING_MISSING: Final = "recovery: spending not received: gateways=%s"
 PEER_OVERRIDES_NOT_STORED: Final = "overrides of other gateways not stored: error=%s"
--- a/tests/clients/test_connections.py
+++ b/tests/clients/test_connections.py
@@ -220,7 +220,7 @@
     def on_command(self, command: Command, slot: Slot) -> None:
         self.open_slots.setdefault(slot.connection, []).append(slot)
 
-    def on_no_place(self, command: Command, slot: Slot) -> None:
+    def on_command_without_place(self, command: Command, slot: Slot) -> None:
         self.rejected_count += 1
         slot.answer(b"-BUSY 200\r\n")
 
@@ -385,7 +385,10 @@
             c for c in connections[:-1] if states_before.get(c) != "gone" and connection_state(c) == "gone"
         ]
         closed = [c for c in closed if event != "leave" or c is not chosen]
-        if harness.metrics.evictions[EvictionReason.NO_EVICTABLE_CONNECTION] > evictions_before[EvictionReason.NO_EVICTABLE_CONNECTION]:
+        if (
+            harness.metrics.evictions[EvictionReason.NO_EVICTABLE_CONNECTION]
+            > evictions_before[EvictionReason.NO_EVICTABLE_CONNECTION]
+        ):
             assert closed == [chosen] and closed[0].surplus and event != "come"
             closed = []
         assert len(closed) <= 1 and all(states_before[c] in ("young", "idle") for c in closed)
@@ -785,9 +788,9 @@
             attempts = [RecordedAttempt(backend_pool, backend=n % 40, wait_ms=8_000) for n in range(400)]
             outcomes = Counts([(await t.result())[0] for t in attempts])
             assert outcomes == {Outcome.OK: 400}
-            assert len(backend_pool.connections) <= 64 and backend_pool.budget.in_use[DescriptorOwner.BACKENDS] == len(
-                backend_pool.connections
-            )
+            assert len(backend_pool.connections) <= 64 and backend_pool.budget.in_use[
+                DescriptorOwner.BACKENDS
+            ] == len(backend_pool.connections)
 
     in_loop(scenario)
 
--- a/tests/testbed/test_fleet_plays.py
+++ b/tests/testbed/test_fleet_plays.py
@@ -126,7 +126,10 @@
     assert views(played, "g0")[-1]["members"]["g2"] == "alive"  # added anew
     assert views(played, "g2")[-1]["members"]["g1"] == "alive"
     log = (played.folder / "gateways/g1/life-1.log").read_text()
-    assert "the changed configuration is rejected, the previous one stays in force" in log and "fleet: secret" in log
+    assert (
+        "the changed configuration is rejected, the previous one stays in force" in log
+        and "fleet: secret" in log
+    )
 
 
 @pytest.mark.timeout(120)
