--- a/switchline/__main__.py
+++ b/switchline/__main__.py
@@ -12,7 +12,7 @@
 import time
 from types import ModuleType
 
-# Reading the program's files may fail for a moment, as any other system call.
+# Reading the program's files can fail for a short time, as any system call can.
 IMPORT_ATTEMPTS = 10
 IMPORT_RETRY_S = 0.1
 
@@ -26,7 +26,11 @@
 
 
 def load(name: str) -> ModuleType:
-    """Import a module of this package; retried where its files can't be read for a moment."""
+    """Import a module of this package, with retries in case its files can't be read for a short time.
+
+    Raises:
+        ImportError: The last attempt failed. OSError likewise.
+    """
     for _ in range(IMPORT_ATTEMPTS - 1):
         try:
             return importlib.import_module(name, __package__)
@@ -37,7 +41,7 @@
 
 
 def main() -> int:
-    """Serve as the environment says; returns the exit code."""
+    """Run the gateway that `LB_CONFIG` configures, and return the exit code."""
     if len(sys.argv) > 1:
         print(USAGE)
         return EXIT_OK if sys.argv[1] in ("-h", "--help") else EXIT_USAGE
@@ -45,7 +49,7 @@
     if not path:
         print(f"switchline: LB_CONFIG is not set\n\n{USAGE}", file=sys.stderr)
         return EXIT_USAGE
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # there is no configuration to read again yet
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # no configuration has been read yet that could be reloaded
     load(".logs").start()
     return int(load(".service.program").main(path))
 
--- a/switchline/clock.py
+++ b/switchline/clock.py
@@ -1,8 +1,8 @@
-"""The one clock of a gateway, and the one queue of its timers.
+"""The clock of a gateway, and the queue of its timers.
 
-Times are Unix milliseconds: the start times of backends and the counter's periods are compared with them,
-so all gateways must mean the same moment. The wall clock is read once and carried on by the monotonic one:
-a stepped wall clock must not stop timers or age every lease at once.
+Times are Unix milliseconds. The start times of backends and the counter's periods are compared with them, so
+a time must mean the same moment at all gateways. The wall clock is read once, at the start; from then on the
+monotonic clock is added to it, since a step of the wall clock must not stop timers or expire every lease.
 """
 
 from __future__ import annotations
@@ -16,16 +16,17 @@
 
 from switchline.guard import Guard
 
+# The wall clock less the monotonic clock, at the start of the process.
 _OFFSET_MS = time.time() * 1000 - time.monotonic() * 1000
 
 
 def now_ms() -> float:
-    """The time in Unix milliseconds, by the wall clock as it was at the start."""
+    """Return the time in Unix milliseconds; steps of the wall clock after the start do not change it."""
     return time.monotonic() * 1000 + _OFFSET_MS
 
 
 class Timer:
-    """One call to come."""
+    """A scheduled callback that can be cancelled."""
 
     __slots__ = ("callback",)
 
@@ -33,14 +34,14 @@
         self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
-        """Never call back."""
+        """Cancel the callback."""
         self.callback = None
 
 
 class Timers:
-    """Calls back at a time of `now_ms`, never before it; one event-loop timer stands for all of them.
+    """Runs callbacks at times of `now_ms`, never earlier, with a single timer of the event loop.
 
-    An error of a callback is contained.
+    An error that a callback raises is contained by the guard.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, guard: Guard | None = None) -> None:
@@ -49,56 +50,61 @@
         self._heap: list[tuple[float, int, Timer]] = []
         self._serial = itertools.count()
         self._handle: asyncio.TimerHandle | None = None
-        self._handle_due = math.inf
+        self._handle_due_ms = math.inf
 
-    def at(self, due: float, callback: Callable[[], None]) -> Timer:
-        """Call back at `due`, in Unix milliseconds."""
+    def at(self, due_ms: float, callback: Callable[[], None]) -> Timer:
+        """Schedule a callback for `due_ms`, in Unix milliseconds."""
         timer = Timer(callback)
-        heapq.heappush(self._heap, (due, next(self._serial), timer))
-        if due < self._handle_due:
-            self._arm(due)
+        heapq.heappush(self._heap, (due_ms, next(self._serial), timer))
+        if due_ms < self._handle_due_ms:
+            self._arm(due_ms)
         return timer
 
-    def every(self, period_ms: float, place: str, callback: Callable[[], None]) -> PeriodicTimer:
-        """Call back each `period_ms`, for the first time after one; errors are counted under `place`."""
-        return PeriodicTimer(self, period_ms, place, callback)
+    def every(self, period_ms: float, operation: str, callback: Callable[[], None]) -> PeriodicTimer:
+        """Schedule a callback every `period_ms`, first after one period.
 
-    def _arm(self, due: float) -> None:
+        Errors are contained and counted under the name `operation`.
+        """
+        return PeriodicTimer(self, period_ms, operation, callback)
+
+    def _arm(self, due_ms: float) -> None:
         if self._handle is not None:
             self._handle.cancel()
-        self._handle_due = due
-        self._handle = self._loop.call_later(max(0.0, due - now_ms()) / 1000, self._run)
+        self._handle_due_ms = due_ms
+        self._handle = self._loop.call_later(max(0.0, due_ms - now_ms()) / 1000, self._run)
 
     def _run(self) -> None:
         heap = self._heap
         self._handle = None
-        self._handle_due = -math.inf  # nothing to arm meanwhile
-        # The event loop rounds to whole milliseconds and may call early; the policy ignores a timer that
-        # comes before its time, and a request would then never be ended.
-        now = now_ms()
-        while heap and (heap[0][2].callback is None or heap[0][0] <= now):
+        self._handle_due_ms = -math.inf  # a callback that schedules another one must not arm the event loop
+        # The event loop rounds to whole milliseconds and can call early. Timers that are not due yet stay, as
+        # the policy ignores a timer that fires early, and the request would then never end.
+        reached_ms = now_ms()
+        while heap and (heap[0][2].callback is None or heap[0][0] <= reached_ms):
             if callback := heapq.heappop(heap)[2].callback:
                 self.guard.call("timer", callback)
-                now = now_ms()
-        self._handle_due = math.inf
+                reached_ms = now_ms()
+        self._handle_due_ms = math.inf
         if heap:
             self._arm(heap[0][0])
 
 
 class PeriodicTimer:
-    """Work that is done periodically: a call of it that fails does not end it."""
+    """A callback that is run periodically, also after it has raised an error."""
 
-    def __init__(self, timers: Timers, period_ms: float, place: str, callback: Callable[[], None]) -> None:
+    def __init__(
+        self, timers: Timers, period_ms: float, operation: str, callback: Callable[[], None]
+    ) -> None:
         self.timers = timers
         self.period_ms = period_ms
-        self.place = place
+        self.operation = operation
         self.callback = callback
         self.timer = timers.at(now_ms() + period_ms, self._run)
 
     def _run(self) -> None:
         self.timer = self.timers.at(now_ms() + self.period_ms, self._run)
-        self.timers.guard.call(self.place, self.callback)
+        self.timers.guard.call(self.operation, self.callback)
 
     def cancel(self) -> None:
-        """Call back no more."""
+        """Cancel all further callbacks."""
         self.timer.cancel()
--- a/switchline/config.py
+++ b/switchline/config.py
@@ -1,7 +1,7 @@
 """The configuration: the JSON file named by `LB_CONFIG`, read at the start and at each SIGHUP.
 
-`deploy/` has an example, and the README what each key means. `LB_STATE` and `LB_OPERATOR` go before the keys
-`state` and `operator`.
+`deploy/` has an example, and the README explains each key. The environment variables `LB_STATE` and
+`LB_OPERATOR` take precedence over the keys `state` and `operator`.
 """
 
 from __future__ import annotations
@@ -24,8 +24,10 @@
 
 MEGABYTE = 1024 * 1024
 MAX_PORT = 65_535
-MIN_SHARE_RATIO = 0.05  # of the descriptors, or of the clients' part; and as much is left to the rest
-MAX_HANDSHAKES = 64  # under way to one backend
+# The smallest share of the descriptors, or of the clients' part of them, that can be configured. At least as
+# large a share is left for all other uses.
+MIN_SHARE_RATIO = 0.05
+MAX_HANDSHAKES = 64  # connections to one backend that are being established at once
 MAX_FLEET_NAME_LENGTH = 64
 MAX_SEEDS = 64
 DEFAULT_QUARANTINE_AFTER_S = 15.0
@@ -43,7 +45,7 @@
 OPERATOR_VARIABLE = "LB_OPERATOR"  # each process of an upgrade has an operators' address of its own
 
 FLEET_KEYS = {"name", "listen", "advertise", "seeds", "secret", "shut_out_s"}
-# Keys, and keys of the settings, in which gateways of one fleet may differ.
+# Keys of the file, and below those of its `settings`, whose values may differ between gateways of one fleet.
 OWN_KEYS = {
     "name",
     "listen",
@@ -60,32 +62,64 @@
 
 
 class ConfigError(StartError):
-    """The configuration does not say what a gateway needs."""
+    """The configuration lacks a value that a gateway needs, or has a bad one."""
 
 
 class SettingError(ConfigError, ValueError):
-    """A setting can't have its value."""
+    """The value of a setting is not allowed."""
 
 
 @dataclass(frozen=True)
 class FleetConfig:
-    """The table `fleet`: the gossip between gateways."""
+    """The table `fleet`: the gossip between gateways.
+
+    Attributes:
+        name: name of the fleet; messages of gateways of another fleet are dropped.
+        listen: address on which this gateway listens for gossip.
+        advertise: address at which the other gateways reach this one.
+        seeds: addresses of gateways that are asked for the members at the start.
+        secret: key with which gateways of the fleet authenticate their messages.
+        quarantine_after_s: how long the endpoint list may be stale before this gateway is quarantined; 0 for
+            no quarantine.
+    """
 
-    name: str  # its name: messages of others are dropped
+    name: str
     listen: Address
-    advertise: Address  # where the others reach this one
-    seeds: tuple[Address, ...]  # some that are likely there, asked at the start
+    advertise: Address
+    seeds: tuple[Address, ...]
     secret: bytes = field(repr=False)
-    quarantine_after_s: float = DEFAULT_QUARANTINE_AFTER_S  # a list behind for so long: quarantine; 0: never
+    quarantine_after_s: float = DEFAULT_QUARANTINE_AFTER_S
 
 
 @dataclass(frozen=True)
 class Config:
-    """One reading of the configuration."""
+    """The configuration as it was read from the file once.
+
+    Attributes:
+        name: name of this gateway.
+        listen: address on which clients are served.
+        operator: address on which operators' calls are served; None for no such address.
+        discovery: address of the discovery agent.
+        counter: address of the counter; None if there is none.
+        seed: seed of the random numbers.
+        descriptor_limit: how many file descriptors the process may use.
+        memory_bytes: memory limit of the process, a share of which is used for buffers.
+        settings: settings of the decisions.
+        connect_timeout_ms: how long connecting to a backend may take.
+        keepalive_ms: how long an idle connection to a backend is kept open.
+        max_requests_in_flight: how many requests may be in flight at once.
+        descriptor_shares: how the descriptors are divided.
+        state_folder: folder of the stored state; None if nothing is stored.
+        audit_folder: folder of the audit's segments; None if they are not stored.
+        fleet: the gossip between gateways; None if this gateway knows of no other.
+        release: release of this program.
+        digest: digest of the keys that all gateways of a fleet share; empty without `fleet` and `audit`.
+        last_known_list: endpoint list as this gateway last received it, in discovery's form.
+    """
 
     name: str
     listen: Address
-    operator: Address | None  # where operators call; none: nowhere
+    operator: Address | None
     discovery: Address
     counter: Address | None
     seed: int
@@ -94,18 +128,22 @@
     settings: api.Settings
     connect_timeout_ms: float
     keepalive_ms: float
-    max_requests_in_flight: int  # requests at once
-    descriptor_shares: Shares  # of the descriptors
-    state_folder: Path | None  # the folder of the state on disk; none: nothing is persisted
-    audit_folder: Path | None  # the folder of the audit's records; none: they are on no disk
-    fleet: FleetConfig | None  # none: this gateway knows of no other
-    release: str  # of the program
-    digest: str  # of what gateways of a fleet have in common
-    last_known_list: dict[str, Any]  # the list of backends as this gateway last had it, in discovery's form
+    max_requests_in_flight: int
+    descriptor_shares: Shares
+    state_folder: Path | None
+    audit_folder: Path | None
+    fleet: FleetConfig | None
+    release: str
+    digest: str
+    last_known_list: dict[str, Any]
 
 
 def load_config(path: str) -> Config:
-    """Read the file at `path`; raises ConfigError."""
+    """Read the configuration file at `path`.
+
+    Raises:
+        ConfigError: The file can't be read, or is not a valid configuration.
+    """
     try:
         return parse_config(json.loads(Path(path).read_text()))
     except (OSError, ValueError) as error:
@@ -113,7 +151,11 @@
 
 
 def parse_config(raw: dict[str, Any]) -> Config:
-    """Check and convert the file's JSON; raises ConfigError."""
+    """Check the decoded JSON of the file, and return it as a configuration.
+
+    Raises:
+        ConfigError: A key is missing, or its value is not allowed.
+    """
     try:
         return _convert(raw)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
@@ -149,35 +191,50 @@
 
 
 def digest_of(raw: dict[str, Any]) -> str:
-    """Of what gateways of a fleet have in common: without names, addresses, the seed and the list."""
+    """Return the hexadecimal digest of the configuration that all gateways of a fleet share.
+
+    Keys in which they may differ are left out: names, addresses, the seed, the endpoint list and the like.
+    """
     settings = {key: value for key, value in raw["settings"].items() if key not in OWN_SETTINGS}
     common = {key: value for key, value in raw.items() if key not in OWN_KEYS} | {"settings": settings}
     return hashlib.blake2b(json.dumps(common, sort_keys=True).encode(), digest_size=8).hexdigest()
 
 
 def parse_address(text: str) -> Address:
-    """A numeric address: a name would have to be looked up, and there is no DNS. Raises ValueError."""
+    """Parse a numeric IPv4 address with a port, `HOST:PORT`.
+
+    Host names are not allowed: they would have to be looked up, and there is no DNS.
+
+    Raises:
+        ValueError: The text is not such an address.
+    """
     host, colon, port = str(text).rpartition(":")
     if not colon or not (port.isascii() and port.isdigit()) or int(port) > MAX_PORT:
-        raise SettingError(f"not an address: {text!r}")
+        raise SettingError(f"not an address of the form IPV4:PORT: {text!r}")
     return str(IPv4Address(host)), int(port)
 
 
 def parse_shares(given: Any) -> Shares:
-    """The optional table `connections`; what it does not name keeps its default. Raises SettingError."""
+    """Read the optional table `connections`; a key that it lacks has its default.
+
+    Raises:
+        SettingError: It is not a table, or has an unknown key or a value that is not allowed.
+    """
     if given is None:
         return Shares()
     if not isinstance(given, dict):
-        raise SettingError("connections: not a table")
-    names = {one.name for one in fields(Shares)}
+        raise SettingError("connections: expected a table (JSON object)")
+    names = {share_field.name for share_field in fields(Shares)}
     if unknown := sorted(given.keys() - names):
-        raise SettingError(f"connections: unknown name {unknown[0]!r}")
+        raise SettingError(f"connections: unknown key {unknown[0]!r}")
     for name, value in given.items():
         if not _is_share(name, value):
             raise SettingError(f"connections: {name} can't be {value!r}")
     shares = Shares(**given)
     if shares.clients + shares.backends > 1 - MIN_SHARE_RATIO:
-        raise SettingError("connections: clients and backends leave too little for the rest")
+        raise SettingError(
+            "connections: the shares of clients and backends leave too little for all other uses"
+        )
     return shares
 
 
@@ -188,15 +245,19 @@
 
 
 def parse_regions(given: Any) -> tuple[tuple[str, str], ...]:
-    """The optional table `regions`, region to zones, as pairs of zone and region. Raises SettingError."""
+    """Read the optional table `regions`, which has lists of zones by region, as pairs of zone and region.
+
+    Raises:
+        SettingError: It is not a table of lists of zones, or names a zone twice.
+    """
     if given is None:
         return ()
     if not isinstance(given, dict):
-        raise SettingError("regions: not a table")
+        raise SettingError("regions: expected a table (JSON object)")
     regions: dict[str, str] = {}
     for region, zones in given.items():
         if not isinstance(zones, list) or not all(isinstance(zone, str) and zone for zone in zones):
-            raise SettingError(f"regions: {region!r} is no list of zones")
+            raise SettingError(f"regions: {region!r} must be a list of names of zones")
         for zone in zones:
             if zone in regions:
                 raise SettingError(f"regions: zone {zone!r} is named twice")
@@ -205,17 +266,25 @@
 
 
 def parse_state(given: Any) -> Path | None:
-    """The optional folder `state`; without one nothing is persisted. Raises SettingError."""
+    """Read the optional folder `state`; without one no state is stored.
+
+    Raises:
+        SettingError: It is not the name of a folder.
+    """
     if given is not None and not isinstance(given, str):
         raise SettingError(f"state: not a string: {given!r}")
     if "\0" in (given or ""):
-        raise SettingError("state: no folder has such a name")
+        raise SettingError("state: the name of a folder can't contain a null character")
     folder = os.environ.get(STATE_VARIABLE) or given
     return Path(folder) if folder else None
 
 
 def parse_audit(given: Any) -> Path | None:
-    """The optional folder `audit`. Raises SettingError."""
+    """Read the optional folder `audit`; without one the audit's records are not stored.
+
+    Raises:
+        SettingError: It is not the path of a folder.
+    """
     if given is None:
         return None
     if not isinstance(given, str) or not 1 <= len(given) <= MAX_FOLDER_LENGTH or "\0" in given:
@@ -224,13 +293,18 @@
 
 
 def parse_fleet(given: Any) -> FleetConfig | None:
-    """The optional table `fleet`; without one nothing of the gossip is imported. Raises SettingError."""
+    """Read the optional table `fleet`; without one the modules of gossip are not imported.
+
+    Raises:
+        SettingError: It is not a table, has an unknown key or a value that is not allowed, or the file of its
+            secret can't be read.
+    """
     if given is None:
         return None
     if not isinstance(given, dict):
-        raise SettingError("fleet: not a table")
+        raise SettingError("fleet: expected a table (JSON object)")
     if unknown := sorted(given.keys() - FLEET_KEYS):
-        raise SettingError(f"fleet: unknown name {unknown[0]!r}")
+        raise SettingError(f"fleet: unknown key {unknown[0]!r}")
     name, seeds = given.get("name"), given.get("seeds", [])
     if not isinstance(name, str) or not 1 <= len(name) <= MAX_FLEET_NAME_LENGTH:
         raise SettingError(f"fleet: name can't be {name!r}")
@@ -240,7 +314,7 @@
     listen = parse_address(given.get("listen", ""))
     advertise = parse_address(given["advertise"]) if "advertise" in given else listen
     if not (listen[1] and advertise[1]):
-        raise SettingError("fleet: listen and advertise: no port")
+        raise SettingError("fleet: the addresses listen and advertise need a port other than 0")
     quarantine_after_s = _quarantine_after_s(given.get("shut_out_s", DEFAULT_QUARANTINE_AFTER_S))
     addresses = tuple(parse_address(seed) for seed in seeds)
     return FleetConfig(name, listen, advertise, addresses, secret, quarantine_after_s)
@@ -248,14 +322,16 @@
 
 def _read_secret(path: Any) -> bytes:
     if not isinstance(path, str) or not path or "\0" in path:
-        raise SettingError("fleet: secret: not the path of a file")
+        raise SettingError("fleet: secret: expected the path of a file")
     try:
         with open(path, "rb") as file:
             secret = file.read(MAX_SECRET_BYTES + 1).strip()
     except OSError as error:
         raise SettingError(f"fleet: secret: {path}: {error.strerror}") from error
     if not MIN_SECRET_BYTES <= len(secret) <= MAX_SECRET_BYTES:
-        raise SettingError(f"fleet: secret: {path}: not {MIN_SECRET_BYTES} to {MAX_SECRET_BYTES} bytes")
+        raise SettingError(
+            f"fleet: secret: {path}: the file must have {MIN_SECRET_BYTES} to {MAX_SECRET_BYTES} bytes"
+        )
     return secret
 
 
--- a/switchline/ctl.py
+++ b/switchline/ctl.py
@@ -1,12 +1,13 @@
-"""For staff: what the gateways of a fleet say of each other, of zones, and of a return after a power loss.
+"""Command-line tool for operators: asks gateways of a fleet about members, zones, recovery and the audit.
 
     python -m switchline.ctl members ADDRESS... [--json]
     python -m switchline.ctl recovery ADDRESS... [--json]
     python -m switchline.ctl zones ADDRESS... [--json]
     python -m switchline.ctl audit who|when|acts|trace|verify|plot ... SOURCE... [--json]
 
-ADDRESS is a gateway's operator address, host:port. It needs the extra `ops`. Exit codes: 0 all answered and
-agree (`recovery`: and are in whole service), 1 some don't or did not answer, 2 none answered.
+ADDRESS is the operators' address of a gateway, host:port. The tool needs the extra `ops`. Exit codes: 0 if
+all gateways answered and agree (`recovery`: have completed their recovery), 1 if some did not answer or
+disagree, 2 if none answered.
 """
 
 from __future__ import annotations
@@ -25,19 +26,19 @@
 from switchline.audit.sources import fetch
 
 MAX_PARALLEL_CALLS = 32
-EXIT_FINE = 0
-EXIT_AMISS = 1
+EXIT_OK = 0
+EXIT_PROBLEM = 1
 EXIT_NONE_ANSWERED = 2
-NO_RECOVERY = "it tells of no recovery: `fleet` or `state` is not set"
+NO_RECOVERY = "it reports no recovery: `fleet` or `state` is not configured"
 STAGE_COMPLETE = "whole"
-# What is shown for a flag of a gateway's recovery that is set.
+# The text that is shown for each flag that is set in a gateway's recovery.
 RECOVERY_FLAGS = {
     "common": "the fleet lost power",
-    "old_disk": "its disk was behind",
-    "spoilt": "spoilt answers",
-    "held_back": "discovery is behind",
+    "old_disk": "its stored state was stale",
+    "spoilt": "unreadable lists of other gateways",
+    "held_back": "a stale list of discovery is held back",
 }
-RECOVERED_FROM_PEERS = ("bans", "hosts", "customers")  # numbers of what came from other gateways
+RECOVERED_FROM_PEERS = ("bans", "hosts", "customers")  # counts of what other gateways sent
 MEMBER_COLOURS = {"alive": "green", "suspect": "yellow", "dead": "red"}
 ZONE_COLOURS = {"up": "green", "left": "red"}
 ERROR_STYLE = "red"
@@ -46,45 +47,45 @@
 
 
 class Views(NamedTuple):
-    """The views of the fleet by address, and why there is none of the others."""
+    """The views of the fleet that gateways sent, and the errors of the other gateways, by address."""
 
-    found: dict[str, View]
+    views: dict[str, View]
     failures: dict[str, str]
 
 
 def fetch_view(address: str) -> View | str:
-    """Return a gateway's view of the fleet, or why there is none."""
+    """Return a gateway's view of the fleet, or the text of the error if it can't be fetched."""
     try:
         reply = fetch(address, "fleet")
     except (OSError, ValueError) as error:
         return str(error)
-    return reply if isinstance(reply, dict) else "not a view of a fleet"
+    return reply if isinstance(reply, dict) else "the reply is not a view of the fleet"
 
 
 def fetch_views(addresses: tuple[str, ...]) -> Views:
-    """Fetch the views of gateways side by side."""
+    """Fetch the views of gateways in parallel."""
     with ThreadPoolExecutor(min(MAX_PARALLEL_CALLS, len(addresses))) as pool:
         replies = dict(zip(addresses, pool.map(fetch_view, addresses), strict=True))
-    found = {address: reply for address, reply in replies.items() if isinstance(reply, dict)}
-    return Views(found, {address: reply for address, reply in replies.items() if isinstance(reply, str)})
+    views = {address: reply for address, reply in replies.items() if isinstance(reply, dict)}
+    return Views(views, {address: reply for address, reply in replies.items() if isinstance(reply, str)})
 
 
-def leave(any_answered: bool, fine: bool) -> NoReturn:
-    """Exit with the code for what was found."""
+def exit_with_status(any_answered: bool, all_ok: bool) -> NoReturn:
+    """Exit with the exit code for the gateways' answers."""
     if not any_answered:
         sys.exit(EXIT_NONE_ANSWERED)
-    sys.exit(EXIT_FINE if fine else EXIT_AMISS)
+    sys.exit(EXIT_OK if all_ok else EXIT_PROBLEM)
 
 
 def print_failures(console: Console, lines: Iterable[str]) -> None:
-    """Print what went wrong, a line each."""
+    """Print one line for each failure."""
     for line in lines:
         console.print(line, style=ERROR_STYLE, markup=False)
 
 
 @click.group()
 def cli() -> None:
-    """Ask the gateways of a fleet."""
+    """Query the gateways of a fleet."""
 
 
 ADDRESSES = click.argument("addresses", nargs=-1, required=True)
@@ -95,30 +96,30 @@
 @ADDRESSES
 @AS_JSON
 def members(addresses: tuple[str, ...], as_json: bool) -> None:
-    """Who sees whom: a row for each member, a column for each gateway that was asked."""
+    """Show the state of each member (rows) as each queried gateway (columns) sees it."""
     views, failures = fetch_views(addresses)
     differing = differences(views)
     if as_json:
-        shown = {"views": views, "silent": failures, "differences": differing}
-        click.echo(json.dumps(shown, indent=1))
+        report = {"views": views, "silent": failures, "differences": differing}
+        click.echo(json.dumps(report, indent=1))
     else:
         print_members(views, failures, differing)
-    leave(bool(views), not differing and not failures)
+    exit_with_status(bool(views), not differing and not failures)
 
 
 def member_names(views: Mapping[str, View]) -> list[str]:
-    """Return the names of all members that any view has."""
+    """Return the names of all members in any of the views, sorted."""
     return sorted({name for view in views.values() for name in view["members"]})
 
 
 def differences(views: Mapping[str, View]) -> dict[str, list[str]]:
-    """Return, by member, the states that views have it in, where they differ."""
-    found = {}
+    """Return the different states of each member on whose state the views disagree, by member."""
+    differing = {}
     for name in member_names(views):
         states = sorted({member_state(view, name) for view in views.values()})
         if len(states) > 1:
-            found[name] = states
-    return found
+            differing[name] = states
+    return differing
 
 
 def member_state(view: View, name: str) -> str:
@@ -132,25 +133,25 @@
 def print_members(
     views: Mapping[str, View], failures: Mapping[str, str], differing: Mapping[str, list[str]]
 ) -> None:
-    """Print the table of members, and which gateways are in a minority or did not answer."""
+    """Print the table of members, and the gateways that are in a minority or did not answer."""
     console = Console(highlight=False)
     table = Table("member", "zone", "life", *(view["name"] for view in views.values()), "")
     for name in member_names(views):
-        seen = [view["members"][name] for view in views.values() if name in view["members"]]
-        newest = max(seen, key=lambda member: member["life"])
-        zone = next((member["zone"] for member in seen if "zone" in member), "")
+        entries = [view["members"][name] for view in views.values() if name in view["members"]]
+        newest = max(entries, key=lambda member: member["life"])
+        zone = next((member["zone"] for member in entries if "zone" in member), "")
         cells = [member_cell(view, name) for view in views.values()]
         mark = "[yellow]differs[/]" if name in differing else ""
         table.add_row(name, zone, str(newest["life"][0]), *cells, mark)
     console.print(table)
     for view in views.values():
         if view["minority"]:
-            console.print(f"{view['name']} knows itself in a minority", style="yellow")
-    print_failures(console, (f"{address} did not answer: {why}" for address, why in failures.items()))
+            console.print(f"{view['name']} reports that it is in a minority", style="yellow")
+    print_failures(console, (f"{address} did not answer: {error}" for address, error in failures.items()))
 
 
 def member_cell(view: View, name: str) -> str:
-    """Return the cell of a member in a view's column, with the silence of one that is not alive."""
+    """Return the cell of a member in a view's column; for one not alive, with the time since it was heard."""
     state = member_state(view, name)
     member = view["members"].get(name, {})
     silence = ""
@@ -163,7 +164,7 @@
 @ADDRESSES
 @AS_JSON
 def recovery(addresses: tuple[str, ...], as_json: bool) -> None:
-    """How far the return of each gateway is, and what it came back with."""
+    """Show the stage of each gateway's recovery, and what it restored from disk and from other gateways."""
     views, failures = fetch_views(addresses)
     gateways = {
         address: view["recovery"] | {"name": view["name"]}
@@ -176,21 +177,21 @@
     else:
         print_recovery(gateways, others)
     complete = all(gateway["stage"] == STAGE_COMPLETE for gateway in gateways.values())
-    leave(bool(gateways), complete and not others)
+    exit_with_status(bool(gateways), complete and not others)
 
 
 def print_recovery(gateways: Mapping[str, View], others: Mapping[str, str]) -> None:
-    """Print the table of gateways' recoveries, and which ones tell of none."""
+    """Print the table of the gateways' recoveries, and the gateways that report none."""
     console = Console(highlight=False)
-    table = Table("gateway", "stage", "down", "of disk", "of peers", "withheld", "waits for", "")
+    table = Table("gateway", "stage", "down", "from disk", "from peers", "withheld", "waits for", "")
     for gateway in sorted(gateways.values(), key=lambda gateway: gateway["name"]):
         table.add_row(*recovery_cells(gateway))
     console.print(table)
-    print_failures(console, (f"{address}: {why}" for address, why in others.items()))
+    print_failures(console, (f"{address}: {error}" for address, error in others.items()))
 
 
 def recovery_cells(gateway: View) -> list[str]:
-    """Return the row of a gateway's recovery."""
+    """Return the cells of a gateway's row in the table of recoveries."""
     colour = "green" if gateway["stage"] == STAGE_COMPLETE else "yellow"
     from_peers = (f"{gateway[key]} {key}" for key in RECOVERED_FROM_PEERS if gateway[key])
     return [
@@ -209,60 +210,60 @@
 @ADDRESSES
 @AS_JSON
 def zones(addresses: tuple[str, ...], as_json: bool) -> None:
-    """What the fleet decided of each zone, and who acts on which version of it."""
+    """Show the fleet's decision on each zone, and the version of it that each gateway acts on."""
     views, failures = fetch_views(addresses)
     gateways = {view["name"]: view.get("zones", {}) for view in views.values()}
-    behind = lagging(gateways)
+    stale = stale_gateways(gateways)
     if as_json:
-        click.echo(json.dumps({"gateways": gateways, "others": failures, "behind": behind}, indent=1))
+        click.echo(json.dumps({"gateways": gateways, "others": failures, "behind": stale}, indent=1))
     else:
-        print_zones(gateways, failures, behind)
-    leave(bool(gateways), not behind and not failures)
+        print_zones(gateways, failures, stale)
+    exit_with_status(bool(gateways), not stale and not failures)
 
 
 class ZoneKey(NamedTuple):
-    """Identifies a zone's decision: it is taken by the gateways of one zone, of another one."""
+    """Identifies a decision: the gateways of the zone `observers` take it on the zone `zone`."""
 
     observers: str
     zone: str
 
 
-def lagging(gateways: Mapping[str, View]) -> dict[str, list[str]]:
-    """Return, by zone, the gateways that act on an older version than others of their own zone.
+def stale_gateways(gateways: Mapping[str, View]) -> dict[str, list[str]]:
+    """Return, by zone, the gateways that act on an older version than other gateways of their own zone.
 
     Args:
-        gateways: by name, each one's decisions by zone.
+        gateways: decisions of each gateway by zone, by name of the gateway.
     """
     newest: dict[ZoneKey, int] = {}
     for decisions in gateways.values():
         for zone, decision in decisions.items():
             key = ZoneKey(decision["for"], zone)
             newest[key] = max(newest.get(key, 0), decision["version"])
-    behind: dict[str, list[str]] = {}
+    stale: dict[str, list[str]] = {}
     for name, decisions in gateways.items():
         for zone, decision in decisions.items():
             if decision["version"] < newest[ZoneKey(decision["for"], zone)]:
-                behind.setdefault(zone, []).append(name)
-    return behind
+                stale.setdefault(zone, []).append(name)
+    return stale
 
 
 def print_zones(
-    gateways: Mapping[str, View], failures: Mapping[str, str], behind: Mapping[str, list[str]]
+    gateways: Mapping[str, View], failures: Mapping[str, str], stale: Mapping[str, list[str]]
 ) -> None:
-    """Print the table of zones and gateways, and which ones did not answer."""
+    """Print the table of zones and gateways, and the gateways that did not answer."""
     console = Console(highlight=False)
     table = Table("zone", "gateway", "of zone", "state", "version", "step", "part", "per s", "why", "")
     for zone in sorted({zone for decisions in gateways.values() for zone in decisions}):
         for name, decisions in sorted(gateways.items()):
             if zone in decisions:
-                mark = "[yellow]behind[/]" if name in behind.get(zone, ()) else ""
+                mark = "[yellow]stale[/]" if name in stale.get(zone, ()) else ""
                 table.add_row(zone, name, *decision_cells(decisions[zone]), mark)
     console.print(table)
-    print_failures(console, (f"{address}: {why}" for address, why in failures.items()))
+    print_failures(console, (f"{address}: {error}" for address, error in failures.items()))
 
 
 def decision_cells(decision: View) -> list[str]:
-    """Return the cells of a decision; its part comes in thousandths."""
+    """Return the cells of a decision; its `part` is given in thousandths and shown in percent."""
     colour = ZONE_COLOURS.get(decision["state"], "yellow")
     return [
         decision["for"],
--- a/switchline/errors.py
+++ b/switchline/errors.py
@@ -1,18 +1,18 @@
-"""The tree of the project's errors.
+"""The base classes of the project's errors, and the tree of all of them.
 
 SwitchlineError
     StartError            this process can't begin to serve
-        ConfigError       the configuration does not say what a gateway needs (exit code 2)
-            SettingError  one of its settings can't have its value
+        ConfigError       the configuration lacks a value that a gateway needs, or has a bad one (exit code 2)
+            SettingError  the value of a setting is not allowed
         ListenError       the machine gives no listening socket in time (exit code 1)
-    DiscoveryError        a list of backends can't be read (in the configuration: exit code 2)
+    DiscoveryError        an endpoint list can't be read (exit code 2 if it is the one in the configuration)
 """
 
 from __future__ import annotations
 
 
 class SwitchlineError(Exception):
-    """Any error of this project's own."""
+    """Base class of the errors that this project defines."""
 
 
 class StartError(SwitchlineError):
--- a/switchline/log_events.py
+++ b/switchline/log_events.py
@@ -33,7 +33,7 @@
 # Gossip with the other gateways.
 GOSSIP_LISTENING: Final = "gossip listening: address=%s:%d"
 GOSSIP_NOT_LISTENING: Final = "gossip can't listen at %s:%d: %s"
-GOSSIP_DROPPED: Final = "gossip: datagrams dropped in the last %d s: %s"
+GOSSIP_DROPPED: Final = "gossip: messages dropped in the last %d s: %s"
 GOSSIP_NAME_SHARED: Final = "gossip: another process has this name"
 GOSSIP_NAME_FREE: Final = "gossip: no other process has this name any more"
 FACT_NOT_PUBLISHED: Final = "fact not published: error=%s"
@@ -55,7 +55,9 @@
 )
 PEER_LIST_NEWER: Final = "recovery: endpoint list of another gateway is newer: version=%d own_version=%d"
 PEER_LIST_UNREADABLE: Final = "recovery: endpoint list of another gateway rejected: error=%s"
-DISCOVERY_WITHHELD: Final = "discovery's list of %d hosts is held back: its version is %s, the known one is %s"
+DISCOVERY_WITHHELD: Final = (
+    "discovery's list of %d hosts is held back: its version is %s, the known one is %s"
+)
 SPENDING_RECEIVED: Final = "recovery: spending received: customers=%d"
 SPENDING_MISSING: Final = "recovery: spending not received: gateways=%s"
 PEER_OVERRIDES_NOT_STORED: Final = "overrides of other gateways not stored: error=%s"
--- a/switchline/logs.py
+++ b/switchline/logs.py
@@ -1,4 +1,4 @@
-"""The log on standard error, bounded in rate: a flood of faulty peers must not become a flood of lines."""
+"""The log on standard error, limited in rate: many faulty peers must not fill it with lines."""
 
 from __future__ import annotations
 
@@ -7,35 +7,37 @@
 import time
 
 PERIOD_S = 10.0
-MAX_LINES_PER_PERIOD = 5  # of one kind in a period: enough to see what comes, whatever its rate
+MAX_LINES_PER_PERIOD = 5  # lines of one kind: enough to see what happens, whatever its rate
 
 
 class RateLimit(logging.Filter):
-    """Passes a few lines of each kind in a period, and says with a later one how many it dropped.
+    """Passes `MAX_LINES_PER_PERIOD` lines of each kind in a period of `PERIOD_S`.
 
-    A line's kind is its text without its values.
+    The first line of a kind in a later period says how many were dropped. A line's kind is its format string,
+    the text without its values.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self.periods: dict[str, tuple[float, int]] = {}  # by kind: when the period began, and its lines
+        # By kind: the start of its period in seconds of the monotonic clock, and the lines since then.
+        self.periods: dict[str, tuple[float, int]] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether a line passes."""
-        kind, now = str(record.msg), time.monotonic()  # the record's own time is of the wall clock
-        began, lines = self.periods.get(kind, (now, 0))
-        if now - began >= PERIOD_S:
+        """Return whether a line is logged, and count it."""
+        kind, now_s = str(record.msg), time.monotonic()  # the record's own time is that of the wall clock
+        began_s, lines = self.periods.get(kind, (now_s, 0))
+        if now_s - began_s >= PERIOD_S:
             if lines > MAX_LINES_PER_PERIOD:
                 record.msg = f"{record.getMessage()} (and {lines - MAX_LINES_PER_PERIOD} like it before)"
                 record.args = ()
-            began = now
+            began_s = now_s
             lines = 0
-        self.periods[kind] = began, lines + 1
+        self.periods[kind] = began_s, lines + 1
         return lines < MAX_LINES_PER_PERIOD
 
 
 def start() -> None:
-    """Log to standard error, within the bound."""
+    """Log to standard error, with the rate limit."""
     logging.basicConfig(
         level=logging.INFO, stream=sys.stderr, format="%(asctime)s %(levelname)s %(name)s: %(message)s"
     )
--- a/switchline/operators/__init__.py
+++ b/switchline/operators/__init__.py
@@ -1,1 +1,1 @@
-"""What operators use: the address that they call, their overrides, calls for the whole fleet, the metrics."""
+"""The operators' interface: the HTTP address, overrides, calls for the whole fleet, and metrics."""
--- a/switchline/operators/calls.py
+++ b/switchline/operators/calls.py
@@ -1,4 +1,4 @@
-"""The calls of the operators' address: which paths there are, and how a call becomes a reply. No I/O."""
+"""The calls of the operators' address: their paths, and how a call is carried out. Does no I/O."""
 
 from __future__ import annotations
 
@@ -10,36 +10,38 @@
 
 
 class Reply(NamedTuple):
-    """The reply to a call: HTTP status, and text that ends with a line feed."""
+    """The reply to a call: an HTTP status, and a text that ends with a line feed."""
 
     status: int
     text: str
 
 
 class Target(NamedTuple):
-    """What a call's body names.
+    """The subject of a call, as its body names it.
 
     Attributes:
-        name: of a backend, a zone, a gateway or a version floor.
-        fleet: the call is for all gateways of the fleet.
+        name: name of a backend, a zone, a gateway or a version floor.
+        fleet: whether the call is for all gateways of the fleet.
     """
 
     name: str
     fleet: bool
 
 
-DeferredReply = Coroutine[Any, Any, Reply]  # waits for the disk or for other gateways, within a call's time
+# A reply that waits for the disk or for other gateways, within the time limit of a call.
+DeferredReply = Coroutine[Any, Any, Reply]
 Call = Callable[[], Reply]
-TargetCall = Callable[[str, bool], Reply | DeferredReply]  # takes the fields of `Target`
+# A call with a body; its arguments are the fields of `Target`.
+TargetCall = Callable[[str, bool], Reply | DeferredReply]
 
 
 class OperatorCalls(NamedTuple):
-    """The functions behind the paths.
+    """The functions that carry out the calls.
 
     Attributes:
-        gets: by path; called without a body.
-        posts: by path; the body is ignored.
-        id_posts: by path; the body names a `Target`.
+        gets: functions of GET calls, by path.
+        posts: functions of POST calls whose body is ignored, by path.
+        id_posts: functions of POST calls whose body names a `Target`, by path.
     """
 
     gets: dict[str, Call]
@@ -47,7 +49,10 @@
     id_posts: dict[str, TargetCall]
 
     def answer(self, method: str, path: str, body: bytes) -> Reply | DeferredReply:
-        """Carry out a call; 404, 405 or 400 for one that is not offered."""
+        """Carry out a call and return its reply.
+
+        The status is 404 for an unknown path, 405 for another method and 400 for a malformed body.
+        """
         if path not in self.gets and path not in self.posts and path not in self.id_posts:
             return Reply(404, "no such path\n")
         allowed = self.allowed_method(path)
@@ -59,20 +64,20 @@
         return (self.gets.get(path) or self.posts[path])()
 
     def allowed_method(self, path: str) -> str:
-        """Return the one method of a path."""
+        """Return the only HTTP method that a path allows."""
         return "GET" if path in self.gets else "POST"
 
 
 def decode_target(body: bytes) -> Target | None:
-    """Return what a body names; None if it is malformed."""
+    """Decode the JSON body of a call; return None if it is malformed."""
     try:
-        given: Any = json.loads(body)
+        fields: Any = json.loads(body)
     except (ValueError, RecursionError):
         return None
-    if not isinstance(given, dict):
+    if not isinstance(fields, dict):
         return None
-    name = given.get("id")
-    fleet = given.get("fleet", False)
+    name = fields.get("id")
+    fleet = fields.get("fleet", False)
     if not isinstance(name, str) or not name or not isinstance(fleet, bool):
         return None
     return Target(name, fleet)
--- a/switchline/operators/fleet_calls.py
+++ b/switchline/operators/fleet_calls.py
@@ -1,12 +1,12 @@
 """Operators' calls for the whole fleet: one call sets or clears an override at all gateways.
 
-A call is a fact that gossip carries. Each gateway follows the newest one for a name, whatever its own
-operators called for before, and acknowledges it by a fact of its own. The gateway that was called replies 200
-once more than half of all gateways have acknowledged, and names the others. The override holds until
-operators clear it, at one gateway or for the fleet; a gateway that could not be reached follows the call once
-it hears of it.
+A call is published as a fact in gossip. Each gateway applies the newest call for a name, whatever its own
+operators have set before, and acknowledges it by publishing a fact of its own. The gateway that received the
+call replies 200 once more than half of all gateways have acknowledged it, and names the others. The override
+holds until operators clear it, at one gateway or for the fleet. A gateway that could not be reached applies
+the call when gossip reaches it later.
 
-Imported only with the configuration's table `fleet`.
+This module is imported only if the configuration has the table `fleet`.
 """
 
 from __future__ import annotations
@@ -27,16 +27,18 @@
 
 log = logging.getLogger(__name__)
 
-ACK_TIMEOUT_S = 0.7  # for the others: the reply is due within 1 s, of which the disk may have taken a part
-ACK_POLL_S = 0.02
-EXCHANGE_INTERVAL_S = 1.0  # between exchanges with members that lack a call made here
-EXCHANGES_AT_ONCE = 2
-ACK_LIFETIME_S = 60.0  # an acknowledgement is withdrawn then: far longer than anyone waits for it
-MAX_ACKS = 16  # calls acknowledged at once
-MAX_NAMED = 20  # gateways that a reply names
-VALUE_ACTIVE = "down"  # of the fact of a call; any other value clears the override
+# How long a reply waits for acknowledgements: it is due within 1 s, of which the disk may have used a part.
+ACK_TIMEOUT_S = 0.7
+ACK_POLL_INTERVAL_S = 0.02
+EXCHANGE_INTERVAL_S = 1.0  # between exchanges with members that have not acknowledged a call
+MAX_PARALLEL_EXCHANGES = 2
+ACK_LIFETIME_S = 60.0  # then an acknowledgement is withdrawn; far longer than any gateway waits for it
+MAX_ACKS = 16  # acknowledgements published at once
+MAX_NAMED_GATEWAYS = 20  # in one reply
+# Values of a call's fact; any value but the first clears the override.
+VALUE_ACTIVE = "down"
 VALUE_CLEARED = "up"
-# The kind of the acknowledging fact by the kind of the call's; its value is the time of the call.
+# The kind of the fact that acknowledges a call, by the kind of the call's fact. Its value is the call's time.
 ACK_KINDS: dict[str, FactKind] = {
     FactKind.FLEET_OVERRIDE_BACKEND: FactKind.ACK_BACKEND,
     FactKind.FLEET_OVERRIDE_ZONE: FactKind.ACK_ZONE,
@@ -46,156 +48,167 @@
 
 
 class CallKey(NamedTuple):
-    """What a call is about: the kind of its fact, and the name of a backend, zone, gateway or floor."""
+    """The subject of a call: the kind of its fact, and the name of a backend, zone, gateway or floor."""
 
     kind: str
     name: str
 
 
-class Acknowledged(NamedTuple):
-    """A call that this gateway acknowledged.
+class Acknowledgement(NamedTuple):
+    """This gateway's acknowledgement of a call.
 
     Attributes:
-        called_at_ms: time of the call, Unix milliseconds.
-        since_s: when it was acknowledged, by the monotonic clock.
+        called_at_ms: time of the call, in Unix milliseconds.
+        published_at_s: when the acknowledgement was published, in seconds of the monotonic clock.
     """
 
     called_at_ms: float
-    since_s: float
+    published_at_s: float
 
 
 class FleetCalls:
-    """Owns this gateway's part in calls for the whole fleet.
+    """Publishes, applies and acknowledges calls for the whole fleet.
 
     Args:
-        overrides: this gateway's overrides, by the kind of fact that changes them.
+        overrides: overrides of this gateway, by the kind of the fact that changes them.
     """
 
     def __init__(self, overrides: Mapping[str, OperatorOverrides]) -> None:
         self.overrides = overrides
-        self.peers: GossipTransport | None = None
-        self.acknowledged: dict[CallKey, Acknowledged] = {}  # the oldest first
-        self.made_here: dict[CallKey, float] = {}  # time of the call; each is in `acknowledged` as well
+        self.transport: GossipTransport | None = None
+        self.acknowledgements: dict[CallKey, Acknowledgement] = {}  # the oldest first
+        # Times (Unix ms) of the calls that operators made at this gateway; each is acknowledged here as well.
+        self.own_calls: dict[CallKey, float] = {}
         self.next_exchange_s = 0.0
 
-    def attach(self, peers: GossipTransport) -> None:
-        """Use the gossip transport, which is open, or open anew."""
-        self.peers = peers
+    def attach(self, transport: GossipTransport) -> None:
+        """Use this gossip transport from now on; called again after gossip was opened anew."""
+        self.transport = transport
 
     def on_fact(self, entry: Entry) -> None:
-        """Follow a fact that is new here if it is a call for the fleet."""
+        """Apply a fact that is new to this gateway, if it is a call for the fleet."""
         if entry.kind in self.overrides:
-            asyncio.get_running_loop().call_soon(self._follow, entry)
+            asyncio.get_running_loop().call_soon(self._apply_call, entry)
 
     def tick(self) -> None:
-        """Withdraw old acknowledgements, and bring calls made here to members that lack them.
+        """Withdraw expired acknowledgements, and exchange facts with members that lack a call made here.
 
-        Called a few times a second. A member that was cut off while a call was gossiped would hear of it only
-        with the next full exchange, or once it is no longer held dead, so an exchange is begun with it.
+        Called a few times a second. A member that was unreachable while a call was gossiped would receive it
+        only with its next full exchange, or once it is no longer considered dead, so this gateway starts an
+        exchange with it.
         """
-        now = time.monotonic()
-        for key, acknowledged in list(self.acknowledged.items()):
-            if now - acknowledged.since_s > ACK_LIFETIME_S:
+        now_s = time.monotonic()
+        for key, acknowledgement in list(self.acknowledgements.items()):
+            if now_s - acknowledgement.published_at_s > ACK_LIFETIME_S:
                 self._withdraw(key)
-        if self.made_here and self.peers is not None and now >= self.next_exchange_s:
-            self.next_exchange_s = now + EXCHANGE_INTERVAL_S
-            self._exchange_with_members_that_lack_a_call(self.peers)
+        if self.own_calls and self.transport is not None and now_s >= self.next_exchange_s:
+            self.next_exchange_s = now_s + EXCHANGE_INTERVAL_S
+            self._exchange_with_members_that_lack_a_call(self.transport)
 
-    def _exchange_with_members_that_lack_a_call(self, peers: GossipTransport) -> None:
+    def _exchange_with_members_that_lack_a_call(self, transport: GossipTransport) -> None:
         lacking = [
             member
             for member in self._other_members()
-            if not all(self._has_acknowledged(member, key, at) for key, at in self.made_here.items())
+            if not all(
+                self._has_acknowledged(member, key, called_at_ms)
+                for key, called_at_ms in self.own_calls.items()
+            )
         ]
-        known = peers.node.members.others
-        peers.node.exchange_with([known[member].address for member in lacking[:EXCHANGES_AT_ONCE]])
+        others = transport.node.members.others
+        transport.node.exchange_with([others[member].address for member in lacking[:MAX_PARALLEL_EXCHANGES]])
 
     async def propagate(self, kind: str, name: str, active: bool) -> Reply:
-        """Bring a call, which holds here already, to all gateways.
+        """Publish a call that already holds here to all gateways, and wait for their acknowledgements.
 
         Returns:
-            200 once more than half of all gateways have it; 503 if they have not within `ACK_TIMEOUT_S`: the
-            call holds here and goes on to spread.
+            Status 200 once more than half of all gateways have acknowledged the call. Status 503 if they have
+            not within `ACK_TIMEOUT_S`; the call then holds here, and gossip goes on to carry it.
         """
-        if self.peers is None:
+        if self.transport is None:
             return Reply(503, "it holds here alone: there is no line to other gateways\n")
         overrides = self.overrides[kind]
         called_at_ms = (overrides.active if active else overrides.cleared).get(name, now_ms())
         value = VALUE_ACTIVE if active else VALUE_CLEARED
         try:
-            self.peers.publish(PublishedFact(kind, name, value, called_at_ms))
+            self.transport.publish(PublishedFact(kind, name, value, called_at_ms))
         except FactLimitError as error:
             return Reply(503, f"it holds here alone: {error}\n")
         key = CallKey(kind, name)
         self._acknowledge(key, called_at_ms)
-        self.made_here[key] = called_at_ms
-        deadline = time.monotonic() + ACK_TIMEOUT_S
-        while self._is_awaited(key, called_at_ms) and time.monotonic() < deadline:
-            await asyncio.sleep(ACK_POLL_S)
+        self.own_calls[key] = called_at_ms
+        deadline_s = time.monotonic() + ACK_TIMEOUT_S
+        while self._is_awaited(key, called_at_ms) and time.monotonic() < deadline_s:
+            await asyncio.sleep(ACK_POLL_INTERVAL_S)
         return self._summary(key, called_at_ms)
 
     def _summary(self, key: CallKey, called_at_ms: float) -> Reply:
         others = self._other_members()
-        without = [member for member in others if not self._has_acknowledged(member, key, called_at_ms)]
+        lacking = [member for member in others if not self._has_acknowledged(member, key, called_at_ms)]
         total = 1 + len(others)
-        having = total - len(without)
-        text = f"{having} of {total} gateways have it"
-        if without:
-            more = ", ..." if len(without) > MAX_NAMED else ""
-            text += f"; not known to have it: {', '.join(without[:MAX_NAMED])}{more}"
-        if 2 * having <= total:
+        acknowledged = total - len(lacking)
+        text = f"{acknowledged} of {total} gateways have it"
+        if lacking:
+            ellipsis = ", ..." if len(lacking) > MAX_NAMED_GATEWAYS else ""
+            text += f"; not known to have it: {', '.join(lacking[:MAX_NAMED_GATEWAYS])}{ellipsis}"
+        if 2 * acknowledged <= total:
             return Reply(503, f"it holds here and goes on to spread, but {text}\n")
         return Reply(200, f"yes: {text}\n")
 
-    def _follow(self, entry: Entry) -> None:
+    def _apply_call(self, entry: Entry) -> None:
         overrides = self.overrides[entry.kind]
         active = entry.value == VALUE_ACTIVE
         is_newer = entry.at_ms > overrides.last_changed_ms(entry.name)
         if is_newer and (active or entry.name in overrides.active):
-            log.info("%s is %s by a call for the fleet at %s", entry.name, entry.value, entry.origin)
+            log.info(
+                "%s is %s by a call for the whole fleet, made at %s", entry.name, entry.value, entry.origin
+            )
             try:
                 overrides.merge({entry.name: OverrideChange(active, entry.at_ms)})
             except OSError as error:
-                log.warning("a call for the fleet can't be stored: error=%s", error)  # it holds all the same
+                # The override holds in this process although it is not stored.
+                log.warning("a call for the whole fleet can't be stored: error=%s", error)
         self._acknowledge(CallKey(entry.kind, entry.name), entry.at_ms)
 
     def _acknowledge(self, key: CallKey, called_at_ms: float) -> None:
-        self.acknowledged.pop(key, None)
-        while len(self.acknowledged) >= MAX_ACKS:
-            self._withdraw(next(iter(self.acknowledged)))
-        self.acknowledged[key] = Acknowledged(called_at_ms, time.monotonic())
-        self._gossip(ACK_KINDS[key.kind], key.name, repr(called_at_ms))
+        self.acknowledgements.pop(key, None)
+        while len(self.acknowledgements) >= MAX_ACKS:
+            self._withdraw(next(iter(self.acknowledgements)))
+        self.acknowledgements[key] = Acknowledgement(called_at_ms, time.monotonic())
+        self._publish(ACK_KINDS[key.kind], key.name, repr(called_at_ms))
 
     def _withdraw(self, key: CallKey) -> None:
-        del self.acknowledged[key]
-        self.made_here.pop(key, None)
-        self._gossip(ACK_KINDS[key.kind], key.name, None)
+        del self.acknowledgements[key]
+        self.own_calls.pop(key, None)
+        self._publish(ACK_KINDS[key.kind], key.name, None)
 
-    def _gossip(self, kind: str, name: str, value: str | None) -> None:
-        if self.peers is None:
+    def _publish(self, kind: str, name: str, value: str | None) -> None:
+        if self.transport is None:
             return
         try:
-            self.peers.publish(PublishedFact(kind, name, value))
+            self.transport.publish(PublishedFact(kind, name, value))
         except FactLimitError as error:
-            log.warning("not told to the other gateways: %s", error)
+            log.warning("acknowledgement of a call not published: error=%s", error)
 
     def _other_members(self) -> list[str]:
-        """Return all members that have not left, dead ones too: a minority can't decide for all."""
-        if self.peers is None:
+        """Return the names of all other members that have not left the fleet.
+
+        Dead ones are included: a minority must not decide for all gateways.
+        """
+        if self.transport is None:
             return []
-        members = self.peers.node.members.others
+        members = self.transport.node.members.others
         return sorted(name for name, member in members.items() if member.state is not MemberState.LEFT)
 
     def _is_awaited(self, key: CallKey, called_at_ms: float) -> bool:
-        """Return whether a member that is reachable has not acknowledged a call yet."""
-        present = self.peers.node.members.present if self.peers is not None else {}
+        """Return whether a reachable member has not acknowledged a call yet."""
+        present = self.transport.node.members.present if self.transport is not None else {}
         return not all(self._has_acknowledged(member, key, called_at_ms) for member in present)
 
     def _has_acknowledged(self, member: str, key: CallKey, called_at_ms: float) -> bool:
-        """Return whether a member acknowledged this call, or a newer one for the same name."""
-        if self.peers is None:
+        """Return whether a member has acknowledged this call, or a newer one for the same name."""
+        if self.transport is None:
             return False
-        value = self.peers.node.facts.value(ACK_KINDS[key.kind], key.name, member)
+        value = self.transport.node.facts.value(ACK_KINDS[key.kind], key.name, member)
         try:
             return float(value or 0) >= called_at_ms
         except ValueError:
--- a/switchline/operators/metrics.py
+++ b/switchline/operators/metrics.py
@@ -1,6 +1,6 @@
-"""The metrics that operators fetch: what became of requests, attempts and connections since the start.
+"""The metrics that operators fetch: outcomes of requests, attempts and connections since the start.
 
-The names on the wire (`edge_lb.…`) are fixed: operators' dashboards and alerts depend on them.
+The metrics' names (`edge_lb.…`) are fixed: operators' dashboards and alerts depend on them.
 """
 
 from __future__ import annotations
@@ -21,22 +21,22 @@
 
 
 class EvictionReason(Enum):
-    """Why the gateway closed a client's connection; the value is the metric's name."""
+    """Why the gateway closed a client's connection; the value is the last part of the metric's name."""
 
-    YOUNG = "young"  # connections are scarce, and it has sent no valid request
-    IDLE = "idle"  # connections are scarce, and no request is open on it
-    NO_EVICTABLE_CONNECTION = "crowded"  # a new connection while none of the open ones may be closed
-    INCOMPLETE_COMMAND = "owing"  # it left a command incomplete
-    UNREAD_REPLIES = "unread"  # it left replies unread
-    UNUSED = "unused"  # no request for a minute
-    GRACEFUL_SHUTDOWN = "parting"  # idle during a graceful shutdown
+    YOUNG = "young"  # connections are scarce, and the client has not sent a valid request yet
+    IDLE = "idle"  # connections are scarce, and no request of the client is in flight
+    NO_EVICTABLE_CONNECTION = "crowded"  # a new connection was closed, as none of the others could be
+    INCOMPLETE_COMMAND = "owing"  # the client did not complete a command in time
+    UNREAD_REPLIES = "unread"  # the client did not read its replies in time
+    UNUSED = "unused"  # the client sent no request for a minute
+    GRACEFUL_SHUTDOWN = "parting"  # the connection was idle during a graceful shutdown
 
 
 class Metrics:
     """Owns the counters of one process.
 
     Args:
-        classes: names of the request classes; each is shown from the start, with zeros.
+        classes: names of the request classes; their counters are shown from the start, as zero.
     """
 
     def __init__(self, classes: Sequence[str]) -> None:
@@ -46,18 +46,19 @@
         self.handshakes_begun = 0
         self.handshakes_failed = 0
         self.handshake_waits = 0  # attempts that had to wait for a connection to a backend
-        self.rejected_for_capacity = 0  # requests rejected as all request slots or connections were in use
+        # Requests rejected because all request slots or connections were in use.
+        self.rejected_for_capacity = 0
 
     def count_outcome(self, class_name: str, outcome: OutcomeKind) -> None:
         """Count a request of a class that has ended."""
         self.requests[outcome, class_name] += 1
 
     def count_forward(self) -> None:
-        """Count an attempt whose last byte has left for its backend."""
+        """Count an attempt that was written to its backend as a whole."""
         self.forwards += 1
 
     def connection_counts(self) -> dict[str, int]:
-        """Return the counters of connections by metric name, without the prefix."""
+        """Return the counters of connections and of capacity by metric name, without the prefix."""
         counts = {f"evicted.{reason.value}": number for reason, number in self.evictions.items()}
         counts["handshakes.begun"] = self.handshakes_begun
         counts["handshakes.failed"] = self.handshakes_failed
@@ -71,12 +72,12 @@
         zones: Mapping[str, Mapping[str, int]],
         counts: Mapping[str, int] | None = None,
     ) -> str:
-        """Return all metrics in the statsd line format, one a line.
+        """Return all metrics in the statsd line format, one on each line.
 
         Args:
-            gauges: gauges of the other parts, by name.
-            zones: gauges and counters of each zone, by zone and name.
-            counts: counters of the other parts, by name.
+            gauges: gauges of other modules, by metric name without the prefix.
+            zones: gauges and counters of each zone, by zone and then by name.
+            counts: counters of other modules, by metric name without the prefix.
         """
         lines = [
             f"{PREFIX}.{outcome.value}.{name}:{number}|c" for (outcome, name), number in self.requests.items()
--- a/switchline/operators/overrides.py
+++ b/switchline/operators/overrides.py
@@ -1,9 +1,9 @@
-"""What operators have overridden by call: backends or zones disabled, gateways exempt, version floors.
+"""Operators' overrides: disabled backends and zones, gateways exempt from quarantine, and version floors.
 
-Overrides lie in a file in `$TMPDIR` that outlives the process, and that two processes of an upgrade share. An
-override holds until operators clear it, over restarts as long as the file stays. A loss of power or a cleaned
-`$TMPDIR` takes the file; with `state` configured the overrides are on disk as well (`switchline.state`), and
-are merged back at the start.
+Overrides are stored in a file in `$TMPDIR`, which outlives the process and which the two processes of an
+upgrade share. An override holds until operators clear it, across restarts as long as the file exists. A power
+loss or a cleanup of `$TMPDIR` deletes the file. If `state` is configured, the overrides are in the stored
+state as well (`switchline.state`), from which they are merged at the start.
 """
 
 from __future__ import annotations
@@ -25,27 +25,32 @@
 
 log = logging.getLogger(__name__)
 
-POLL_INTERVAL_MS = 100.0  # of the file; well within the 500 ms in which new work may still go out
+# How often the file is read: well within the 500 ms during which new requests may still be sent to a backend
+# after operators have disabled it.
+POLL_INTERVAL_MS = 100.0
 LOCK_ATTEMPTS = 20
-LOCK_RETRY_S = 0.001
-MAX_NAMES = 1_024  # active, and cleared, in one file; far more than any endpoint list has
-MAX_FILE_BYTES = 1024 * 1024  # a longer file was not written by this program
-CLEARED_RETENTION_MS = 120_000.0  # when an override was cleared matters for as long as any slow start
-MAX_NAME_IN_PATH = 64  # characters
+LOCK_RETRY_S = 0.001  # pause between two attempts
+# The largest number of active overrides, and also of cleared ones, in one file: far more than the backends of
+# any endpoint list.
+MAX_NAMES = 1_024
+MAX_FILE_BYTES = 1024 * 1024  # a larger file was not written by this program
+# How long the time of clearing an override is stored: a backend's slow start needs it, and takes less.
+CLEARED_RETENTION_MS = 120_000.0
+MAX_PATH_NAME_LENGTH = 64  # characters of a gateway's name that a file's name contains
 KEY_ACTIVE = "out"
 KEY_CLEARED = "back"
 
 
 class OverrideError(OSError):
-    """An operator's call can't be stored, for a reason other than a system call's."""
+    """An operator's call can't be stored, though no system call failed."""
 
 
 class OverrideChange(NamedTuple):
-    """An operator's last call for a name.
+    """The last change of an override by operators.
 
     Attributes:
-        active: the override was set; else it was cleared.
-        at_ms: when, in Unix milliseconds.
+        active: whether the override was set; False if it was cleared.
+        at_ms: time of the change, in Unix milliseconds.
     """
 
     active: bool
@@ -54,46 +59,49 @@
 
 @dataclass(slots=True)
 class OverrideTimes:
-    """The contents of the file: since when overrides are active or cleared, in Unix milliseconds, by name."""
+    """The contents of the file: when overrides were set or cleared, in Unix milliseconds, by name."""
 
     active: dict[str, float]
     cleared: dict[str, float]
 
     def copy(self) -> OverrideTimes:
-        """Return times that can be changed without changing these."""
+        """Return an independent copy."""
         return OverrideTimes(dict(self.active), dict(self.cleared))
 
     def apply_change(self, name: str, change: OverrideChange) -> None:
-        """Follow a call for a name, which then stands last."""
+        """Apply the change of an override, which becomes the last one in the order of its dictionary."""
         self.active.pop(name, None)
         self.cleared.pop(name, None)
         (self.active if change.active else self.cleared)[name] = change.at_ms
 
-    def drop_expired(self, now: float) -> None:
-        """Forget what was cleared too long ago to matter."""
-        self.cleared = {name: at for name, at in self.cleared.items() if now - at < CLEARED_RETENTION_MS}
+    def drop_expired(self, current_ms: float) -> None:
+        """Drop the overrides that were cleared longer ago than `CLEARED_RETENTION_MS`."""
+        self.cleared = {
+            name: at_ms for name, at_ms in self.cleared.items() if current_ms - at_ms < CLEARED_RETENTION_MS
+        }
 
     def last_changed_ms(self, name: str) -> float:
-        """Return when operators last called for a name; minus infinity where no call is known."""
+        """Return when an override was last set or cleared, in Unix ms; minus infinity if that is unknown."""
         return max(self.active.get(name, -math.inf), self.cleared.get(name, -math.inf))
 
 
 class FileIdentity(NamedTuple):
-    """Tells whether the file was replaced since it was read."""
+    """Identifies a version of the file, to detect that it was replaced since it was read."""
 
     inode: int
     modified_ns: int
 
 
-OverrideListener = Callable[[str, bool, float], None]  # the name, whether active, since when (Unix ms)
+# Its arguments are the name, whether the override is active, and the time of the change in Unix milliseconds.
+OverrideListener = Callable[[str, bool, float], None]
 
 
 def private_file(gateway: str, suffix: str) -> Path:
-    """Return the path of a file that the next process of the same gateway reads.
+    """Return the path of a file or socket that other processes of the same gateway use as well.
 
-    The prefix is the program's earlier name: files and sockets of an older version have to be found.
+    The prefix is an earlier name of the program, so that files and sockets of older versions are found.
     """
-    safe = re.sub(r"[^A-Za-z0-9_-]", "_", gateway)[:MAX_NAME_IN_PATH]
+    safe = re.sub(r"[^A-Za-z0-9_-]", "_", gateway)[:MAX_PATH_NAME_LENGTH]
     return Path(os.environ.get("TMPDIR") or "/tmp") / f"roadpulley-{safe}-{suffix}"
 
 
@@ -101,9 +109,10 @@
     """Owns the overrides of one kind, and their file.
 
     Args:
-        path: the file; a second one beside it, with the suffix `.lock`, is locked for each change.
-        timers: where the polling of the file is scheduled.
-        on_change: called for each name that is overridden or cleared, here or by the other process.
+        path: path of the file; a file beside it with the suffix `.lock` is locked during each change.
+        timers: timers that poll the file.
+        on_change: called for each override that is set or cleared, by this process or by the peer process of
+            an upgrade.
     """
 
     def __init__(self, path: Path, timers: Timers, on_change: OverrideListener) -> None:
@@ -116,20 +125,20 @@
 
     @property
     def active(self) -> dict[str, float]:
-        """Since when (Unix milliseconds) each override is active, by name."""
+        """Return when each active override was set, in Unix milliseconds, by name."""
         return self._times.active
 
     @property
     def cleared(self) -> dict[str, float]:
-        """When (Unix milliseconds) overrides were cleared of late, by name."""
+        """Return when overrides were cleared lately, in Unix milliseconds, by name."""
         return self._times.cleared
 
     def last_changed_ms(self, name: str) -> float:
-        """Return when operators last called for a name; minus infinity where no call is known."""
+        """Return when an override was last set or cleared, in Unix ms; minus infinity if that is unknown."""
         return self._times.last_changed_ms(name)
 
     def changes(self) -> Iterator[tuple[str, OverrideChange]]:
-        """Yield the last call for each name: the active ones, then those that were cleared of late."""
+        """Yield the last change of each override: first of the active ones, then of those cleared lately."""
         for name, at_ms in self.active.items():
             yield name, OverrideChange(True, at_ms)
         for name, at_ms in self.cleared.items():
@@ -140,8 +149,8 @@
         """Set or clear an override; a repeated call changes nothing.
 
         Raises:
-            OSError: the file can't be written or locked, or too many are active (`OverrideError`); nothing
-                has changed then.
+            OSError: The file can't be written or locked, or too many overrides are active (`OverrideError`).
+                Nothing has changed then.
         """
         with self._locked():
             self._read()
@@ -149,35 +158,36 @@
                 return
             if active and len(self.active) >= MAX_NAMES:
                 raise OverrideError(f"{MAX_NAMES} overrides are active, which is the limit")
-            now = now_ms()
+            current_ms = now_ms()
             times = self._times.copy()
-            times.drop_expired(now)
-            times.apply_change(name, OverrideChange(active, now))
+            times.drop_expired(current_ms)
+            times.apply_change(name, OverrideChange(active, current_ms))
             newest_cleared = dict(list(times.cleared.items())[-MAX_NAMES:])
             self._write(OverrideTimes(times.active, newest_cleared))
             self._apply(times)
 
     def merge(self, changes: Mapping[str, OverrideChange]) -> None:
-        """Follow calls known from the state on disk or from other gateways, where none here is newer.
+        """Apply changes from the stored state or from other gateways, unless the one known here is as new.
 
         Raises:
-            OSError: the file can't be written; the overrides hold in this process all the same.
+            OSError: The file can't be locked, and nothing has changed; or it can't be written, and the
+                changes hold in this process all the same.
         """
-        now = now_ms()
+        current_ms = now_ms()
         with self._locked():
             self._read()
             times = self._times.copy()
             for name, change in changes.items():
                 if change.at_ms > self.last_changed_ms(name) and len(times.active) < MAX_NAMES:
-                    times.apply_change(name, change._replace(at_ms=min(change.at_ms, now)))
-            times.drop_expired(now)
+                    times.apply_change(name, change._replace(at_ms=min(change.at_ms, current_ms)))
+            times.drop_expired(current_ms)
             try:
                 self._write(times)
             finally:
                 self._apply(times)
 
     def _read(self) -> None:
-        """Follow what the other process of this gateway may have written."""
+        """Read the file if it was replaced, and apply the changes that the peer process wrote."""
         try:
             status = self.path.stat()
             identity = FileIdentity(status.st_ino, status.st_mtime_ns)
@@ -185,7 +195,7 @@
                 return
             self._last_read = identity
             if status.st_size > MAX_FILE_BYTES:
-                raise ValueError("too long")
+                raise ValueError("the file is larger than this program writes")
             times = decode_times(self.path.read_bytes())
         except FileNotFoundError:
             return
@@ -195,18 +205,20 @@
         self._apply(times)
 
     def _apply(self, times: OverrideTimes) -> None:
-        before = self._times
+        previous = self._times
         self._times = times
-        for name, at in times.active.items():
-            if name not in before.active:
-                self.on_change(name, True, at)
-        for name in before.active.keys() - times.active.keys():
-            self.on_change(name, False, now_ms())  # active at the last poll, whatever the wall clock says
-        for name in times.cleared.keys() - before.cleared.keys() - before.active.keys():
-            self.on_change(name, False, times.cleared[name])  # cleared just before this process started
+        for name, at_ms in times.active.items():
+            if name not in previous.active:
+                self.on_change(name, True, at_ms)
+        for name in previous.active.keys() - times.active.keys():
+            # The override was active at the last poll, so it was cleared now, whatever time the file has.
+            self.on_change(name, False, now_ms())
+        for name in times.cleared.keys() - previous.cleared.keys() - previous.active.keys():
+            # The override was cleared shortly before this process started.
+            self.on_change(name, False, times.cleared[name])
 
     def _write(self, times: OverrideTimes) -> None:
-        """Replace the file as a whole, so that no reader sees a part of it."""
+        """Replace the file atomically, so that no reader sees an incomplete one."""
         temporary = self.path.with_suffix(f".{os.getpid()}.tmp")
         try:
             with temporary.open("w") as file:
@@ -220,9 +232,12 @@
 
     @contextmanager
     def _locked(self) -> Iterator[None]:
-        """Keep the other process of this gateway from writing at the same time.
+        """Lock the file against writes of the peer process.
 
-        The lock is held for one small write; a process that was stopped meanwhile may hold it for longer.
+        The lock is held for one small write, but longer by a process that is stopped during it.
+
+        Raises:
+            OverrideError: The lock is not free after `LOCK_ATTEMPTS` attempts.
         """
         with self.path.with_suffix(".lock").open("w") as lock:
             for _ in range(LOCK_ATTEMPTS):
@@ -237,21 +252,28 @@
 
 
 def decode_times(data: bytes) -> OverrideTimes:
-    """Return the contents of a file.
+    """Decode the contents of a file of overrides.
 
     Raises:
-        ValueError: not JSON, too many names, or a time that is not finite; TypeError, KeyError and
-            RecursionError as well for JSON of another shape.
+        ValueError: The data is not JSON, has more than `MAX_NAMES` names, or a time that is not finite.
+            TypeError, KeyError and RecursionError for JSON of another shape.
     """
-    given = json.loads(data)
-    return OverrideTimes(decode_times_by_name(given[KEY_ACTIVE]), decode_times_by_name(given[KEY_CLEARED]))
+    contents = json.loads(data)
+    return OverrideTimes(
+        decode_times_by_name(contents[KEY_ACTIVE]), decode_times_by_name(contents[KEY_CLEARED])
+    )
+
 
+def decode_times_by_name(value: object) -> dict[str, float]:
+    """Return a JSON object of times by name as a dictionary.
 
-def decode_times_by_name(given: object) -> dict[str, float]:
-    """Return times by name; raises ValueError for anything else."""
-    if not isinstance(given, dict) or len(given) > MAX_NAMES:
-        raise ValueError("not times by host")
-    times = {str(name): float(at) for name, at in given.items()}
-    if not all(math.isfinite(at) for at in times.values()):
-        raise ValueError("not a time")
+    Raises:
+        ValueError: The value is not an object, has more than `MAX_NAMES` names, or a time that is not finite.
+            TypeError likewise.
+    """
+    if not isinstance(value, dict) or len(value) > MAX_NAMES:
+        raise ValueError("expected an object of times by name, with at most as many names as are stored")
+    times = {str(name): float(at_ms) for name, at_ms in value.items()}
+    if not all(math.isfinite(at_ms) for at_ms in times.values()):
+        raise ValueError("a time is not a finite number")
     return times
--- a/switchline/operators/server.py
+++ b/switchline/operators/server.py
@@ -1,4 +1,4 @@
-"""The server of the operators' address: HTTP/1.1, one call a connection."""
+"""The server of the operators' address: HTTP/1.1, with one call for each connection."""
 
 from __future__ import annotations
 
@@ -18,15 +18,16 @@
 
 log = logging.getLogger(__name__)
 
-MAX_HEAD_BYTES = 4096  # a call takes a few hundred
+MAX_HEAD_BYTES = 4096  # the head of a call has a few hundred bytes
 MAX_BODY_BYTES = 4096
-MAX_CONNECTIONS = 16  # as many descriptors are reserved; beyond, the oldest connection is aborted
-CALL_TIMEOUT_S = 2.0  # for a call to arrive as a whole
+# As many descriptors are reserved. Beyond this number, the oldest connection is aborted.
+MAX_CONNECTIONS = 16
+CALL_TIMEOUT_S = 2.0  # in which a call must arrive completely
 BACKLOG = 64
 
 
 class OperatorConnection(asyncio.Protocol):
-    """One call: its head, its body, its reply, and then the close."""
+    """A connection that receives one call, sends its reply and closes."""
 
     def __init__(self, server: OperatorServer) -> None:
         self.server = server
@@ -37,23 +38,23 @@
         self.timeout: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Handle the event of asyncio."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        """Start the timeout of the call; called by the event loop."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transports are not a subclass
         loop = asyncio.get_running_loop()
         self.timeout = loop.call_later(CALL_TIMEOUT_S, self.reply, Reply(408, "too slow\n"))
         self.server.on_open(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Handle the event of asyncio."""
+        """Release the connection's descriptor; called by the event loop."""
         self.transport = None
         if self.timeout is not None:
             self.timeout.cancel()
         self.server.on_closed(self)
 
     def data_received(self, data: bytes) -> None:
-        """Handle the event of asyncio."""
+        """Parse received bytes, and carry out the call once it is complete; called by the event loop."""
         if self.http.our_state is not h11.IDLE and self.http.our_state is not h11.SEND_RESPONSE:
-            return  # the call has its reply
+            return  # the reply has been sent
         try:
             self.http.receive_data(data)
             while self._handle(self.http.next_event()):
@@ -62,11 +63,11 @@
             self.reply(Reply(error.error_status_hint, "not a proper call\n"))
 
     def eof_received(self) -> None:
-        """Handle the event of asyncio."""
+        """Close the connection, as its caller has done; called by the event loop."""
         self.close()
 
     def _handle(self, event: h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]) -> bool:
-        """Handle an event of the call; return whether a further one may be ready."""
+        """Handle an event of the HTTP parser; return whether a further one may be ready."""
         if isinstance(event, h11.Request):
             self.request = event
             if self.http.they_are_waiting_for_100_continue:
@@ -92,7 +93,7 @@
             self.server.reply_later(self, reply)
 
     def reply(self, reply: Reply, allowed_method: str = "") -> None:
-        """Send the reply and close; `allowed_method` goes with a 405."""
+        """Send the reply and close the connection; `allowed_method` is the `Allow` header of a 405."""
         body = reply.text.encode()
         headers = [("Content-Type", "text/plain"), ("Content-Length", str(len(body)))]
         headers.append(("Connection", "close"))
@@ -103,7 +104,7 @@
             if self.request is None or self.request.method != b"HEAD":
                 self._write(h11.Data(data=body))
         except h11.LocalProtocolError as error:
-            log.info("an operator's call could not be answered: %s", error)
+            log.info("reply to an operator's call not sent: error=%s", error)
         self.close()
 
     def _write(self, event: h11.Event) -> None:
@@ -111,17 +112,17 @@
             self.transport.write(self.http.send(event) or b"")
 
     def close(self) -> None:
-        """Close the connection after what was written."""
+        """Close the connection once what was written to it has been sent."""
         if self.transport is not None:
             self.transport.close()
 
 
 class OperatorServer:
-    """Listens for operators, and bounds the connections of stalled callers.
+    """Accepts operators' connections, and limits how many of them stalled callers can keep open.
 
     Args:
-        calls: what the address offers.
-        budget: where the connections' descriptors are counted.
+        calls: the calls that the address offers.
+        budget: budget of the descriptors that connections use.
     """
 
     def __init__(self, calls: OperatorCalls, budget: Budget) -> None:
@@ -129,11 +130,11 @@
         self.budget = budget
         self.connections: dict[OperatorConnection, None] = {}  # the oldest first
         self.acceptor: Acceptor | None = None
-        self.listen_task: asyncio.Task[None] | None = None  # until the address is free
-        self.reply_tasks: set[asyncio.Task[None]] = set()  # calls with deferred replies
+        self.listen_task: asyncio.Task[None] | None = None  # retries while the address is in use
+        self.reply_tasks: set[asyncio.Task[None]] = set()  # one for each call with a deferred reply
 
     def reply_later(self, connection: OperatorConnection, deferred: DeferredReply) -> None:
-        """Reply once the call is carried out, which it is even if its caller leaves."""
+        """Send a reply once it is ready; the call is carried out even if its caller disconnects."""
 
         async def wait_and_reply() -> None:
             connection.reply(await deferred)
@@ -143,18 +144,18 @@
         task.add_done_callback(self.reply_tasks.discard)
 
     def listen_soon(self, address: Address) -> None:
-        """Start to accept; where the address can't be had yet, retry while the gateway serves already."""
+        """Start to accept calls; if the address is not available yet, retry in the background."""
         try:
             self.listen(listen(address, BACKLOG))
         except OSError as error:
-            log.warning("operators can't call yet: %s", error)
+            log.warning("the operators' address is not available yet, retrying: error=%s", error)
             self.listen_task = asyncio.get_running_loop().create_task(self._retry_listening(address))
 
     async def _retry_listening(self, address: Address) -> None:
         try:
             self.listen(await listen_with_retries(address, BACKLOG, math.inf))
         except ListenError as error:
-            log.error("operators can't call: %s", error)  # noqa: TRY400 - its text says all
+            log.error("the operators' address is not available: error=%s", error)  # noqa: TRY400 - no traceback needed
 
     def listen(self, listening_socket: socket.socket) -> int:
         """Start to accept on a listening socket; return its port."""
@@ -165,7 +166,7 @@
         return self.acceptor.port
 
     def on_open(self, connection: OperatorConnection) -> None:
-        """Count a new connection, and abort the oldest where there are too many."""
+        """Count the descriptor of a new connection, and abort the oldest if there are too many."""
         self.budget.acquire(Part.OPERATORS)
         self.connections[connection] = None
         if len(self.connections) > MAX_CONNECTIONS:
@@ -175,7 +176,7 @@
                 oldest.transport.abort()
 
     def on_closed(self, connection: OperatorConnection) -> None:
-        """Return the descriptor of a connection that has ended."""
+        """Release the descriptor of a connection that has ended."""
         self.budget.release(Part.OPERATORS)
         self.connections.pop(connection, None)
 
--- a/switchline/settings.py
+++ b/switchline/settings.py
@@ -8,7 +8,7 @@
 
 
 def read_settings(raw: dict[str, Any]) -> api.Settings:
-    """Read the settings; what is missing has its default.
+    """Read the settings; a missing key has its default.
 
     Raises:
         KeyError: A class or a plan lacks a field that it needs.
@@ -21,8 +21,8 @@
         index=int(raw.get("selfIndex") or 0),
         gateways=int(raw.get("groupSize") or 1),
         zone=str(raw.get("az") or ""),
-        classes=tuple(read_class(one) for one in raw.get("classes") or ()),
-        plans=tuple(read_plan(one) for one in raw.get("packages") or ()),
+        classes=tuple(read_class(raw_class) for raw_class in raw.get("classes") or ()),
+        plans=tuple(read_plan(raw_plan) for raw_plan in raw.get("packages") or ()),
         rules=read_rules(raw.get("rules") or {}),
         max_attempts=int(capabilities.get("maxAttempts") or 1),
         can_hedge=bool(capabilities.get("mayDuplicate")),
@@ -37,7 +37,7 @@
 
 
 def read_rules(raw: dict[str, Any]) -> api.SafetyRules:
-    """Read what backends need."""
+    """Read the rules that protect backends from too many or too early requests."""
     return api.SafetyRules(
         drain_grace_ms=float(raw.get("drainGrace") or 0),
         start_capacity=float(raw.get("startCapacity") or 0),
@@ -47,7 +47,12 @@
 
 
 def read_class(raw: dict[str, Any]) -> api.RequestClass:
-    """Read a class of requests."""
+    """Read a class of requests.
+
+    Raises:
+        KeyError: The name, the deadline or the effect is missing.
+        ValueError: A value can't be read.
+    """
     return api.RequestClass(
         name=str(raw["name"]),
         latency_objective_ms=float(raw.get("aim") or raw["deadline"]),
@@ -60,7 +65,12 @@
 
 
 def read_plan(raw: dict[str, Any]) -> api.Plan:
-    """Read a plan."""
+    """Read a plan.
+
+    Raises:
+        KeyError: The name is missing.
+        ValueError: A value can't be read.
+    """
     return api.Plan(
         name=str(raw["name"]),
         rate_per_s=float(raw.get("rate") or 0),
--- a/switchline/simulator_codec.py
+++ b/switchline/simulator_codec.py
@@ -1,4 +1,4 @@
-"""The simulator's words for events and actions: lists of JSON values, the name first.
+"""Encoding of events and actions on the simulator's wire: lists of JSON values, the name first.
 
 Later versions of the simulator may add values at the end of a list; they are ignored.
 """
@@ -11,19 +11,19 @@
 from switchline.policy import interface as api
 from switchline.policy.persistence.codec import decode_timer, encode_timer
 
-REPEAT_BIT = 2  # of a request: its client has sent it before
+REPEAT_BIT = 2  # in the flags of a request: its client has sent it before
 
 
 class WireError(Exception):
-    """What came in is not of the wire's shape."""
+    """Input from the simulator does not follow its protocol."""
 
 
 def decode_event(name: str, values: list[Any]) -> api.Event | None:
-    """Read an event; None: one that changes no decision.
+    """Decode an event; return None for one that changes no decision.
 
     Raises:
-        WireError: The event is unknown or has text of another type.
-        ValueError: A value is missing or can't be read. TypeError likewise.
+        WireError: The event is unknown, or has a value of another type where text is expected.
+        ValueError: A value is missing or can't be read. TypeError and IndexError likewise.
     """
     if name not in DECODERS:
         raise WireError(f"unknown event {name!r}")
@@ -31,26 +31,26 @@
 
 
 def encode_action(action: api.Action) -> list[Any]:
-    """Give the list for an action.
+    """Encode an action as a list of its name and values.
 
     Raises:
-        WireError: The simulator has no word for it.
+        WireError: The simulator's protocol has no such action.
     """
     encoder = ENCODERS.get(type(action))
     if encoder is None:
-        raise WireError("an instance has no other process beside it")
+        raise WireError("the simulator's protocol has no form for this action")
     return encoder(action)
 
 
 def read_text(value: Any) -> str:
-    """Check that a value is text."""
+    """Return a value that is text; raise WireError for any other."""
     if not isinstance(value, str):
         raise WireError(f"expected text, got {value!r}")
     return value
 
 
 def read_entry(values: list[Any]) -> api.BackendEntry:
-    """Read one backend of the endpoint list."""
+    """Decode one backend of the endpoint list."""
     zone, cell, started_ms, state, _weight, backend = values[:6]
     return api.BackendEntry(
         backend=int(backend),
@@ -62,13 +62,13 @@
 
 
 def read_list(values: list[Any]) -> api.Event:
-    """Read the endpoint list or its changes."""
+    """Decode the endpoint list or its changes."""
     scope, _revision, entries = values[:3]
-    return api.BackendsChanged(api.ListScope(scope), tuple(read_entry(one) for one in entries or ()))
+    return api.BackendsChanged(api.ListScope(scope), tuple(read_entry(entry) for entry in entries or ()))
 
 
 def read_request(values: list[Any]) -> api.Event:
-    """Read a client's request."""
+    """Decode a client's request."""
     request, request_class, plan, customer, expires_ms, units, spread, first = values[:8]
     flags = values[8] if len(values) > 8 else 0
     return api.RequestArrived(
@@ -85,7 +85,7 @@
 
 
 def read_attempt_end(values: list[Any]) -> api.Event:
-    """Read the end of an attempt."""
+    """Decode the end of an attempt."""
     request, actual_units, latency_ms, outcome, finished, attempt, backend = values[:7]
     return api.AttemptEnded(
         request=read_text(request),
@@ -99,35 +99,35 @@
 
 
 def read_answer_start(values: list[Any]) -> api.Event:
-    """Read that a backend has begun to answer."""
+    """Decode the event that a backend has begun to answer."""
     request, attempt, backend = values[:3]
     return api.AnswerStarted(read_text(request), int(attempt), int(backend))
 
 
 def read_counter_reply(values: list[Any]) -> api.Event:
-    """Read a reply of the counter."""
+    """Decode a reply of the counter."""
     total, _latency_ms, outcome, name = values[:4]
     return api.CounterReplied(read_text(name), api.Outcome(outcome), float(total or 0))
 
 
-def read_lapse(values: list[Any]) -> api.Event:
-    """Read that a request needs no answer any more."""
+def read_abandonment(values: list[Any]) -> api.Event:
+    """Decode the event that a request needs no answer any more."""
     return api.RequestAbandoned(read_text(values[0]))
 
 
 def read_timer(values: list[Any]) -> api.Event:
-    """Read that a timer is due."""
+    """Decode the event that a timer is due."""
     return api.TimerFired(decode_timer(read_text(values[0])))
 
 
 def read_gossip(values: list[Any]) -> api.Event:
-    """Read a message of another gateway."""
+    """Decode a gossip message of another gateway."""
     sender, payload = values[:2]
     return api.GossipReceived(int(sender), bytes.fromhex(payload))
 
 
 def read_health(_: list[Any]) -> None:
-    """Ignore a report of health."""
+    """Ignore a health report: no decision depends on it."""
 
 
 DECODERS: dict[str, Callable[[list[Any]], api.Event | None]] = {
@@ -135,7 +135,7 @@
     "jobIn": read_request,
     "ended": read_attempt_end,
     "underWay": read_answer_start,
-    "lapsed": read_lapse,
+    "lapsed": read_abandonment,
     "ledgerReply": read_counter_reply,
     "wakeup": read_timer,
     "whisper": read_gossip,
--- a/tests/operators/test_overrides.py
+++ b/tests/operators/test_overrides.py
@@ -24,24 +24,24 @@
 UP = "/ops/backends/up"
 
 
-async def ask_all(world: World, times: int = 12) -> list[int]:
-    """How many of some requests each backend got."""
+async def requests_per_backend(world: World, times: int = 12) -> list[int]:
+    """Send requests, and return how many of them each backend received."""
     peer = await world.client()
-    before = [len(b.got) for b in world.backends]
+    counts_before = [len(backend.got) for backend in world.backends]
     for number in range(times):
         assert await world.ask(peer, id=b"a%d" % number, name=b"wipe") == b"value"
     peer.close()
-    return [len(b.got) - was for b, was in zip(world.backends, before, strict=True)]
+    return [len(backend.got) - before for backend, before in zip(world.backends, counts_before, strict=True)]
 
 
-def test_nothing_goes_to_a_disabled_backend_whatever_the_list_says() -> None:
+def test_a_disabled_backend_gets_no_requests_whatever_the_endpoint_list_says() -> None:
     async def scenario() -> None:
         async with running(World(Backend(), Backend())) as world:
-            assert all(await ask_all(world, 40))
-            h0 = json.dumps({"id": "h0"}).encode()
-            for _ in range(2):  # calls may be repeated
-                assert (await call(world, "POST", DOWN, h0))[0] == 200
-            assert (await ask_all(world))[0] == 0 and (await stats(world))["ejected"] == 1
+            assert all(await requests_per_backend(world, 40))
+            body = json.dumps({"id": "h0"}).encode()
+            for _ in range(2):  # a repeated call is accepted
+                assert (await call(world, "POST", DOWN, body))[0] == 200
+            assert (await requests_per_backend(world))[0] == 0 and (await stats(world))["ejected"] == 1
             listed = world.hosts()
             world.discovery.change(42, {**listed[0], "health": "removed"})
             await until(lambda: True)
@@ -49,9 +49,9 @@
             world.discovery.change(44, *listed, {**host("h9", 1), "health": "draining"}, whole=True)
             while (await stats(world))["discovered"] < 3:
                 pass
-            assert (await ask_all(world))[0] == 0
-            assert (await call(world, "POST", UP, h0))[0] == 200
-            assert (await call(world, "POST", UP, h0))[0] == 200
+            assert (await requests_per_backend(world))[0] == 0
+            assert (await call(world, "POST", UP, body))[0] == 200
+            assert (await call(world, "POST", UP, body))[0] == 200
             assert (await stats(world))["ejected"] == 0
 
     in_loop(scenario)
@@ -62,39 +62,43 @@
         async with running(World(Backend(), Backend())) as first:
             assert (await call(first, "POST", DOWN, b'{"id": "h1"}'))[0] == 200
             async with running(World(Backend(), Backend())) as second:
-                assert (await ask_all(second))[1] == 0
+                assert (await requests_per_backend(second))[1] == 0
         async with running(World(Backend(), Backend())) as third:
-            assert (await ask_all(third))[1] == 0
+            assert (await requests_per_backend(third))[1] == 0
             assert (await call(third, "POST", UP, b'{"id": "h1"}'))[0] == 200
 
     in_loop(scenario)
 
 
-def test_an_override_is_followed_by_the_peer_process(tmp_path: Path) -> None:
+def test_an_override_is_applied_by_the_peer_process(tmp_path: Path) -> None:
     async def scenario() -> None:
         timers = Timers(asyncio.get_running_loop())
-        heard: list[tuple[str, bool]] = []
-        one, other = (
+        changes: list[tuple[str, bool]] = []
+        first, second = (
             OperatorOverrides(
-                tmp_path / "bans.json", timers, lambda host, out, since: heard.append((host, out))
+                tmp_path / "bans.json",
+                timers,
+                lambda host, is_disabled, since_ms: changes.append((host, is_disabled)),
             )
             for _ in range(2)
         )
-        one.set("h0", True)
-        await until(lambda: len(heard) == 2)
-        other.set("h1", True)
-        other.set("h0", False)
-        await until(lambda: len(heard) == 6)
-        assert one.active.keys() == other.active.keys() == {"h1"}
+        first.set("h0", True)
+        await until(lambda: len(changes) == 2)
+        second.set("h1", True)
+        second.set("h0", False)
+        await until(lambda: len(changes) == 6)
+        assert first.active.keys() == second.active.keys() == {"h1"}
         third = OperatorOverrides(
-            tmp_path / "bans.json", timers, lambda host, out, since: heard.append((host, out))
+            tmp_path / "bans.json",
+            timers,
+            lambda host, is_disabled, since_ms: changes.append((host, is_disabled)),
         )
-        assert heard[6:] == [("h1", True), ("h0", False)] and third.active.keys() == {"h1"}
+        assert changes[6:] == [("h1", True), ("h0", False)] and third.active.keys() == {"h1"}
 
     in_loop(scenario)
 
 
-def test_calls_that_name_nothing_known_are_rejected() -> None:
+def test_calls_that_name_no_known_backend_are_rejected() -> None:
     async def scenario() -> None:
         async with running(World(Backend())) as world:
             for path in (DOWN, UP):
@@ -106,7 +110,7 @@
     in_loop(scenario)
 
 
-def test_a_call_for_the_fleet_without_one_is_rejected_and_changes_nothing() -> None:
+def test_a_call_for_the_fleet_is_rejected_without_a_fleet_and_changes_nothing() -> None:
     async def scenario() -> None:
         async with running(World(Backend(), Backend())) as world:
             body = json.dumps({"id": "h0", "fleet": True}).encode()
@@ -118,15 +122,15 @@
     in_loop(scenario)
 
 
-BROKEN = ["", "{", "[]", '{"out": {"h0": "x"}, "back": {}}', '{"out": {}}', "[" * 9_999]
+MALFORMED_FILES = ["", "{", "[]", '{"out": {"h0": "x"}, "back": {}}', '{"out": {}}', "[" * 9_999]
 
 
-@pytest.mark.parametrize("text", BROKEN)
-def test_a_broken_file_harms_no_start(text: str) -> None:
+@pytest.mark.parametrize("text", MALFORMED_FILES)
+def test_a_gateway_starts_with_a_malformed_file_of_overrides(text: str) -> None:
     async def scenario() -> None:
         private_file("n0", "bans.json").write_text(text)
         async with running(World(Backend())) as world:
-            assert await ask_all(world, 3) == [3]
+            assert await requests_per_backend(world, 3) == [3]
 
     in_loop(scenario)
 
@@ -138,12 +142,12 @@
         monkeypatch.setenv("TMPDIR", os.fspath(tmp_path / "missing"))
         async with running(World(Backend())) as world:
             assert (await call(world, "POST", DOWN, b'{"id": "h0"}'))[0] == 503
-            assert await ask_all(world, 3) == [3]
+            assert await requests_per_backend(world, 3) == [3]
 
     in_loop(scenario)
 
 
-def test_the_policy_sends_nothing_to_a_disabled_backend_and_starts_it_slowly_after() -> None:
+def test_the_policy_sends_nothing_to_a_disabled_backend_and_slow_starts_it_once_enabled() -> None:
     world = Decisions([entry(1), entry(2)], plans=(api.Plan("basic"),))
     world.give(api.BackendOverridden(1, True, world.now))
     world.give(backends(entry(1, api.BackendState.GONE), scope=api.ListScope.CHANGES))
@@ -153,18 +157,18 @@
             assert send.backend == 2
             world.end(send)
     world.give(api.BackendOverridden(1, False, world.now))
-    got: list[float] = []
-    back_at = world.now
+    sent_after_ms: list[float] = []
+    enabled_at_ms = world.now
     for _ in range(100):
         world.pass_time(50)
         for send in sends(world.ask()):
             if send.backend == 1:
-                got.append(world.now - back_at)
+                sent_after_ms.append(world.now - enabled_at_ms)
             world.end(send)
-    assert got and len(got) < 40  # used within 5 s, yet not as the warm one is
+    assert sent_after_ms and len(sent_after_ms) < 40  # used within 5 s, but less than the warm backend
 
 
-def test_a_re_enabled_backend_is_used_soon_even_with_little_to_send() -> None:
+def test_a_re_enabled_backend_is_used_soon_even_at_low_load() -> None:
     for seed in range(20):
         world = Decisions([entry(n) for n in range(10)], seed=seed, plans=(api.Plan("basic"),))
         world.give(api.BackendOverridden(1, True, world.now))
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Bounds on the tree itself: lengths, the deploy file's list of decisions, the example of the README."""
+"""Limits on the source tree: lengths, the decision modules named in the deploy file, the README's example."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 ROOT = Path(__file__).parents[1]
 
 
-MOST_LINES = 800  # of one module: none may grow past it
-# Of the decisions' modules, those that decide nothing: types, state records, what operators are shown.
-UNDECIDED = {
+MAX_MODULE_LINES = 800
+# Modules of the policy that make no decisions: types, state records and the status that operators are shown.
+MODULES_WITHOUT_DECISIONS = {
     "interface/actions.py",
     "interface/events.py",
     "interface/records.py",
@@ -23,15 +23,15 @@
 }
 
 
-def test_no_module_is_long_and_all_that_decide_are_named() -> None:
-    """In place of 1,200 lines for all decisions together: that limit was withdrawn by the operators."""
+def test_no_module_is_too_long_and_the_deploy_file_names_all_decision_modules() -> None:
+    """Replaces a limit of 1,200 lines for all decision modules together, which the operators withdrew."""
     named = {Path(path) for path in tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]}
     files = {path.relative_to(ROOT) for path in ROOT.glob("switchline/policy/**/*.py")}
-    undecided = {Path("switchline/policy", name) for name in UNDECIDED}
-    assert undecided < files
-    assert named == {path for path in files - undecided if path.name != "__init__.py"}
+    without_decisions = {Path("switchline/policy", name) for name in MODULES_WITHOUT_DECISIONS}
+    assert without_decisions < files
+    assert named == {path for path in files - without_decisions if path.name != "__init__.py"}
     for path in [*ROOT.glob("switchline/**/*.py"), *ROOT.glob("testbed/**/*.py")]:
-        assert len(path.read_text().splitlines()) <= MOST_LINES, path.name
+        assert len(path.read_text().splitlines()) <= MAX_MODULE_LINES, path.name
 
 
 def test_no_line_is_over_110_characters() -> None:
@@ -43,6 +43,6 @@
 def test_the_readme_s_example_runs() -> None:
     example = re.findall(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)
     assert len(example) == 1
-    space: dict[str, object] = {}
-    exec(example[0], space)
-    assert space["sent"] and space["served"]
+    namespace: dict[str, object] = {}
+    exec(example[0], namespace)
+    assert namespace["sent"] and namespace["served"]
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""The pages are true of the tree: modules and pages that they name exist, the example of the README runs."""
+"""The pages match the source tree: what they name exists, and the example of the README runs."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 ROOT = Path(__file__).parents[1]
 EXAMPLE = ROOT / "deploy" / "example"
-# Pages of incidents tell of the program as it was then, under the names of then.
+# Pages of incidents are left out: they describe the program as it was then, with its names of that time.
 PAGES = [ROOT / "README.md", *sorted((ROOT / "docs").glob("*.md"))]
 MODULE = re.compile(r"[\w./-]*\w\.py\b")
 PAGE = re.compile(r"docs/[\w./-]*\.md")
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
-def test_each_page_says_at_its_top_whom_it_is_for(page: Path) -> None:
+def test_each_page_names_its_audience_at_the_top(page: Path) -> None:
     title, blank, audience, *_ = page.read_text().splitlines()
     assert title.startswith("# ") and not blank and audience.startswith("For ")
 
@@ -60,7 +60,7 @@
 
 
 def test_the_example_of_the_readme_answers(tmp_path: Path) -> None:
-    """The commands of the README, on ports that are free here."""
+    """Runs the commands of the README on free ports."""
     ports = {"6400": claimed_port(), "6401": claimed_port(), "6402": claimed_port(), "6410": claimed_port()}
     text = (EXAMPLE / "config.json").read_text()
     for written, free in ports.items():
@@ -74,7 +74,7 @@
         started("-m", "switchline", LB_CONFIG=str(config)),
     ):
         answered = subprocess.run(client, cwd=ROOT, capture_output=True, text=True, check=False)
-        while answered.returncode:  # until both listen; the test's time limit ends a vain wait
+        while answered.returncode:  # until both listen; otherwise the time limit of the test ends it
             time.sleep(0.1)
             answered = subprocess.run(client, cwd=ROOT, capture_output=True, text=True, check=False)
     assert answered.stdout.splitlines() == ["b'$5\\r\\nhello\\r\\n'"] * 3 + ["b'-BUSY 500\\r\\n'"] * 2
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -1,4 +1,4 @@
-"""The adapter to the simulator's wire: events in, actions out, bad input refused."""
+"""The simulator's adapter decodes events, encodes actions and ends at bad input."""
 
 from __future__ import annotations
 
@@ -24,40 +24,40 @@
     "rules": {"warmWithin": 10000.0, "startCapacity": 0.2, "drainGrace": 1000.0},
 }
 CREATE = [["create", 5, SETUP], ["backendsChanged", "SAVED", 1, [["a", 0, None, "ready", 1, 77, "std"]]]]
-JOB = ["jobIn", "d88e86a15d3a91c4", "view", "basic", "key:1", 3000.0, 1, 2, 0, 0]
+REQUEST = ["jobIn", "d88e86a15d3a91c4", "view", "basic", "key:1", 3000.0, 1, 2, 0, 0]
 
 
-def batch(*arrivals: list[object], moment: float = 10.0, gateway: int = 3) -> str:
+def batch_line(*arrivals: list[object], moment: float = 10.0, gateway: int = 3) -> str:
     return (
         json.dumps({"moment": moment, "groups": [{"gatewayId": gateway, "arrivals": list(arrivals)}]}) + "\n"
     )
 
 
-def play(*lines: str) -> tuple[int, list[dict[str, object]]]:
-    out = io.StringIO()
-    code = simulator.main(io.StringIO("".join(lines)), out)
-    return code, [json.loads(line) for line in out.getvalue().splitlines()]
+def run_adapter(*lines: str) -> tuple[int, list[dict[str, object]]]:
+    output = io.StringIO()
+    code = simulator.main(io.StringIO("".join(lines)), output)
+    return code, [json.loads(line) for line in output.getvalue().splitlines()]
 
 
-def test_empty_batches_and_end_of_input() -> None:
-    assert play('{"moment":1,"groups":[]}\n') == (0, [{"groups": []}])
-    assert play() == (0, [])
+def test_an_empty_batch_gets_an_empty_reply_and_the_end_of_input_ends_the_adapter() -> None:
+    assert run_adapter('{"moment":1,"groups":[]}\n') == (0, [{"groups": []}])
+    assert run_adapter() == (0, [])
 
 
-def test_a_request_is_sent_and_its_outcome_taken() -> None:
-    code, replies = play(
-        batch(*CREATE),
-        batch(JOB, moment=20),
-        batch(["ended", JOB[1], 0, 18.5, "Ok", True, 0, 77, None, None], moment=40),
+def test_a_request_is_sent_and_its_outcome_accepted() -> None:
+    code, replies = run_adapter(
+        batch_line(*CREATE),
+        batch_line(REQUEST, moment=20),
+        batch_line(["ended", REQUEST[1], 0, 18.5, "Ok", True, 0, 77, None, None], moment=40),
     )
     assert code == 0 and len(replies) == 3
     (group,) = replies[1]["groups"]  # type: ignore[misc]
-    assert group["gatewayId"] == 3 and ["callOut", JOB[1], 0.0, 77] in group["out"]
+    assert group["gatewayId"] == 3 and ["callOut", REQUEST[1], 0.0, 77] in group["out"]
 
 
-def test_every_event_of_the_wire_is_taken() -> None:
-    code, _ = play(
-        batch(
+def test_every_event_of_the_wire_is_accepted() -> None:
+    code, _ = run_adapter(
+        batch_line(
             *CREATE,
             ["wakeup", "x"],
             ["whisper", 1, "00ff"],
@@ -81,31 +81,31 @@
         "{}\n",
         '{"moment":"x","groups":[]}\n',
         '{"moment":1,"groups":[{"gatewayId":1}]}\n',
-        batch(["wakeup", "x"]),
-        batch(*CREATE, ["surprise"]),
-        batch(*CREATE, ["jobIn", 1]),
-        batch(*CREATE, []),
-        batch(["create"]),
-        batch(["create", 1, []]),
-        batch(*CREATE, ["whisper", 1, "zz"]),
-        batch(*CREATE, ["ended", "0", 0, 1, "Nonsense", True, 0, 77]),
+        batch_line(["wakeup", "x"]),
+        batch_line(*CREATE, ["surprise"]),
+        batch_line(*CREATE, ["jobIn", 1]),
+        batch_line(*CREATE, []),
+        batch_line(["create"]),
+        batch_line(["create", 1, []]),
+        batch_line(*CREATE, ["whisper", 1, "zz"]),
+        batch_line(*CREATE, ["ended", "0", 0, 1, "Nonsense", True, 0, 77]),
         "3\n",
-        batch(*CREATE, ["wakeup", 5]),
+        batch_line(*CREATE, ["wakeup", 5]),
     ],
 )
-def test_bad_input_is_named_in_one_line_and_ends_the_adapter(
+def test_bad_input_ends_the_adapter_with_an_error_of_one_line(
     line: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    code, replies = play(line)
-    said = capsys.readouterr()
+    code, replies = run_adapter(line)
+    captured = capsys.readouterr()
     assert code != 0 and replies == []
-    assert said.err.count("\n") == 1 and said.err.startswith("switchline.simulator: bad input: ")
+    assert captured.err.count("\n") == 1 and captured.err.startswith("switchline.simulator: bad input: ")
 
 
 def test_the_adapter_runs_as_a_command() -> None:
     run = subprocess.run(
         [sys.executable, "-m", "switchline.simulator"],
-        input=batch(*CREATE) + "oops\n",
+        input=batch_line(*CREATE) + "oops\n",
         capture_output=True,
         text=True,
         cwd=Path(__file__).parents[1],
--- a/tests/testbed/test_fleet_plays.py
+++ b/tests/testbed/test_fleet_plays.py
@@ -126,7 +126,10 @@
     assert views(played, "g0")[-1]["members"]["g2"] == "alive"  # added anew
     assert views(played, "g2")[-1]["members"]["g1"] == "alive"
     log = (played.folder / "gateways/g1/life-1.log").read_text()
-    assert "the changed configuration is rejected, the previous one stays in force" in log and "fleet: secret" in log
+    assert (
+        "the changed configuration is rejected, the previous one stays in force" in log
+        and "fleet: secret" in log
+    )
 
 
 @pytest.mark.timeout(120)
@@ -236,7 +239,9 @@
         ctl.members.main(["a:1", "b:1", "c:1"], standalone_mode=False)
     shown = capsys.readouterr().out
     assert ended.value.code == 1
-    assert shown.count("differs") == 1 and "dead 3 s" in shown and "g1 knows itself in a minority" in shown
+    assert (
+        shown.count("differs") == 1 and "dead 3 s" in shown and "g1 reports that it is in a minority" in shown
+    )
     assert "c:1 did not answer: refused" in shown
     with pytest.raises(SystemExit):
         ctl.members.main(["a:1", "b:1", "c:1", "--json"], standalone_mode=False)
--- a/tests/zones/test_zone_agreement.py
+++ b/tests/zones/test_zone_agreement.py
@@ -548,6 +548,6 @@
             ctl.cli(["zones", *addresses])
         assert ended.value.code == code
     told = capsys.readouterr().out
-    assert "behind" in told and "127.0.0.1:4: timed out" in told
+    assert "stale" in told and "127.0.0.1:4: timed out" in told
     found = {view["name"]: view["zones"] for view in views.values() if isinstance(view, dict)}
-    assert ctl.lagging(found) == {"b": ["g3"]}
+    assert ctl.stale_gateways(found) == {"b": ["g3"]}
