--- a/switchline/config.py
+++ b/switchline/config.py
@@ -214,23 +214,23 @@
     return str(IPv4Address(host)), int(port)
 
 
-def parse_shares(given: Any) -> Shares:
+def parse_shares(table: Any) -> Shares:
     """Read the optional table `connections`; a key that it lacks has its default.
 
     Raises:
         SettingError: It is not a table, or has an unknown key or a value that is not allowed.
     """
-    if given is None:
+    if table is None:
         return Shares()
-    if not isinstance(given, dict):
+    if not isinstance(table, dict):
         raise SettingError("connections: expected a table (JSON object)")
     names = {share_field.name for share_field in fields(Shares)}
-    if unknown := sorted(given.keys() - names):
+    if unknown := sorted(table.keys() - names):
         raise SettingError(f"connections: unknown key {unknown[0]!r}")
-    for name, value in given.items():
+    for name, value in table.items():
         if not _is_share(name, value):
             raise SettingError(f"connections: {name} can't be {value!r}")
-    shares = Shares(**given)
+    shares = Shares(**table)
     if shares.clients + shares.backends > 1 - MIN_SHARE_RATIO:
         raise SettingError(
             "connections: the shares of clients and backends leave too little for all other uses"
@@ -244,18 +244,18 @@
     return type(value) in (int, float) and MIN_SHARE_RATIO <= value <= 1 - MIN_SHARE_RATIO
 
 
-def parse_regions(given: Any) -> tuple[tuple[str, str], ...]:
+def parse_regions(table: Any) -> tuple[tuple[str, str], ...]:
     """Read the optional table `regions`, which has lists of zones by region, as pairs of zone and region.
 
     Raises:
         SettingError: It is not a table of lists of zones, or names a zone twice.
     """
-    if given is None:
+    if table is None:
         return ()
-    if not isinstance(given, dict):
+    if not isinstance(table, dict):
         raise SettingError("regions: expected a table (JSON object)")
     regions: dict[str, str] = {}
-    for region, zones in given.items():
+    for region, zones in table.items():
         if not isinstance(zones, list) or not all(isinstance(zone, str) and zone for zone in zones):
             raise SettingError(f"regions: {region!r} must be a list of names of zones")
         for zone in zones:
@@ -265,57 +265,61 @@
     return tuple(regions.items())
 
 
-def parse_state(given: Any) -> Path | None:
+def parse_state(folder_name: Any) -> Path | None:
     """Read the optional folder `state`; without one no state is stored.
 
     Raises:
         SettingError: It is not the name of a folder.
     """
-    if given is not None and not isinstance(given, str):
-        raise SettingError(f"state: not a string: {given!r}")
-    if "\0" in (given or ""):
+    if folder_name is not None and not isinstance(folder_name, str):
+        raise SettingError(f"state: not a string: {folder_name!r}")
+    if "\0" in (folder_name or ""):
         raise SettingError("state: the name of a folder can't contain a null character")
-    folder = os.environ.get(STATE_VARIABLE) or given
+    folder = os.environ.get(STATE_VARIABLE) or folder_name
     return Path(folder) if folder else None
 
 
-def parse_audit(given: Any) -> Path | None:
+def parse_audit(folder_name: Any) -> Path | None:
     """Read the optional folder `audit`; without one the audit's records are not stored.
 
     Raises:
         SettingError: It is not the path of a folder.
     """
-    if given is None:
+    if folder_name is None:
         return None
-    if not isinstance(given, str) or not 1 <= len(given) <= MAX_FOLDER_LENGTH or "\0" in given:
-        raise SettingError(f"audit: not the path of a folder: {given!r}")
-    return Path(given)
+    if (
+        not isinstance(folder_name, str)
+        or not 1 <= len(folder_name) <= MAX_FOLDER_LENGTH
+        or "\0" in folder_name
+    ):
+        raise SettingError(f"audit: not the path of a folder: {folder_name!r}")
+    return Path(folder_name)
 
 
-def parse_fleet(given: Any) -> FleetConfig | None:
+def parse_fleet(table: Any) -> FleetConfig | None:
     """Read the optional table `fleet`; without one the modules of gossip are not imported.
 
     Raises:
         SettingError: It is not a table, has an unknown key or a value that is not allowed, or the file of its
             secret can't be read.
     """
-    if given is None:
+    if table is None:
         return None
-    if not isinstance(given, dict):
+    if not isinstance(table, dict):
         raise SettingError("fleet: expected a table (JSON object)")
-    if unknown := sorted(given.keys() - FLEET_KEYS):
+    if unknown := sorted(table.keys() - FLEET_KEYS):
         raise SettingError(f"fleet: unknown key {unknown[0]!r}")
-    name, seeds = given.get("name"), given.get("seeds", [])
+    name, seeds = table.get("name"), table.get("seeds", [])
     if not isinstance(name, str) or not 1 <= len(name) <= MAX_FLEET_NAME_LENGTH:
         raise SettingError(f"fleet: name can't be {name!r}")
     if not isinstance(seeds, list) or len(seeds) > MAX_SEEDS:
         raise SettingError(f"fleet: seeds: not a list of at most {MAX_SEEDS} addresses")
-    secret = _read_secret(given.get("secret"))
-    listen = parse_address(given.get("listen", ""))
-    advertise = parse_address(given["advertise"]) if "advertise" in given else listen
+    secret = _read_secret(table.get("secret"))
+    listen = parse_address(table.get("listen", ""))
+    advertise = parse_address(table["advertise"]) if "advertise" in table else listen
     if not (listen[1] and advertise[1]):
         raise SettingError("fleet: the addresses listen and advertise need a port other than 0")
-    quarantine_after_s = _quarantine_after_s(given.get("shut_out_s", DEFAULT_QUARANTINE_AFTER_S))
+    quarantine_after_s = _quarantine_after_s(table.get("shut_out_s", DEFAULT_QUARANTINE_AFTER_S))
     addresses = tuple(parse_address(seed) for seed in seeds)
     return FleetConfig(name, listen, advertise, addresses, secret, quarantine_after_s)
 
@@ -335,9 +339,9 @@
     return secret
 
 
-def _quarantine_after_s(given: Any) -> float:
-    is_number = type(given) in (int, float)
-    in_range = is_number and MIN_QUARANTINE_AFTER_S <= given <= MAX_QUARANTINE_AFTER_S
-    if not in_range and given != 0:
-        raise SettingError(f"fleet: shut_out_s can't be {given!r}")
-    return float(given)
+def _quarantine_after_s(seconds: Any) -> float:
+    is_number = type(seconds) in (int, float)
+    in_range = is_number and MIN_QUARANTINE_AFTER_S <= seconds <= MAX_QUARANTINE_AFTER_S
+    if not in_range and seconds != 0:
+        raise SettingError(f"fleet: shut_out_s can't be {seconds!r}")
+    return float(seconds)
