--- a/switchline/log_events.py
+++ b/switchline/log_events.py
@@ -33,7 +33,7 @@
 # Gossip with the other gateways.
 GOSSIP_LISTENING: Final = "gossip listening: address=%s:%d"
 GOSSIP_NOT_LISTENING: Final = "gossip can't listen at %s:%d: %s"
-GOSSIP_DROPPED: Final = "gossip: datagrams dropped in the last %d s: %s"
+GOSSIP_DROPPED: Final = "gossip: messages dropped in the last %d s: %s"
 GOSSIP_NAME_SHARED: Final = "gossip: another process has this name"
 GOSSIP_NAME_FREE: Final = "gossip: no other process has this name any more"
 FACT_NOT_PUBLISHED: Final = "fact not published: error=%s"
