--- a/switchline/fleet_runtime/recovery/coordinator.py
+++ b/switchline/fleet_runtime/recovery/coordinator.py
@@ -195,7 +195,7 @@
         )
         self.stages.enter(Stage.WARMING_UP, f"the fleet lost power: {who}")
         back_ms = now_ms() - (time.monotonic() - self.began_s) * 1000
-        self.driver.give(
+        self.driver.dispatch(
             api.FleetOutage(back_ms - (found.median_downtime_s + OUTAGE_MARGIN_S) * 1000, back_ms)
         )
 
@@ -207,7 +207,7 @@
             "recovery.waiting_for": len(self.spending.waiting_for),
             "recovery.from_disk": self.state.restored,
             "recovery.from_peers": recovered,
-            "recovery.withheld": self.driver.withheld,
+            "recovery.withheld": self.driver.recovery_rejections,
             "recovery.waited_ms": self.waited_ms,
         }
 
@@ -229,6 +229,6 @@
             "customers": self.spending.customers,
             "spoilt": self.backend_list.rejected,
             "held_back": self.backend_list.is_withheld,
-            "withheld": self.driver.withheld,
+            "withheld": self.driver.recovery_rejections,
             "waited_ms": self.waited_ms,
         }
--- a/switchline/fleet_runtime/recovery/spending.py
+++ b/switchline/fleet_runtime/recovery/spending.py
@@ -77,5 +77,7 @@
             return
         self.waiting_for.discard(exchange.sender)
         for one in exchange.remaining_quotas:
-            self.driver.give(api.GatewayQuotaReport(one.key, one.plan, one.even_share, one.remaining_units))
+            self.driver.dispatch(
+                api.GatewayQuotaReport(one.key, one.plan, one.even_share, one.remaining_units)
+            )
         self.customers += len(exchange.remaining_quotas)
--- a/switchline/fleet_runtime/version_watch.py
+++ b/switchline/fleet_runtime/version_watch.py
@@ -83,8 +83,8 @@
         view = StalenessView(
             list_repair.own_seq(),
             list_repair.is_stale,
-            self.overrides.names(OverrideKind.SPARED_GATEWAY),
-            parse_floors(self.overrides.names(OverrideKind.VERSION_FLOOR)),
+            self.overrides.active_times_ms(OverrideKind.SPARED_GATEWAY),
+            parse_floors(self.overrides.active_times_ms(OverrideKind.VERSION_FLOOR)),
         )
         is_quarantined = quarantine.evaluate(node, now_s, now_ms(), view)
         self._set_behind(quarantine.stale_version)
@@ -105,7 +105,7 @@
         if kind == self.stale_kind:
             return
         if bool(kind) != bool(self.stale_kind):
-            self.parts.driver.give(api.StalenessChanged(bool(kind)))
+            self.parts.driver.dispatch(api.StalenessChanged(bool(kind)))
         self.stale_kind = kind
         if kind:
             self.trail.record("quota", "", "even share", f"its {kind} is behind")
--- a/switchline/service/calls/overrides.py
+++ b/switchline/service/calls/overrides.py
@@ -75,7 +75,7 @@
         """The overrides of a kind; None where this gateway has none of it."""
         return self.by_kind.get(kind.value)
 
-    def names(self, kind: OverrideKind) -> dict[str, float]:
+    def active_times_ms(self, kind: OverrideKind) -> dict[str, float]:
         """What is overridden now, and since when (Unix milliseconds)."""
         overrides = self.get(kind)
         return overrides.active if overrides is not None else {}
@@ -141,7 +141,7 @@
             case OverrideKind.ZONE:
                 return self.parts.driver.knows_zone(name)
             case OverrideKind.SPARED_GATEWAY:
-                return self.fleet.knows(name)
+                return self.fleet.is_known_member(name)
             case OverrideKind.VERSION_FLOOR:
                 from switchline.fleet.versions.staleness import parse_floors
 
--- a/switchline/service/calls/status.py
+++ b/switchline/service/calls/status.py
@@ -41,7 +41,7 @@
         driver = self.parts.driver
         gauges = driver.gauges() | self._gauges()
         counts = self.parts.guard.counts() | self._state_counts()
-        return Reply(200, self.parts.metrics.render(gauges, driver.zones(), counts))
+        return Reply(200, self.parts.metrics.render(gauges, driver.zone_metrics(), counts))
 
     def show_fleet(self) -> Reply:
         """The other gateways as this one sees them."""
--- a/switchline/service/drain.py
+++ b/switchline/service/drain.py
@@ -1,9 +1,9 @@
 """Draining: on an operator's call, in quarantine, and at the end of the process.
 
 A drain of the first two kinds ends again, and clients come back. The one at the end (SIGTERM, or the end of
-an upgrade's old process) goes as follows: the fleet is told, connections go on being accepted for `NOTICE_S`
-while the front notices, then open requests are answered. Those still open at `longest_drain_s` are failed,
-as SIGKILL would lose them; the settings' longest deadline moves that moment.
+an upgrade's old process) goes as follows: the fleet is told, connections go on being accepted for
+`DRAIN_NOTICE_S` while the front notices, then open requests are answered. Those still open at `max_drain_s`
+are failed, as SIGKILL would lose them; the settings' longest deadline moves that moment.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 
 log = logging.getLogger(__name__)
 
-NOTICE_S = 0.45  # the front goes on sending connections until it has asked and noticed
-# SIGKILL comes after SIGTERM no sooner than the longest deadline, counted as `LONGEST_DEADLINE_S` at most,
+DRAIN_NOTICE_S = 0.45  # the front goes on sending connections until it has asked and noticed
+# SIGKILL comes after SIGTERM no sooner than the longest deadline, counted as `MAX_DEADLINE_S` at most,
 # and `KILL_MARGIN_S`.
-LONGEST_DEADLINE_S = 3.0
+MAX_DEADLINE_S = 3.0
 KILL_MARGIN_S = 0.7
 ABORT_BEFORE_KILL_S = 0.3
-CLOSING_S = 0.15  # for the last answers to leave
+LAST_ANSWERS_TIMEOUT_S = 0.15  # for the last answers to leave
 
 
 class ClientIntake:
@@ -40,7 +40,7 @@
         """Send clients away until `stop_drain`, by an operator's call."""
         self.drained_by_operator = True
         log.info(log_events.DRAIN_STARTED)
-        self.clients.drain(NOTICE_S)
+        self.clients.drain(DRAIN_NOTICE_S)
 
     def stop_drain(self) -> bool:
         """Take clients again; False where this process is about to end."""
@@ -53,7 +53,7 @@
 
     def begin_quarantine(self) -> None:
         """Send clients away while this gateway is in quarantine."""
-        self.clients.drain(NOTICE_S)
+        self.clients.drain(DRAIN_NOTICE_S)
 
     def end_quarantine(self) -> None:
         """Take clients again, unless an operator or the end of the process forbids it."""
@@ -76,10 +76,10 @@
         log.info(log_events.SHUTDOWN_STARTED, len(parts.driver.requests.open))
         self.trail.record("ending", "", "", "SIGTERM")
         parts.guard.call("leaving the fleet", self.fleet.leave, not clients.handed_over)
-        abort_at = parts.loop.time() + self.longest_drain_s()
-        clients.shut_down(NOTICE_S)
+        abort_at = parts.loop.time() + self.max_drain_s()
+        clients.shut_down(DRAIN_NOTICE_S)
         if not clients.handed_over:
-            await asyncio.sleep(NOTICE_S)
+            await asyncio.sleep(DRAIN_NOTICE_S)
         clients.stop_accepting()
         try:
             async with asyncio.timeout_at(abort_at):
@@ -93,11 +93,11 @@
         log.warning(log_events.SHUTDOWN_DEADLINE, len(requests.open))
         requests.end_all()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(CLOSING_S):
+            async with asyncio.timeout(LAST_ANSWERS_TIMEOUT_S):
                 await self.parts.clients.wait_until_empty()
 
-    def longest_drain_s(self) -> float:
+    def max_drain_s(self) -> float:
         """Seconds after SIGTERM until what is still open is ended, before SIGKILL would lose it."""
         classes = self.parts.config.settings.classes
         longest_ms = max((kind.deadline_ms for kind in classes), default=math.inf)
-        return min(longest_ms / 1000, LONGEST_DEADLINE_S) + KILL_MARGIN_S - ABORT_BEFORE_KILL_S
+        return min(longest_ms / 1000, MAX_DEADLINE_S) + KILL_MARGIN_S - ABORT_BEFORE_KILL_S
--- a/switchline/service/driver.py
+++ b/switchline/service/driver.py
@@ -100,11 +100,11 @@
             parts.metrics,
             parts.buffers,
             self.report,
-            self.give,
+            self.dispatch,
         )
         self.requests = RequestLifecycle(context)
         self.attempts = AttemptSender(context, self.requests)
-        self.withheld = 0  # rejections in the recovery ramp of a whole fleet
+        self.recovery_rejections = 0  # rejections in the recovery ramp of a whole fleet
         self._known_backends = KnownNames[int]()
         self._known_zones = KnownNames[str]()
         self._events: deque[api.Event] = deque()
@@ -118,12 +118,12 @@
             "ejected": gateway_status.ejected_backend_count(self.gateway, now_ms()),
         }
 
-    def zones(self) -> dict[str, dict[str, int]]:
+    def zone_metrics(self) -> dict[str, dict[str, int]]:
         """The metrics of each zone, under a name that can stand in a metric's; of two alike, those of one."""
         by_zone = gateway_status.zone_metrics(self.gateway.zones, now_ms())
         return {zone_metric_name(zone): metrics for zone, metrics in by_zone.items()}
 
-    def give(self, event: api.Event) -> None:
+    def dispatch(self, event: api.Event) -> None:
         """Give the policy an event, after those that it has been given before."""
         self._events.append(event)
         if self._is_busy:
@@ -142,7 +142,7 @@
             self._abandon(event)
             return
         for action in actions:
-            done = self.guard.call(type(action).__name__, self.act, action)
+            done = self.guard.call(type(action).__name__, self.execute, action)
             if not done and isinstance(action, api.Send | api.Reject | api.Fail):
                 self.requests.fail(action.request)
 
@@ -151,7 +151,7 @@
         if isinstance(event, api.RequestArrived | api.AttemptEnded):
             self.requests.fail(event.request)
 
-    def act(self, action: api.Action) -> None:
+    def execute(self, action: api.Action) -> None:
         """Carry out an action of the policy."""
         match action:
             case api.Send(request, backend, timeout):
@@ -164,7 +164,7 @@
                 self.report.counts["failed"] += 1
                 self.requests.fail(request)
             case api.SetTimer(delay, timer):
-                self.timers.at(now_ms() + delay, partial(self.give, api.TimerFired(timer)))
+                self.timers.at(now_ms() + delay, partial(self.dispatch, api.TimerFired(timer)))
             case api.AddToCounter():
                 self._count(action)
             case _:
@@ -184,20 +184,20 @@
 
     def _reject(self, action: api.Reject) -> None:
         self.report.counts["refused for " + action.cause.value] += 1
-        self.withheld += action.cause is api.RejectionCause.RECOVERY
+        self.recovery_rejections += action.cause is api.RejectionCause.RECOVERY
         retry_after_ms = math.ceil(action.retry_after_ms)
         reply = b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms > 0 else REFUSED
         self.requests.finish(action.request, reply, OutcomeKind.DECLINED)
 
     def _count(self, action: api.AddToCounter) -> None:
         if self.counter is None:
-            self.give(api.CounterReplied(action.name, api.Outcome.CONNECT_FAILED, 0.0))
+            self.dispatch(api.CounterReplied(action.name, api.Outcome.CONNECT_FAILED, 0.0))
         else:
             self.counter.add(action.name, action.amount, action.expires_in_ms, self._on_counted)
 
     def _on_counted(self, name: str, outcome: api.Outcome, reading: float) -> None:
         self.report.counts["counter " + outcome.value] += 1
-        self.give(api.CounterReplied(name, outcome, reading))
+        self.dispatch(api.CounterReplied(name, outcome, reading))
 
     def restore_record(self, record: list[Any], at: float) -> bool:
         """Give the policy a record of an earlier process; whether it could be restored."""
@@ -214,7 +214,7 @@
             record = decode_record(values)
         except ValueError:
             record = None
-        self.give(api.PeerProcessMessage(record))
+        self.dispatch(api.PeerProcessMessage(record))
 
     def apply_list(
         self, scope: api.ListScope, members: tuple[ListedBackend, ...], held_until: float = -math.inf
@@ -223,7 +223,7 @@
 
         `held_until`: when the list before it was last known to hold (Unix milliseconds).
         """
-        self.give(api.BackendsChanged(scope, tuple(member.entry for member in members), held_until))
+        self.dispatch(api.BackendsChanged(scope, tuple(member.entry for member in members), held_until))
         # What a retired backend's attempts are retried at may be listed for the first time.
         for member in sorted(members, key=lambda one: one.entry.state is not api.BackendState.READY):
             entry = member.entry
@@ -249,9 +249,9 @@
         log.info(log_events.BACKEND_OVERRIDDEN, host, "taken out" if is_disabled else "put back")
         backend = host_number(host)
         self.backends.override(backend, is_disabled)
-        self.give(api.BackendOverridden(backend, is_disabled, since))
+        self.dispatch(api.BackendOverridden(backend, is_disabled, since))
 
     def override_zone(self, zone: str, is_disabled: bool, since: float) -> None:
         """Operators disabled a zone, or enabled it again, at `since` (Unix milliseconds)."""
         self.backends.override_zone(zone, is_disabled)
-        self.give(api.ZoneOverridden(zone, is_disabled, since))
+        self.dispatch(api.ZoneOverridden(zone, is_disabled, since))
--- a/switchline/service/optional_fleet.py
+++ b/switchline/service/optional_fleet.py
@@ -55,7 +55,7 @@
         if self.membership is not None:
             self.membership.leave(announce)
 
-    def knows(self, name: str) -> bool:
+    def is_known_member(self, name: str) -> bool:
         """Whether a gateway of this name is, or was, a member."""
         return self.membership is not None and self.membership.is_known_member(name)
 
--- a/switchline/service/program.py
+++ b/switchline/service/program.py
@@ -49,7 +49,7 @@
     guard = service.parts.guard
     discovery = service.parts.discovery
     if signals is not None:  # in step with the looks at overrides, so that it costs no further wake-up
-        service.parts.timers.every(SIGNAL_POLL_INTERVAL_MS, "signals", signals.take)
+        service.parts.timers.every(SIGNAL_POLL_INTERVAL_MS, "signals", signals.run_pending)
     loop.set_exception_handler(guard.on_loop_error)
     await service.load()
     watching = loop.create_task(guard.supervise("discovery", discovery.run))
--- a/switchline/service/reload.py
+++ b/switchline/service/reload.py
@@ -36,7 +36,7 @@
         parts.descriptors.configured_limit = config.descriptors
         parts.descriptors.shares = config.shares
         if config.settings.regions != before.settings.regions:
-            parts.driver.give(api.RegionsChanged(config.settings.regions))
+            parts.driver.dispatch(api.RegionsChanged(config.settings.regions))
         parts.config = config
         self.trail.record_config("SIGHUP")
         parts.descriptors.process_descriptors = own_descriptors(config)
--- a/switchline/service/service.py
+++ b/switchline/service/service.py
@@ -4,7 +4,7 @@
 
 1. The audit begins, with `audit` or `fleet` in the configuration.
 2. The state on disk is read, with `state`.
-3. Discovery is given `FIRST_LIST_WAIT_S` for a newer list.
+3. Discovery is given `FIRST_LIST_TIMEOUT_S` for a newer list.
 4. An older process of this gateway, if there is one, tells all it knows (`upgrade.py`).
 5. The fleet is joined and asked for what a lost or old disk lacks, with `fleet` and `state`.
 6. The state on disk is restored; with a state older than the fleet's, in part.
@@ -44,7 +44,7 @@
 
 log = logging.getLogger(__name__)
 
-FIRST_LIST_WAIT_S = 0.25  # discovery sends nothing if nothing changed
+FIRST_LIST_TIMEOUT_S = 0.25  # discovery sends nothing if nothing changed
 LISTEN_TIMEOUT_S = 25.0  # the platform allows 30 s for a start
 
 
@@ -124,13 +124,13 @@
     async def _wait_for_first_list(self) -> None:
         """Give discovery a moment: a backend of the last known list may be new or gone by now."""
         discovery = self.parts.discovery
-        if discovery.first_wait > FIRST_LIST_WAIT_S:
+        if discovery.first_wait > FIRST_LIST_TIMEOUT_S:
             return
         try:
-            async with asyncio.timeout(FIRST_LIST_WAIT_S):
+            async with asyncio.timeout(FIRST_LIST_TIMEOUT_S):
                 await discovery.heard.wait()
         except TimeoutError:
-            log.info(log_events.NO_FIRST_LIST, FIRST_LIST_WAIT_S)
+            log.info(log_events.NO_FIRST_LIST, FIRST_LIST_TIMEOUT_S)
 
     async def _recover(self, took_over: bool) -> None:
         """Restore what is known from the fleet and the disk, and open the operators' address."""
--- a/switchline/service/signals.py
+++ b/switchline/service/signals.py
@@ -13,7 +13,7 @@
     """Notes each signal in its handler, and acts on it in the event loop.
 
     The handler wakes the event loop up. That wake-up may be lost, as any system call may fail, and a lost
-    SIGTERM would cost all that is open: so `take` is to be called periodically as well.
+    SIGTERM would cost all that is open: so `run_pending` is to be called periodically as well.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, actions: dict[int, Callable[[], None]]) -> None:
@@ -27,9 +27,9 @@
     def _note(self, number: int, _: object) -> None:
         self.noted.append(number)
         with contextlib.suppress(OSError, RuntimeError):
-            self.loop.call_soon_threadsafe(self.take)
+            self.loop.call_soon_threadsafe(self.run_pending)
 
-    def take(self) -> None:
+    def run_pending(self) -> None:
         """Act on the signals that have been noted."""
         while self.noted:
             self.actions[self.noted.popleft()]()
--- a/switchline/service/upgrade.py
+++ b/switchline/service/upgrade.py
@@ -47,7 +47,7 @@
         self.handover = UpgradeHandover(
             private_file(parts.config.name, SOCKET_FILE),
             HandoverEvents(
-                peer_joined=partial(parts.driver.give, api.PeerProcessJoined()),
+                peer_joined=partial(parts.driver.dispatch, api.PeerProcessJoined()),
                 record_received=parts.driver.on_peer_record,
                 peer_serving=self._hand_over,
                 peer_left=self._on_peer_process_gone,
@@ -82,7 +82,7 @@
 
     def _on_peer_process_gone(self) -> None:
         """The peer process is gone; an old process takes back what it had handed over to a new one."""
-        self.parts.driver.give(api.PeerProcessLeft())
+        self.parts.driver.dispatch(api.PeerProcessLeft())
         self._set_peer_descriptors(0)
         if self._emptying is None:
             return
--- a/switchline/state/persistence.py
+++ b/switchline/state/persistence.py
@@ -177,7 +177,7 @@
                 store.put(kind, name, encode_override(change))
         for name, decision in self.zone_decisions.items():
             store.put(KIND_ZONE_DECISION, name, decision)
-        self.driver.give(api.PersistenceChanged(True))
+        self.driver.dispatch(api.PersistenceChanged(True))
         store.begin()
 
     def _on_committed(self, serial: int) -> None:
@@ -185,7 +185,7 @@
         outage_s = self._metrics.end_outage()
         if outage_s is not None:
             log.warning("state is stored on disk again, after an outage of %.1f s", outage_s)
-        self.driver.give(api.RecordsPersisted(serial))
+        self.driver.dispatch(api.RecordsPersisted(serial))
 
     def _on_failed(self, error: StateError) -> None:
         self._retire_store()
@@ -193,7 +193,7 @@
         self._locked_by_other = isinstance(error, FolderLockedError)
         self._metrics.failures += not self._locked_by_other
         self._first_commit_decided.set()
-        self.driver.give(api.PersistenceChanged(False))
+        self.driver.dispatch(api.PersistenceChanged(False))
         if self._ever_locked_folder or not self._locked_by_other:
             self._retry_timer = self.loop.call_later(RETRY_INTERVAL_S, self._retry)
 
@@ -287,7 +287,7 @@
         if self.store is not None:
             self.store.close()
         self._retire_store()
-        self.driver.give(api.PersistenceChanged(False))
+        self.driver.dispatch(api.PersistenceChanged(False))
 
     def acquire_folder(self) -> None:
         """Lock and use the folder, after the peer process of an upgrade releases it or has ended."""
@@ -302,7 +302,7 @@
             self._opening_store.close()
         if self.store is not None:
             store = self.store
-            self.driver.give(api.PersistenceChanged(False, final=True))
+            self.driver.dispatch(api.PersistenceChanged(False, final=True))
             store.close()
             store.join()
 
--- a/switchline/state/restore.py
+++ b/switchline/state/restore.py
@@ -153,7 +153,7 @@
         """
         if not saved.start_times_ms:
             return
-        self.driver.give(api.StateFileFound(saved.last_alive_ms, saved.start_times_ms, disk_is_current))
+        self.driver.dispatch(api.StateFileFound(saved.last_alive_ms, saved.start_times_ms, disk_is_current))
         self.dropped += saved.dropped
         for kind in POLICY_KINDS:
             for record in saved.of_kind(kind):
--- a/switchline/zones/coordination.py
+++ b/switchline/zones/coordination.py
@@ -122,7 +122,7 @@
         for zone in self.directives.keys() | directives.keys():
             directive = directives.get(zone, NO_DIRECTIVE)
             if directive != self.directives.get(zone):
-                self.driver.give(to_policy(zone, directive))
+                self.driver.dispatch(to_policy(zone, directive))
         self.directives = directives
 
     def _log_decisions(self, peers: GossipTransport) -> None:
--- a/tests/clients/test_clients.py
+++ b/tests/clients/test_clients.py
@@ -10,7 +10,7 @@
 
 import hiredis
 import pytest
-from driver_scene import Scene
+from driver_scene import DriverScene
 
 from switchline.clients import connection as connections
 from switchline.clients import server as clients
@@ -585,7 +585,7 @@
 
 def test_a_request_expires_by_when_it_came() -> None:
     async def scenario() -> None:
-        scene = Scene()
+        scene = DriverScene()
         command = parse_command(list(request(b"r1", wait=3_000)), None, 5_000.0)
         assert scene.driver.requests.reader.read(command).expires_ms == 8_000.0
 
--- a/tests/clients/test_connections.py
+++ b/tests/clients/test_connections.py
@@ -19,8 +19,8 @@
 from backend_attempts import Try, pool
 from connection_figures import config, figures
 from cutting_backend import Cutting
-from driver_scene import Scene
-from gateway_process import connect, start
+from driver_scene import DriverScene
+from gateway_process import connect_client, start_gateway
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -736,8 +736,8 @@
 
 def test_the_last_customer_s_first_request_finds_a_place_while_another_holds_all_it_can() -> None:
     async def scenario() -> None:
-        scene = Scene(max_open=16)
-        slots = [scene.ask(b"r%d" % number) for number in range(20)]
+        scene = DriverScene(max_open=16)
+        slots = [scene.send_request(b"r%d" % number) for number in range(20)]
         assert [slot.reply for slot in slots] == [None] * 12 + [b"-BUSY 200\r\n"] * 8
         small = Slot(scene.connection)
         words = list(request(b"small"))
@@ -747,7 +747,7 @@
         scene.driver.requests.on_client_gone("r0")
         assert scene.driver.requests.shares.slots_by_holder == {"00000000b4d65521": 11, "00000000b4d65522": 1}
         scene.driver.requests.end_all()
-        assert not scene.driver.requests.shares.slots_by_holder and scene.figures.rejected_for_capacity == 8
+        assert not scene.driver.requests.shares.slots_by_holder and scene.metrics.rejected_for_capacity == 8
 
     in_loop(scenario)
 
@@ -885,12 +885,12 @@
         path = tmp_path / "config.json"
         given = {**world.config(), "listen": f"{LOCAL}:{port}"}
         path.write_text(json.dumps(given))
-        process = await start(path)
+        process = await start_gateway(path)
         try:
-            await (await connect(port)).writer.drain()
+            await (await connect_client(port)).writer.drain()
 
             async def rush(number: int) -> object:
-                peer = await connect(port)
+                peer = await connect_client(port)
                 peer.send(*request(b"r%d" % number))
                 answer = await peer.receive()
                 peer.close()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,7 +13,7 @@
 from testbed.fixture import lab  # noqa: F401
 
 KNOWN_RED = Path(__file__).parents[1] / "KNOWN-RED.txt"
-MOST_KNOWN_RED = 3
+MAX_KNOWN_RED = 3
 
 settings.register_profile("repeatable", derandomize=True, deadline=None, database=None)
 settings.load_profile("repeatable")
@@ -22,8 +22,8 @@
 @pytest.fixture(autouse=True)
 def quick_drain(monkeypatch: pytest.MonkeyPatch) -> None:
     """Gateways in tests have no front that still sends them connections."""
-    monkeypatch.setattr("switchline.service.drain.NOTICE_S", 0.01)
-    monkeypatch.setattr("switchline.service.service.FIRST_LIST_WAIT_S", 0.01)
+    monkeypatch.setattr("switchline.service.drain.DRAIN_NOTICE_S", 0.01)
+    monkeypatch.setattr("switchline.service.service.FIRST_LIST_TIMEOUT_S", 0.01)
 
 
 @pytest.fixture(autouse=True)
@@ -50,8 +50,8 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    if len(KNOWN) > MOST_KNOWN_RED:
-        raise pytest.UsageError(f"KNOWN-RED.txt lists {len(KNOWN)} tests, {MOST_KNOWN_RED} at most")
+    if len(KNOWN) > MAX_KNOWN_RED:
+        raise pytest.UsageError(f"KNOWN-RED.txt lists {len(KNOWN)} tests, {MAX_KNOWN_RED} at most")
     for item in items:
         said = KNOWN.get(item.nodeid.partition("[")[0])
         if said is not None:
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -154,7 +154,7 @@
 
 def test_clients_are_taken_once_discovery_has_told_what_changed(monkeypatch: pytest.MonkeyPatch) -> None:
     """The list as last known may be old: a backend that it calls warm may have just been started."""
-    monkeypatch.setattr("switchline.service.service.FIRST_LIST_WAIT_S", 5.0)
+    monkeypatch.setattr("switchline.service.service.FIRST_LIST_TIMEOUT_S", 5.0)
 
     async def scenario() -> None:
         class Telling(Discovery):
--- a/tests/fleet/test_outage.py
+++ b/tests/fleet/test_outage.py
@@ -420,7 +420,7 @@
     monkeypatch.setattr(spending, "TIMEOUT_S", 0.1)
     state: Any = StoredState("h1")
     state.downtime_s, state.restored = (lambda: math.nan), 0
-    driver: Any = SimpleNamespace(settings=SimpleNamespace(gateways=2), withheld=0)
+    driver: Any = SimpleNamespace(settings=SimpleNamespace(gateways=2), recovery_rejections=0)
     recovery = FleetRecovery({}, state, driver, state, 0)
     recovery.attach(cast(Any, SilentPeerTransport()))
 
@@ -442,7 +442,7 @@
 def test_a_process_that_takes_over_answers_others_and_begins_no_recovery() -> None:
     state: Any = StoredState("h1")
     recovery = FleetRecovery(
-        {}, state, cast(Any, SimpleNamespace(gateway=policy_gateway(), withheld=0)), state, 3
+        {}, state, cast(Any, SimpleNamespace(gateway=policy_gateway(), recovery_rejections=0)), state, 3
     )
     assert recovery.spending.known_quotas() is None and [fact.value for fact in recovery.facts()] == ["2.0"]
     recovery.skip()
--- a/tests/service/test_driver.py
+++ b/tests/service/test_driver.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from driver_scene import Scene
+from driver_scene import DriverScene
 
 from switchline.clients.commands import parse_command
 from switchline.clients.slot import Slot
@@ -20,11 +20,11 @@
 
 def test_a_fault_in_the_module_ends_its_request_with_a_failure(caplog: pytest.LogCaptureFixture) -> None:
     async def scenario() -> None:
-        scene = Scene()
-        scene.module.answers[api.RequestArrived] = ValueError("what")
-        assert scene.ask().reply == FAILED
-        scene.module.answers[api.RequestArrived] = [api.Reject("r2", 30.5)]
-        assert scene.ask(b"r2").reply == b"-BUSY 31\r\n"
+        scene = DriverScene()
+        scene.policy.actions_by_event[api.RequestArrived] = ValueError("what")
+        assert scene.send_request().reply == FAILED
+        scene.policy.actions_by_event[api.RequestArrived] = [api.Reject("r2", 30.5)]
+        assert scene.send_request(b"r2").reply == b"-BUSY 31\r\n"
 
     in_loop(scenario)
     assert "RequestArrived could not be handled" in caplog.text
@@ -34,23 +34,23 @@
     """A fault at a timer or a counter's reply would leave its client without an answer."""
 
     async def scenario() -> None:
-        scene = Scene()
-        slot = scene.ask(wait=20)
+        scene = DriverScene()
+        slot = scene.send_request(wait=20)
         assert slot.reply is None
         await until(lambda: slot.answered)
         assert slot.reply == FAILED and not scene.driver.requests.open
-        assert scene.module.of(api.RequestAbandoned) == [api.RequestAbandoned("r1")]
+        assert scene.policy.events_of(api.RequestAbandoned) == [api.RequestAbandoned("r1")]
 
     in_loop(scenario)
 
 
 def test_attempts_are_limited_and_ignored_after_the_answer() -> None:
     async def scenario() -> None:
-        scene = Scene()
+        scene = DriverScene()
         send = api.Send("r1", 7)
-        scene.module.answers[api.RequestArrived] = [send, send, send, api.Reject("r1"), send]
-        scene.ask()
-        ended = scene.module.of(api.AttemptEnded)
+        scene.policy.actions_by_event[api.RequestArrived] = [send, send, send, api.Reject("r1"), send]
+        scene.send_request()
+        ended = scene.policy.events_of(api.AttemptEnded)
         outcomes = [
             (e.attempt, e.outcome, e.request_finished) for e in ended if isinstance(e, api.AttemptEnded)
         ]
@@ -66,15 +66,15 @@
 
 def test_an_attempt_s_own_time_out_leaves_the_request_open() -> None:
     async def scenario() -> None:
-        scene = Scene()
+        scene = DriverScene()
         server = await asyncio.start_server(lambda *_: None, LOCAL, 0)
         port = server.sockets[0].getsockname()[1]
         scene.backends.update(7, (LOCAL, port), api.BackendState.READY)
-        scene.module.answers[api.RequestArrived] = [api.Send("r1", 7, timeout_ms=20.0)]
-        scene.module.answers[api.AttemptEnded] = [api.Reject("r1")]
-        slot = scene.ask()
+        scene.policy.actions_by_event[api.RequestArrived] = [api.Send("r1", 7, timeout_ms=20.0)]
+        scene.policy.actions_by_event[api.AttemptEnded] = [api.Reject("r1")]
+        slot = scene.send_request()
         await until(lambda: slot.answered)
-        (ended,) = scene.module.of(api.AttemptEnded)
+        (ended,) = scene.policy.events_of(api.AttemptEnded)
         assert isinstance(ended, api.AttemptEnded)
         assert (ended.outcome, ended.request_finished) == (
             api.Outcome.TIMED_OUT,
@@ -88,20 +88,20 @@
 
 def test_more_open_requests_than_allowed_are_turned_away() -> None:
     async def scenario() -> None:
-        scene = Scene(max_open=1)
-        assert scene.ask().reply is None
-        assert scene.ask(b"r2").reply == b"-BUSY 200\r\n"
-        assert len(scene.module.events) == 1
+        scene = DriverScene(max_open=1)
+        assert scene.send_request().reply is None
+        assert scene.send_request(b"r2").reply == b"-BUSY 200\r\n"
+        assert len(scene.policy.events) == 1
 
     in_loop(scenario)
 
 
 def test_without_a_counter_calls_end_as_never_made() -> None:
     async def scenario() -> None:
-        scene = Scene()
-        scene.module.answers[api.RequestArrived] = [api.AddToCounter("n", 1.0, 100.0)]
-        scene.ask()
-        assert scene.module.of(api.CounterReplied) == [
+        scene = DriverScene()
+        scene.policy.actions_by_event[api.RequestArrived] = [api.AddToCounter("n", 1.0, 100.0)]
+        scene.send_request()
+        assert scene.policy.events_of(api.CounterReplied) == [
             api.CounterReplied("n", api.Outcome.CONNECT_FAILED, 0.0)
         ]
 
@@ -110,10 +110,10 @@
 
 def test_a_report_tells_what_became_of_the_requests(caplog: pytest.LogCaptureFixture) -> None:
     async def scenario() -> None:
-        scene = Scene()
-        scene.module.answers[api.RequestArrived] = [api.Reject("r1", 30.0, api.RejectionCause.QUOTA)]
+        scene = DriverScene()
+        scene.policy.actions_by_event[api.RequestArrived] = [api.Reject("r1", 30.0, api.RejectionCause.QUOTA)]
         scene.driver.report.states = lambda: {"clients.idle": 2, "clients.young": 0}
-        scene.ask()
+        scene.send_request()
         with caplog.at_level("INFO"):
             scene.driver.report.log_counts()
             scene.driver.report.log_counts()  # nothing came since
@@ -126,7 +126,7 @@
 KEYED_WINDOW_MS = 2_000.0  # of the class in helpers.py
 
 
-def keyed_request(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> tuple[Request, list[float]]:
+def keyed_request(scene: DriverScene, monkeypatch: pytest.MonkeyPatch) -> tuple[Request, list[float]]:
     """An open request of a keyed class, and the time that the driver is told."""
     now = [10_000.0]
     monkeypatch.setattr("switchline.requests.attempts.now_ms", lambda: now[0])
@@ -141,7 +141,7 @@
     """The module judges the window when it decides; the wait for a connection comes after that."""
 
     async def scenario() -> None:
-        scene = Scene()
+        scene = DriverScene()
         owner, now = keyed_request(scene, monkeypatch)
         attempt: Any = None
         assert (
@@ -161,7 +161,7 @@
 
 def test_an_attempt_that_was_turned_away_begins_no_window(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        scene = Scene()
+        scene = DriverScene()
         owner, now = keyed_request(scene, monkeypatch)
         scene.driver.attempts.send("r1", 7, 0.0)  # never listed, so it ends at once
         attempt: Any = None
--- a/tests/service/test_guard.py
+++ b/tests/service/test_guard.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from driver_scene import Scene
+from driver_scene import DriverScene
 
 from switchline.clients.commands import bulk
 from switchline.clients.slot import Slot
@@ -82,10 +82,10 @@
 
 def test_a_connection_with_an_open_request_is_not_closed_here() -> None:
     async def scenario() -> None:
-        scene = Scene()
+        scene = DriverScene()
         connection, wire = scene.connection, Wire()
         connection.connection_made(wire)
-        slot = scene.ask()
+        slot = scene.send_request()
         connection.close()
         assert not wire.ended
         assert connection.server.guard.violations[Invariant.NO_UNANSWERED_CLOSE] == 1
@@ -98,7 +98,7 @@
 
 def test_a_second_answer_is_counted_and_not_sent() -> None:
     async def scenario() -> None:
-        scene = Scene()
+        scene = DriverScene()
         wire = Wire()
         scene.connection.connection_made(wire)
         slot = Slot(scene.connection)
@@ -111,20 +111,20 @@
     in_loop(scenario)
 
 
-def hindered(scene: Scene, request: str) -> api.Outcome | None:
+def hindered(scene: DriverScene, request: str) -> api.Outcome | None:
     return scene.driver.attempts.reason_not_to_send(scene.driver.requests.open[request], now_ms())
 
 
 def test_no_attempt_begins_for_a_request_that_is_answered_or_whose_connection_is_lost() -> None:
     async def scenario() -> None:
-        scene = Scene()
+        scene = DriverScene()
         scene.connection.connection_made(Wire())
-        scene.ask()
+        scene.send_request()
         owner = scene.driver.requests.open["r1"]
         assert scene.driver.attempts.reason_not_to_send(owner, now_ms()) is None
-        scene.driver.act(api.Fail("r1"))
+        scene.driver.execute(api.Fail("r1"))
         assert scene.driver.attempts.reason_not_to_send(owner, now_ms()) is api.Outcome.IGNORED
-        scene.ask(b"r2")
+        scene.send_request(b"r2")
         owner = scene.driver.requests.open["r2"]
         scene.connection.connection_lost(None)
         assert scene.driver.attempts.reason_not_to_send(owner, now_ms()) is not None
@@ -134,9 +134,9 @@
 
 def test_what_may_not_run_twice_is_not_sent_again_once_it_may_have_run() -> None:
     async def scenario() -> None:
-        scene = Scene()
+        scene = DriverScene()
         scene.connection.connection_made(Wire())
-        scene.ask()
+        scene.send_request()
         owner = scene.driver.requests.open["r1"]
         owner.kind = next(
             kind for kind in scene.driver.settings.classes if kind.effect is api.Effect.NOT_IDEMPOTENT
--- a/tests/service/test_machine_faults.py
+++ b/tests/service/test_machine_faults.py
@@ -300,7 +300,7 @@
         before = signal.getsignal(signal.SIGUSR1)
         try:
             signals = Signals(Deaf(), {signal.SIGUSR1: taken.set})  # type: ignore[arg-type]
-            Timers(asyncio.get_running_loop()).every(1.0, "signals", signals.take)
+            Timers(asyncio.get_running_loop()).every(1.0, "signals", signals.run_pending)
             os.kill(os.getpid(), signal.SIGUSR1)
             await taken.wait()
         finally:
--- a/tests/service/test_process.py
+++ b/tests/service/test_process.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 import pytest
-from gateway_process import ROOT, connect, start
+from gateway_process import ROOT, connect_client, start_gateway
 
 from switchline import clock
 from switchline.clients.server import ClientServer
@@ -26,7 +26,7 @@
 from switchline.net.listen import listen
 from switchline.net.streams import BufferBudget
 from switchline.operators.metrics import Metrics
-from switchline.service.drain import CLOSING_S
+from switchline.service.drain import LAST_ANSWERS_TIMEOUT_S
 from switchline.service.service import Service
 from testbed.network.addresses import claimed_port
 from testbed.network.sockets import LOCAL, Reply, encode, until
@@ -54,7 +54,7 @@
     port, config = claimed_port(), folder / "config.json"
     given = {**worlds[0].config(), "listen": f"{LOCAL}:{port}"}
     config.write_text(json.dumps(given))
-    process = await start(config)
+    process = await start_gateway(config)
     try:
         yield Program(port, config, given, process)
     finally:
@@ -76,14 +76,14 @@
         backend = Backend(script)
         async with program(tmp_path, World(backend)) as made:
             port, process = made.port, made.process
-            peer, idle = await connect(port), await connect(port)
+            peer, idle = await connect_client(port), await connect_client(port)
             peer.send(b"PING")
             assert await peer.receive() == b"PONG"
             # Sent once: a safe request's attempt is called off after 0.6 s, and the drain takes 0.45.
             peer.send(*request(name=b"wipe", wait=60_000, body=b"x"))
             await until(lambda: backend.got)
             process.send_signal(signal.SIGTERM)
-            late = await connect(port)  # the front has not noticed yet
+            late = await connect_client(port)  # the front has not noticed yet
             answer = b"PONG"
             while answer == b"PONG":  # until the signal is taken
                 late.send(b"PING")
@@ -101,7 +101,7 @@
 
 def test_what_is_open_at_the_end_is_failed_rather_than_lost(monkeypatch: pytest.MonkeyPatch) -> None:
     """SIGKILL would leave its client without an answer; whether it ran is not known, so it is no refusal."""
-    monkeypatch.setattr("switchline.service.drain.FinalDrain.longest_drain_s", lambda _: 0.05)
+    monkeypatch.setattr("switchline.service.drain.FinalDrain.max_drain_s", lambda _: 0.05)
 
     async def silent(command: list[bytes]) -> Reply:
         return None
@@ -127,7 +127,7 @@
         settings = {**config["settings"], "classes": classes}
         given = {**config, "settings": settings, "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1"}
         service = Service(parse_config(given), asyncio.Event())
-        assert killed_s - 0.35 <= service.drain.longest_drain_s() + CLOSING_S < killed_s - 0.1
+        assert killed_s - 0.35 <= service.drain.max_drain_s() + LAST_ANSWERS_TIMEOUT_S < killed_s - 0.1
 
     in_loop(scenario)
 
@@ -135,8 +135,8 @@
 def test_at_the_end_what_never_left_is_refused_and_so_is_what_still_comes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("switchline.service.drain.FinalDrain.longest_drain_s", lambda _: 0.05)
-    monkeypatch.setattr("switchline.service.drain.CLOSING_S", 60.0)
+    monkeypatch.setattr("switchline.service.drain.FinalDrain.max_drain_s", lambda _: 0.05)
+    monkeypatch.setattr("switchline.service.drain.LAST_ANSWERS_TIMEOUT_S", 60.0)
 
     class Deaf(World):
         """Its backend's handshakes never come up: nobody accepts, and the backlog is full."""
@@ -174,7 +174,7 @@
     async def scenario() -> None:
         async with program(tmp_path, World(Backend())) as made:
             port, process = made.port, made.process
-            peer, asker = await connect(port), await connect(port)
+            peer, asker = await connect_client(port), await connect_client(port)
             peer.send(b"PING")
             assert await peer.receive() == b"PONG"
             whole = encode(*request(b"one")) + encode(*request(b"two"))
@@ -202,7 +202,7 @@
             await server.start()
         config = tmp_path / "config.json"
         config.write_text(json.dumps({**world.config(), "listen": f"{LOCAL}:0"}))
-        process = await start(config)
+        process = await start_gateway(config)
         await until(lambda: world.discovery.requests)
         process.send_signal(signal.SIGTERM)
         assert await process.wait() == 0
@@ -217,7 +217,7 @@
         old, new = World(Backend()), World(Backend())
         async with program(tmp_path, old, new) as made:
             port, process, config, given = made.port, made.process, made.config, made.given
-            peer = await connect(port)
+            peer = await connect_client(port)
             await until(lambda: old.discovery.watches)
             moved = json.dumps({**given, "discovery": f"{LOCAL}:{new.discovery.port}"})
             config.write_text(moved[: len(moved) // 2])
@@ -350,7 +350,7 @@
         old, new = World(Backend()), World(Backend())
         async with program(tmp_path, old, new) as made:
             port, process, config, begin = made.port, made.process, made.config, made.given
-            peer = await connect(port)
+            peer = await connect_client(port)
             assert await old.ask(peer, plan=b"basic") == b"value"
             await until(lambda: old.discovery.watches and old.counter.got)
             config.write_text("{")
--- a/tests/state/test_persistence.py
+++ b/tests/state/test_persistence.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 import pytest
-from gateway_process import connect, start
+from gateway_process import connect_client, start_gateway
 from operator_calls import call, stats
 from upgrade_site import UpgradeSite, running_site
 
@@ -341,15 +341,15 @@
         config.write_text(json.dumps({**world.config(), "listen": f"127.0.0.1:{port}"}))
         burst_sizes = list[int]()
         for _ in range(4):  # each process starts immediately after the previous one ends
-            process = await start(config)
+            process = await start_gateway(config)
             try:
-                burst_sizes.append(await spend_burst(world, await connect(port)))
+                burst_sizes.append(await spend_burst(world, await connect_client(port)))
             finally:
                 process.kill()
                 await process.wait()
         assert burst_sizes == [2, 0, 0, 0]
-        process = await start(config)
-        peer = await connect(port)
+        process = await start_gateway(config)
+        peer = await connect_client(port)
         await world.ask(peer, id=b"last", plan=b"basic", name=b"wipe")
         process.send_signal(signal.SIGTERM)  # it may come during a commit
         peer.close()
--- a/tests/support/gateway_process.py
+++ b/tests/support/gateway_process.py
@@ -12,7 +12,7 @@
 ROOT = Path(__file__).parents[2]
 
 
-async def start(config: Path) -> asyncio.subprocess.Process:
+async def start_gateway(config: Path) -> asyncio.subprocess.Process:
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -23,7 +23,7 @@
     )
 
 
-async def connect(port: int) -> Peer:
+async def connect_client(port: int) -> Peer:
     while True:
         try:
             return Peer(*await asyncio.open_connection(LOCAL, port))
