--- a/switchline/service/__init__.py
+++ b/switchline/service/__init__.py
@@ -1,1 +1,1 @@
-"""One gateway from start to end: the program, its composition, the driver of the decisions."""
+"""One gateway from start to end: the program, its parts, and the driver of the policy."""
--- a/switchline/service/audit_trail.py
+++ b/switchline/service/audit_trail.py
@@ -1,4 +1,4 @@
-"""The optional audit of versions, as the other parts see it: without one, nothing is recorded."""
+"""The optional audit of versions, as the other parts use it; without an audit, nothing is recorded."""
 
 from __future__ import annotations
 
@@ -15,25 +15,26 @@
 if TYPE_CHECKING:
     from switchline.audit.recorder import Audit
 
-# Records a kind, its subject, the subject's new version ("" for an act), and the cause.
+# Records, in this order: a kind, its subject, the subject's new version ("" for an act), and the cause.
 RecordVersion = Callable[[str, str, str, str], None]
 
-LEASED_QUOTA = f"leased, periods of {PERIOD_MS / 1000:.0f} s"  # the version of the usual division of quotas
+# Recorded as the version of `quota` while quotas are divided by leases from the counter, as they usually are.
+LEASED_QUOTA = f"leased, periods of {PERIOD_MS / 1000:.0f} s"
 
 
 def record_nothing(kind: str, subject: str, version: str, cause: str) -> None:
-    """Where there is no audit."""
+    """Record nothing; stands in for `AuditTrail.record` where there is no audit."""
 
 
 class AuditTrail:
-    """Owns the audit, which exists with `fleet` or `audit` in the configuration at the start."""
+    """Owns the audit, which exists if the configuration at the start has `fleet` or `audit`."""
 
     def __init__(self, parts: GatewayParts) -> None:
         self.parts = parts
         self.audit: Audit | None = None
 
     def begin(self) -> None:
-        """Open the audit, if it is configured, and record the versions that this process starts with."""
+        """Open the audit if it is configured, and record the versions that this process starts with."""
         config = self.parts.config
         if config.fleet is None and config.audit is None:
             return
@@ -50,32 +51,35 @@
         self.parts.discovery.on_accepted = self.record_backend_list
 
     def record(self, kind: str, subject: str = "", version: str = "", cause: str = "") -> None:
-        """Record that a subject has another version, or (without one) an act that follows from a version."""
+        """Record a subject's new version, or (with an empty version) an act that follows from a version."""
         if self.audit is not None:
             self.audit.record(kind, subject, version, cause)
 
     def record_config(self, cause: str) -> None:
-        """Record the configuration in force, by its digest."""
+        """Record the digest of the configuration in force."""
         self.record("config", "", self.parts.config.digest, cause)
 
     def record_backend_list(self) -> None:
-        """Record the list of backends in use, by its number and a digest of its backends."""
+        """Record the version of the endpoint list in use, with a digest of its backends."""
         if self.audit is None:
             return
         backends = self.parts.driver.gateway.backends.by_id.values()
-        known = sorted((backend.id, backend.is_ready, backend.started_ms) for backend in backends)
-        digest = hashlib.blake2b(repr(known).encode(), digest_size=4).hexdigest()
+        listed = sorted((backend.id, backend.is_ready, backend.started_ms) for backend in backends)
+        digest = hashlib.blake2b(repr(listed).encode(), digest_size=4).hexdigest()
         version = f"{self.parts.discovery.version} {digest}"
-        self.record("list", "", version, f"discovery: {len(known)} backends")
+        self.record("list", "", version, f"discovery: {len(listed)} backends")
 
     def outcome_counts(self) -> dict[str, int]:
-        """Requests by outcome, and attempts forwarded, since the start."""
+        """Return the numbers of requests by outcome and of attempts forwarded, since the start."""
         metrics = self.parts.metrics
-        ended = metrics.requests.items()
-        found = {kind.value: sum(n for (one, _), n in ended if one is kind) for kind in OutcomeKind}
-        return found | {"forwards": metrics.forwards}
+        request_counts = metrics.requests.items()
+        by_outcome = {
+            kind.value: sum(count for (outcome, _), count in request_counts if outcome is kind)
+            for kind in OutcomeKind
+        }
+        return by_outcome | {"forwards": metrics.forwards}
 
     def close(self) -> None:
-        """Close the files of the audit."""
+        """Close the audit's files; a fault in it is contained."""
         if self.audit is not None:
             self.parts.guard.call("closing the audit", self.audit.close)
--- a/switchline/service/calls/__init__.py
+++ b/switchline/service/calls/__init__.py
@@ -1,1 +1,1 @@
-"""What operators call: overrides, drains, metrics and the state of the fleet."""
+"""The calls of operators: overrides, drains, metrics and the state of the fleet."""
--- a/switchline/service/calls/overrides.py
+++ b/switchline/service/calls/overrides.py
@@ -1,4 +1,4 @@
-"""What operators override by hand: disabled backends and zones, spared gateways, version floors."""
+"""Operators' overrides: disabled backends and zones, gateways exempt from quarantine, version floors."""
 
 from __future__ import annotations
 
@@ -23,11 +23,12 @@
 
 YES = Reply(200, "yes\n")
 
-Persist = Callable[[str, str, bool, float], object]  # kind, name, whether it is set, since when
+# Stores an override. Takes its kind, its name, whether it is set, and when it changed (Unix milliseconds).
+Persist = Callable[[str, str, bool, float], object]
 
 
 class OverrideKind(StrEnum):
-    """What an override is about; the value names its rows on disk and its facts in the fleet."""
+    """What an override applies to; the value names its rows on disk and its facts in the fleet."""
 
     BACKEND = "held-host"
     ZONE = "held-zone"
@@ -37,7 +38,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OverrideForm:
-    """How a kind of overrides appears: its file in `$TMPDIR`, and its records in the audit."""
+    """How a kind of overrides is written.
+
+    Attributes:
+        file_name: The suffix of its file in `$TMPDIR`.
+        audit_kind: The kind of its records in the audit.
+        set_version: The version in the audit of an override that is set.
+        cleared_version: The version in the audit of an override that is cleared.
+    """
 
     file_name: str
     audit_kind: str
@@ -45,19 +53,23 @@
     cleared_version: str
 
 
-FORMS = {
+OVERRIDE_FORMS = {
     OverrideKind.BACKEND: OverrideForm("bans.json", "ban", "down", "up"),
     OverrideKind.ZONE: OverrideForm("zones.json", "zone ban", "down", "up"),
     OverrideKind.SPARED_GATEWAY: OverrideForm("spare.json", "spare", "set", "ended"),
     OverrideKind.VERSION_FLOOR: OverrideForm("floor.json", "floor", "set", "ended"),
 }
-LOCAL_KINDS = {OverrideKind.BACKEND, OverrideKind.ZONE}  # those that need no fleet
+LOCAL_KINDS = {OverrideKind.BACKEND, OverrideKind.ZONE}  # kinds that exist without a fleet too
 
 
 class OverrideSet:
     """Owns the overrides of each kind, and applies each change to the policy, the disk and the audit.
 
-    Kinds that need a fleet exist if the configuration named one at the start.
+    Kinds that need a fleet exist only if the configuration named one at the start.
+
+    Attributes:
+        persist: Stores each change on disk; None without a state on disk.
+        by_kind: The overrides by the value of their kind.
     """
 
     def __init__(self, parts: GatewayParts, trail: AuditTrail) -> None:
@@ -65,35 +77,35 @@
         self.trail = trail
         self.persist: Persist | None = None
         self.by_kind: dict[str, OperatorOverrides] = {}
-        for kind, form in FORMS.items():
+        for kind, form in OVERRIDE_FORMS.items():
             if kind in LOCAL_KINDS or parts.config.fleet is not None:
                 path = private_file(parts.config.name, form.file_name)
                 changed = partial(self._on_changed, kind)
                 self.by_kind[kind.value] = OperatorOverrides(path, parts.timers, changed)
 
     def get(self, kind: OverrideKind) -> OperatorOverrides | None:
-        """The overrides of a kind; None where this gateway has none of it."""
+        """Return the overrides of a kind; None if this gateway does not have the kind."""
         return self.by_kind.get(kind.value)
 
     def active_times_ms(self, kind: OverrideKind) -> dict[str, float]:
-        """What is overridden now, and since when (Unix milliseconds)."""
+        """Return when each active override of a kind was set (Unix milliseconds), by name."""
         overrides = self.get(kind)
         return overrides.active if overrides is not None else {}
 
-    def _on_changed(self, kind: OverrideKind, name: str, is_set: bool, since_ms: float) -> None:
+    def _on_changed(self, kind: OverrideKind, name: str, is_set: bool, changed_at_ms: float) -> None:
         if kind is OverrideKind.BACKEND:
-            self.parts.driver.override_backend(name, is_set, since_ms)
+            self.parts.driver.override_backend(name, is_set, changed_at_ms)
         elif kind is OverrideKind.ZONE:
-            self.parts.driver.override_zone(name, is_set, since_ms)
-        form = FORMS[kind]
+            self.parts.driver.override_zone(name, is_set, changed_at_ms)
+        form = OVERRIDE_FORMS[kind]
         version = form.set_version if is_set else form.cleared_version
-        self.trail.record(form.audit_kind, name, f"{version} {since_ms:.0f}", "by hand")
+        self.trail.record(form.audit_kind, name, f"{version} {changed_at_ms:.0f}", "by hand")
         if self.persist is not None:
-            self.persist(kind.value, name, is_set, since_ms)
+            self.persist(kind.value, name, is_set, changed_at_ms)
 
 
 class OverrideCalls:
-    """Answers operators' calls that set or clear an override, here or at all gateways of the fleet."""
+    """Answers operators' calls that set or clear an override, at this gateway or at all of the fleet."""
 
     def __init__(
         self,
@@ -108,18 +120,18 @@
         self.fleet = fleet
 
     def call(self, kind: OverrideKind, is_set: bool, name: str, whole_fleet: bool) -> Reply | DeferredReply:
-        """Set or clear an override; where it is for the whole fleet, here first."""
+        """Set or clear an override; one for the whole fleet is applied at this gateway first."""
         if whole_fleet and self.fleet.calls is None:
             return Reply(503, "there is no line to other gateways\n")
-        answer = self._call_here(kind, is_set, name)
-        return self._call_everywhere(answer, kind, is_set, name) if whole_fleet else answer
+        reply = self._call_here(kind, is_set, name)
+        return self._call_fleet(reply, kind, is_set, name) if whole_fleet else reply
 
-    async def _call_everywhere(
-        self, answer: Reply | DeferredReply, kind: OverrideKind, is_set: bool, name: str
+    async def _call_fleet(
+        self, reply: Reply | DeferredReply, kind: OverrideKind, is_set: bool, name: str
     ) -> Reply:
-        here = answer if isinstance(answer, Reply) else await answer
-        if here is not YES or self.fleet.calls is None:
-            return here
+        local_reply = reply if isinstance(reply, Reply) else await reply
+        if local_reply is not YES or self.fleet.calls is None:
+            return local_reply
         from switchline.fleet.fact_kinds import FLEET_WIDE
 
         return await self.fleet.calls.propagate(FLEET_WIDE[kind.value], name, is_set)
@@ -128,13 +140,13 @@
         overrides = self.overrides.get(kind)
         if overrides is None:
             return Reply(404, "no such path\n")
-        if not (self._knows(kind, name) or name in overrides.active):
+        if not (self._is_known(kind, name) or name in overrides.active):
             return Reply(404, "no such name\n")
         if self.persistence is not None:
             return self._commit(self.persistence, kind, overrides, is_set, name)
         return self._set(overrides, is_set, name)
 
-    def _knows(self, kind: OverrideKind, name: str) -> bool:
+    def _is_known(self, kind: OverrideKind, name: str) -> bool:
         match kind:
             case OverrideKind.BACKEND:
                 return self.parts.driver.knows_backend(name)
@@ -164,12 +176,12 @@
         is_set: bool,
         name: str,
     ) -> Reply:
-        """Answer yes once the override is on disk."""
+        """Set or clear an override that is stored on disk; answer yes only once it is on disk."""
         if not is_set and name not in overrides.active:
-            return YES  # calls may be repeated
+            return YES  # an operator may repeat a call
         if not await persistence.commit_override(kind.value, name, is_set):
             return Reply(503, "it could not be kept on disk\n")
-        answer = self._set(overrides, is_set, name)
-        if answer is not YES:
+        reply = self._set(overrides, is_set, name)
+        if reply is not YES:
             persistence.revert_override(kind.value, name)
-        return answer
+        return reply
--- a/switchline/service/calls/routes.py
+++ b/switchline/service/calls/routes.py
@@ -1,4 +1,4 @@
-"""Which function answers each path of the operators' address."""
+"""Maps each path of the operators' address to the function that answers it."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 def operator_routes(status: ServiceStatus, overrides: OverrideCalls, intake: ClientIntake) -> OperatorCalls:
-    """The operators' calls by path."""
+    """Return the operators' calls by path."""
 
     def start_drain() -> Reply:
-        """Send clients away."""
+        """Drain clients until `/ops/drain/stop`."""
         intake.start_drain()
         return YES
 
     def stop_drain() -> Reply:
-        """Take clients again."""
+        """Take clients again; the reply is 503 if this process is about to end."""
         return YES if intake.stop_drain() else Reply(503, "this process is about to end\n")
 
     override = overrides.call
--- a/switchline/service/calls/status.py
+++ b/switchline/service/calls/status.py
@@ -1,4 +1,4 @@
-"""What operators see: readiness, metrics, the fleet, the audit; and what the periodic report shows."""
+"""What operators can read (readiness, metrics, fleet, audit), and the counts of the periodic report."""
 
 from __future__ import annotations
 
@@ -33,35 +33,35 @@
         self.fleet = fleet
 
     def readiness(self) -> Reply:
-        """Whether this process takes clients."""
+        """Return yes (200) if this process takes clients, else no (503)."""
         return YES if self.parts.clients.takes_clients else Reply(503, "no\n")
 
     def stats(self) -> Reply:
-        """All metrics, as text."""
+        """Return all metrics, as text."""
         driver = self.parts.driver
         gauges = driver.gauges() | self._gauges()
         counts = self.parts.guard.counts() | self._state_counts()
         return Reply(200, self.parts.metrics.render(gauges, driver.zone_metrics(), counts))
 
     def show_fleet(self) -> Reply:
-        """The other gateways as this one sees them."""
-        described = self.fleet.describe()
-        return Reply(200, json.dumps(described) + "\n") if described is not None else NO_SUCH_PATH
+        """Return the other gateways as this one sees them, as JSON."""
+        description = self.fleet.describe()
+        return Reply(200, json.dumps(description) + "\n") if description is not None else NO_SUCH_PATH
 
     def show_audit(self) -> Reply:
-        """The versions that this process acts on, and its last records."""
+        """Return the versions in force in this process and its last audit records, as JSON."""
         audit = self.trail.audit
         return Reply(200, audit.to_json() + "\n") if audit is not None else NO_SUCH_PATH
 
     def report_counts(self) -> dict[str, int]:
-        """For the periodic report: the connections now, and what became of others since the start."""
+        """Return the counts of the periodic report: connections at present, and events since the start."""
         parts = self.parts
         return (
             self._gauges() | parts.metrics.connection_counts() | parts.guard.counts() | self._state_counts()
         )
 
     def _gauges(self) -> dict[str, int]:
-        """Connections by state, descriptors, and the gauges of the optional parts."""
+        """Return connections by state, descriptors, and the gauges of the optional parts."""
         parts = self.parts
         gauges = parts.clients.gauges() | parts.backends.gauges() | parts.descriptors.gauges()
         if self.persistence is not None:
--- a/switchline/service/drain.py
+++ b/switchline/service/drain.py
@@ -1,9 +1,10 @@
 """Draining: on an operator's call, in quarantine, and at the end of the process.
 
-A drain of the first two kinds ends again, and clients come back. The one at the end (SIGTERM, or the end of
-an upgrade's old process) goes as follows: the fleet is told, connections go on being accepted for
-`DRAIN_NOTICE_S` while the front notices, then open requests are answered. Those still open at `max_drain_s`
-are failed, as SIGKILL would lose them; the settings' longest deadline moves that moment.
+A drain of the first two kinds can be undone: clients are taken again. The final drain (after SIGTERM, or when
+the old process of an upgrade ends) is not undone. This gateway announces to the fleet that it leaves, unless
+another process has taken over. It goes on accepting connections for `DRAIN_NOTICE_S`, until the front has
+noticed, and then answers the requests in flight. Those still in flight after `max_drain_s`, which depends on
+the longest deadline in the settings, are failed: SIGKILL would end the process without an answer to them.
 """
 
 from __future__ import annotations
@@ -20,30 +21,31 @@
 
 log = logging.getLogger(__name__)
 
-DRAIN_NOTICE_S = 0.45  # the front goes on sending connections until it has asked and noticed
-# SIGKILL comes after SIGTERM no sooner than the longest deadline, counted as `MAX_DEADLINE_S` at most,
-# and `KILL_MARGIN_S`.
+# The front goes on sending connections until it has asked this gateway again and noticed the drain.
+DRAIN_NOTICE_S = 0.45
+# SIGKILL follows SIGTERM no sooner than after the longest deadline of the settings, but `MAX_DEADLINE_S` at
+# most, plus `KILL_MARGIN_S`.
 MAX_DEADLINE_S = 3.0
 KILL_MARGIN_S = 0.7
-ABORT_BEFORE_KILL_S = 0.3
-LAST_ANSWERS_TIMEOUT_S = 0.15  # for the last answers to leave
+ABORT_BEFORE_KILL_S = 0.3  # the requests still in flight are failed this long before SIGKILL may come
+LAST_ANSWERS_TIMEOUT_S = 0.15  # for sending the answers of the requests that were failed
 
 
 class ClientIntake:
-    """Owns whether clients are sent away for a time: by an operator, or in quarantine."""
+    """Starts and stops the drains that can be undone: by an operator, or in quarantine."""
 
     def __init__(self, parts: GatewayParts) -> None:
         self.clients = parts.clients
         self.drained_by_operator = False
 
     def start_drain(self) -> None:
-        """Send clients away until `stop_drain`, by an operator's call."""
+        """Drain clients until `stop_drain`, on an operator's call."""
         self.drained_by_operator = True
         log.info(log_events.DRAIN_STARTED)
         self.clients.drain(DRAIN_NOTICE_S)
 
     def stop_drain(self) -> bool:
-        """Take clients again; False where this process is about to end."""
+        """Take clients again, on an operator's call; return False if this process is about to end."""
         if self.clients.shutting_down:
             return False
         self.drained_by_operator = False
@@ -52,17 +54,17 @@
         return True
 
     def begin_quarantine(self) -> None:
-        """Send clients away while this gateway is in quarantine."""
+        """Drain clients while this gateway is in quarantine."""
         self.clients.drain(DRAIN_NOTICE_S)
 
     def end_quarantine(self) -> None:
-        """Take clients again, unless an operator or the end of the process forbids it."""
+        """Take clients again, unless an operator drains this gateway or the process is about to end."""
         if not (self.drained_by_operator or self.clients.shutting_down):
             self.clients.undrain()
 
 
 class FinalDrain:
-    """The drain at the end of the process."""
+    """Carries out the drain at the end of the process."""
 
     def __init__(self, parts: GatewayParts, trail: AuditTrail, fleet: OptionalFleet) -> None:
         self.parts = parts
@@ -70,7 +72,7 @@
         self.fleet = fleet
 
     async def run(self) -> None:
-        """Stop accepting once the front has noticed, and answer all that is open."""
+        """Stop accepting once the front has noticed, and wait until all requests in flight are answered."""
         parts = self.parts
         clients = parts.clients
         log.info(log_events.SHUTDOWN_STARTED, len(parts.driver.requests.open))
@@ -88,7 +90,7 @@
             await self._abort()
 
     async def _abort(self) -> None:
-        """Answer what is still open, and give these answers a moment to leave."""
+        """Fail the requests still in flight; give their answers `LAST_ANSWERS_TIMEOUT_S` to be sent."""
         requests = self.parts.driver.requests
         log.warning(log_events.SHUTDOWN_DEADLINE, len(requests.open))
         requests.end_all()
@@ -97,7 +99,7 @@
                 await self.parts.clients.wait_until_empty()
 
     def max_drain_s(self) -> float:
-        """Seconds after SIGTERM until what is still open is ended, before SIGKILL would lose it."""
+        """Return the seconds from SIGTERM until the requests still in flight are failed, ahead of SIGKILL."""
         classes = self.parts.config.settings.classes
-        longest_ms = max((kind.deadline_ms for kind in classes), default=math.inf)
-        return min(longest_ms / 1000, MAX_DEADLINE_S) + KILL_MARGIN_S - ABORT_BEFORE_KILL_S
+        max_deadline_ms = max((request_class.deadline_ms for request_class in classes), default=math.inf)
+        return min(max_deadline_ms / 1000, MAX_DEADLINE_S) + KILL_MARGIN_S - ABORT_BEFORE_KILL_S
--- a/switchline/service/driver.py
+++ b/switchline/service/driver.py
@@ -1,7 +1,7 @@
-"""Drives the policy: events in, actions out. Decides nothing itself.
+"""Passes events to the policy and carries out the actions that it returns; takes no decisions itself.
 
-Requests and attempts are in `switchline.requests`; this has the queue of events, the carrying out of actions,
-and what the policy is told of backends and zones.
+`switchline.requests` has the handling of requests and attempts. This module has the queue of events, the
+execution of actions, and the events about backends and zones.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_KNOWN_NAMES = 1_024  # backends and zones that are remembered after they have left the list
+MAX_KNOWN_NAMES = 1_024  # backends, and likewise zones, that are remembered after they have left the list
 NOT_IN_METRIC_NAMES = re.compile(r"[^A-Za-z0-9_-]")
 MAX_METRIC_NAME_LENGTH = 64
 
@@ -40,18 +40,18 @@
 
 
 def zone_metric_name(zone: str) -> str:
-    """A zone's name as it can stand in a metric's."""
+    """Return a zone's name in the characters and the length that a metric's name allows."""
     return NOT_IN_METRIC_NAMES.sub("_", zone)[:MAX_METRIC_NAME_LENGTH] or "_"
 
 
 class KnownNames(Generic[Name]):
-    """Owns the names that lists have had; the earliest are forgotten."""
+    """Remembers the names on endpoint lists; those listed least recently are dropped first."""
 
     def __init__(self) -> None:
-        self._names: dict[Name, None] = {}  # the last named at the end
+        self._names: dict[Name, None] = {}  # the most recently listed name is last
 
     def add(self, name: Name) -> None:
-        """A list has this name."""
+        """Note that a list has this name."""
         self._names.pop(name, None)
         self._names[name] = None
         while len(self._names) > MAX_KNOWN_NAMES:
@@ -63,26 +63,41 @@
 
 @dataclass(frozen=True, slots=True)
 class DriverParts:
-    """What the driver carries out actions with."""
+    """What the driver needs to carry out actions.
+
+    Attributes:
+        counter: None if the configuration names no counter.
+        buffers: The memory budget of long values.
+        max_open: How many requests may be in flight at once.
+        replicate: Sends a record of the policy to the peer process of an upgrade.
+    """
 
     timers: Timers
     backends: BackendPool
     counter: Counter | None
     metrics: Metrics
     buffers: BufferBudget
-    max_open: int  # requests at once
-    replicate: Callable[[list[Any]], None]  # sends a message to the peer process of an upgrade
+    max_open: int
+    replicate: Callable[[list[Any]], None]
 
 
 class Driver:
-    """Owns the policy, and is the only one to call it.
+    """Owns the policy; no other part passes events to it.
+
+    Events are handled one after another: if an action causes an event while it is carried out, that event is
+    queued and handled after the other actions that were returned with this one.
+
+    Args:
+        settings: Of the policy.
+        seed: Of the policy's random choices.
+        parts: What actions are carried out with.
 
-    Events are taken one after another: an action that ends at once brings its event after the actions that
-    were given with it.
+    Attributes:
+        persist: Stores a record on disk under its serial number; does nothing without a state on disk.
+        recovery_rejections: Number of requests rejected in the recovery ramp of a whole fleet.
     """
 
     def __init__(self, settings: api.Settings, seed: int, parts: DriverParts) -> None:
-        """`seed` of the policy's random choices."""
         self.settings = settings
         self.gateway = Gateway(settings, seed)
         self.timers = parts.timers
@@ -90,7 +105,7 @@
         self.backends = parts.backends
         self.counter = parts.counter
         self.replicate = parts.replicate
-        self.persist: Callable[[int, list[Any]], None] = lambda serial, record: None  # on disk
+        self.persist: Callable[[int, list[Any]], None] = lambda serial, record: None
         self.report = PeriodicReport(parts.timers)
         context = RequestContext(
             settings,
@@ -104,14 +119,14 @@
         )
         self.requests = RequestLifecycle(context)
         self.attempts = AttemptSender(context, self.requests)
-        self.recovery_rejections = 0  # rejections in the recovery ramp of a whole fleet
+        self.recovery_rejections = 0
         self._known_backends = KnownNames[int]()
         self._known_zones = KnownNames[str]()
         self._events: deque[api.Event] = deque()
-        self._is_busy = False
+        self._is_dispatching = False
 
     def gauges(self) -> dict[str, int]:
-        """The live state that operators fetch with the counts."""
+        """Return the metrics of the present state, which operators fetch together with the counts."""
         return {
             "outstanding": len(self.requests.open),
             "discovered": len(self.gateway.backends.by_id),
@@ -119,35 +134,35 @@
         }
 
     def zone_metrics(self) -> dict[str, dict[str, int]]:
-        """The metrics of each zone, under a name that can stand in a metric's; of two alike, those of one."""
+        """Return the metrics of zones by `zone_metric_name`; of zones with the same one, the last zone's."""
         by_zone = gateway_status.zone_metrics(self.gateway.zones, now_ms())
         return {zone_metric_name(zone): metrics for zone, metrics in by_zone.items()}
 
     def dispatch(self, event: api.Event) -> None:
-        """Give the policy an event, after those that it has been given before."""
+        """Pass an event to the policy, after the events that are queued already."""
         self._events.append(event)
-        if self._is_busy:
+        if self._is_dispatching:
             return
-        self._is_busy = True
+        self._is_dispatching = True
         try:
             while self._events:
                 self._handle(self._events.popleft())
         finally:
-            self._is_busy = False
+            self._is_dispatching = False
 
     def _handle(self, event: api.Event) -> None:
-        """Give the policy one event and carry out its actions; a fault in one leaves the others alone."""
+        """Pass one event to the policy and carry out its actions; a fault in one does not stop the others."""
         actions = self.guard.evaluate(type(event).__name__, self.gateway.handle, now_ms(), event)
         if actions is None:
             self._abandon(event)
             return
         for action in actions:
-            done = self.guard.call(type(action).__name__, self.execute, action)
-            if not done and isinstance(action, api.Send | api.Reject | api.Fail):
+            succeeded = self.guard.call(type(action).__name__, self.execute, action)
+            if not succeeded and isinstance(action, api.Send | api.Reject | api.Fail):
                 self.requests.fail(action.request)
 
     def _abandon(self, event: api.Event) -> None:
-        """End a request whose event the policy failed at: whether it ran is not known."""
+        """Fail the request of an event that raised an error in the policy: it may or may not have run."""
         if isinstance(event, api.RequestArrived | api.AttemptEnded):
             self.requests.fail(event.request)
 
@@ -166,12 +181,12 @@
             case api.SetTimer(delay, timer):
                 self.timers.at(now_ms() + delay, partial(self.dispatch, api.TimerFired(timer)))
             case api.AddToCounter():
-                self._count(action)
+                self._add_to_counter(action)
             case _:
-                self._publish(action)
+                self._store_or_log(action)
 
-    def _publish(self, action: api.Action) -> None:
-        """Carry out an action for the peer process, the disk or the log."""
+    def _store_or_log(self, action: api.Action) -> None:
+        """Carry out an action that concerns the peer process, the disk or the log."""
         match action:
             case api.Replicate(record):
                 self.replicate(encode_record(record))
@@ -180,7 +195,7 @@
             case api.LogMessage(text):
                 log.info("%s", text)
             case api.WatchEndpointList():
-                pass  # the list is always followed
+                pass  # discovery is followed from the start on, whether the policy asks for it or not
 
     def _reject(self, action: api.Reject) -> None:
         self.report.counts["refused for " + action.cause.value] += 1
@@ -189,27 +204,30 @@
         reply = b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms > 0 else REFUSED
         self.requests.finish(action.request, reply, OutcomeKind.DECLINED)
 
-    def _count(self, action: api.AddToCounter) -> None:
+    def _add_to_counter(self, action: api.AddToCounter) -> None:
         if self.counter is None:
             self.dispatch(api.CounterReplied(action.name, api.Outcome.CONNECT_FAILED, 0.0))
         else:
-            self.counter.add(action.name, action.amount, action.expires_in_ms, self._on_counted)
+            self.counter.add(action.name, action.amount, action.expires_in_ms, self._on_counter_reply)
 
-    def _on_counted(self, name: str, outcome: api.Outcome, reading: float) -> None:
+    def _on_counter_reply(self, name: str, outcome: api.Outcome, reading: float) -> None:
         self.report.counts["counter " + outcome.value] += 1
         self.dispatch(api.CounterReplied(name, outcome, reading))
 
-    def restore_record(self, record: list[Any], at: float) -> bool:
-        """Give the policy a record of an earlier process; whether it could be restored."""
+    def restore_record(self, record: list[Any], written_ms: float) -> bool:
+        """Restore the policy's record of an earlier process, written at `written_ms` (Unix milliseconds).
+
+        Return whether the policy could restore it.
+        """
         try:
-            self.gateway.handle(now_ms(), api.RecordRestored(decode_record(record), at))
+            self.gateway.handle(now_ms(), api.RecordRestored(decode_record(record), written_ms))
         except (ValueError, TypeError, OverflowError) as error:
             log.info(log_events.RECORD_REJECTED, error)
             return False
         return True
 
     def on_peer_record(self, values: list[Any]) -> None:
-        """Give the policy a record of the other process; it refuses one that can't be read."""
+        """Pass a record of the peer process to the policy, or None if the record can't be decoded."""
         try:
             record = decode_record(values)
         except ValueError:
@@ -217,41 +235,55 @@
         self.dispatch(api.PeerProcessMessage(record))
 
     def apply_list(
-        self, scope: api.ListScope, members: tuple[ListedBackend, ...], held_until: float = -math.inf
+        self,
+        scope: api.ListScope,
+        members: tuple[ListedBackend, ...],
+        previous_valid_until_ms: float = -math.inf,
     ) -> None:
-        """The list has changed. The policy hears first: it retries elsewhere the attempts that end now.
+        """Apply a new endpoint list, or changes to it.
 
-        `held_until`: when the list before it was last known to hold (Unix milliseconds).
+        The policy gets the event first: removing a backend ends its attempts, and the policy is to retry them
+        at other backends.
+
+        Args:
+            scope: Whether the members are a complete list or changes.
+            members: The backends listed or changed.
+            previous_valid_until_ms: Until when the list before this one was known to be valid, by `now_ms`
+                (Unix milliseconds).
         """
-        self.dispatch(api.BackendsChanged(scope, tuple(member.entry for member in members), held_until))
-        # What a retired backend's attempts are retried at may be listed for the first time.
-        for member in sorted(members, key=lambda one: one.entry.state is not api.BackendState.READY):
+        self.dispatch(
+            api.BackendsChanged(scope, tuple(member.entry for member in members), previous_valid_until_ms)
+        )
+        # Ready backends come first: attempts of a retired one may be retried at a backend that is new here.
+        for member in sorted(
+            members, key=lambda listed_member: listed_member.entry.state is not api.BackendState.READY
+        ):
             entry = member.entry
             self.backends.update(entry.backend, member.address, entry.state, entry.zone)
         if scope is not api.ListScope.CHANGES:
-            listed = {member.entry.backend for member in members}
-            for backend in set(self.backends.endpoints) - listed:
+            listed_ids = {member.entry.backend for member in members}
+            for backend in set(self.backends.endpoints) - listed_ids:
                 self.backends.retire(backend)
         for member in members:
             self._known_backends.add(member.entry.backend)
             self._known_zones.add(member.entry.zone)
 
     def knows_backend(self, host: str) -> bool:
-        """Whether a list has named this host."""
+        """Return whether an endpoint list had a backend of this host name, as far as remembered."""
         return host_number(host) in self._known_backends
 
     def knows_zone(self, zone: str) -> bool:
-        """Whether a list has named this zone."""
+        """Return whether an endpoint list had this zone, as far as remembered."""
         return zone in self._known_zones
 
-    def override_backend(self, host: str, is_disabled: bool, since: float) -> None:
-        """Operators disabled a backend, or enabled it again, at `since` (Unix milliseconds)."""
+    def override_backend(self, host: str, is_disabled: bool, overridden_at_ms: float) -> None:
+        """Apply that operators disabled or enabled a backend, at `overridden_at_ms` (Unix milliseconds)."""
         log.info(log_events.BACKEND_OVERRIDDEN, host, "taken out" if is_disabled else "put back")
         backend = host_number(host)
         self.backends.override(backend, is_disabled)
-        self.dispatch(api.BackendOverridden(backend, is_disabled, since))
+        self.dispatch(api.BackendOverridden(backend, is_disabled, overridden_at_ms))
 
-    def override_zone(self, zone: str, is_disabled: bool, since: float) -> None:
-        """Operators disabled a zone, or enabled it again, at `since` (Unix milliseconds)."""
+    def override_zone(self, zone: str, is_disabled: bool, overridden_at_ms: float) -> None:
+        """Apply that operators disabled or enabled a zone, at `overridden_at_ms` (Unix milliseconds)."""
         self.backends.override_zone(zone, is_disabled)
-        self.dispatch(api.ZoneOverridden(zone, is_disabled, since))
+        self.dispatch(api.ZoneOverridden(zone, is_disabled, overridden_at_ms))
--- a/switchline/service/event_loop.py
+++ b/switchline/service/event_loop.py
@@ -1,4 +1,4 @@
-"""Running the program in an event loop, on a machine that may fail to give one its descriptors."""
+"""Runs the program in an event loop, and retries if the system has no descriptors for the loop at first."""
 
 from __future__ import annotations
 
@@ -19,23 +19,25 @@
 START_TIMEOUT_S = 20.0  # the platform allows 30 s for a start
 RETRY_INTERVAL_S = 0.1
 
-# Event loops that could not run. They can't be closed, and their descriptors must not be closed by the
-# garbage collector once other parts of the program have the same numbers.
+# Event loops that could not run are kept referenced. They can't be closed, and the garbage collector must not
+# close their descriptors after other parts of the program have been given descriptors of the same numbers.
 broken_loops: list[asyncio.AbstractEventLoop] = []
 
 
 def run_in_loop(main: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Run `main` in an event loop; one whose descriptors can't be had for a moment is made again.
+    """Run `main` in an event loop; creating the loop is retried for `START_TIMEOUT_S`.
 
-    Raises what `main` raises, and OSError or RuntimeError where there is no event loop in time.
+    Raises:
+        OSError, RuntimeError: No event loop could be had in time.
+        Exception: Whatever `main` raises.
     """
-    give_up_at = time.monotonic() + START_TIMEOUT_S
-    begun = False
+    retry_until_s = time.monotonic() + START_TIMEOUT_S
+    main_begun = False
 
     async def begin() -> None:
-        """Run `main`, and note that it has begun: from then on its errors are its own."""
-        nonlocal begun
-        begun = True
+        """Run `main` and note that it has begun: errors from then on are not retried."""
+        nonlocal main_begun
+        main_begun = True
         await main()
 
     while True:
@@ -44,8 +46,8 @@
             runner.get_loop()
             runner.run(begin())
             return
-        except (OSError, RuntimeError) as error:  # the event loop raises the second over the first
-            if begun or time.monotonic() > give_up_at:
+        except (OSError, RuntimeError) as error:  # the event loop may raise RuntimeError over an OSError
+            if main_begun or time.monotonic() > retry_until_s:
                 raise
             log.warning(log_events.EVENT_LOOP_RETRIED, error)
         finally:
@@ -55,7 +57,11 @@
 
 
 def working_loop() -> asyncio.AbstractEventLoop:
-    """A new event loop that has run once; raises OSError or RuntimeError where it could not."""
+    """Return a new event loop that has run once.
+
+    Raises:
+        OSError, RuntimeError: The loop could not run.
+    """
     loop = uvloop.new_event_loop()
     done = loop.create_future()
     done.set_result(None)
@@ -63,6 +69,6 @@
         loop.run_until_complete(done)
     except (OSError, RuntimeError):
         broken_loops.append(loop)
-        signal.set_wakeup_fd(-1)  # it may be a descriptor of the broken loop
+        signal.set_wakeup_fd(-1)  # the present one may be a descriptor of the broken loop
         raise
     return loop
--- a/switchline/service/optional_fleet.py
+++ b/switchline/service/optional_fleet.py
@@ -1,4 +1,4 @@
-"""The gateway's membership of a fleet, if the configuration has the table `fleet`.
+"""The gateway's membership in a fleet, if the configuration has the table `fleet`.
 
 Without that table nothing of `switchline.fleet` or `switchline.fleet_runtime` is imported.
 """
@@ -17,17 +17,21 @@
 
 
 class OptionalFleet:
-    """Owns the membership from the first configuration that names a fleet on."""
+    """Owns the membership, which exists from the first configuration on that names a fleet.
 
-    def __init__(self, parts: GatewayParts, make: Callable[[], FleetMembership]) -> None:
-        """`make` imports and creates the membership."""
+    Args:
+        parts: Of this gateway.
+        make_membership: Imports the modules of the fleet and creates the membership.
+    """
+
+    def __init__(self, parts: GatewayParts, make_membership: Callable[[], FleetMembership]) -> None:
         self.parts = parts
-        self.make = make
+        self.make_membership = make_membership
         self.membership: FleetMembership | None = None
 
     @property
     def recovery(self) -> FleetRecovery | None:
-        """What is recovered from the other gateways; with `fleet` and `state` at the start."""
+        """The recovery from other gateways; None unless the start's configuration has `fleet` and `state`."""
         return self.membership.recovery if self.membership is not None else None
 
     @property
@@ -36,38 +40,42 @@
         return self.membership.calls if self.membership is not None else None
 
     def prepare_recovery(self) -> None:
-        """Create what recovers from the other gateways, once the state on disk has been read."""
+        """Create the recovery from other gateways; the state on disk has to be read before."""
         if self.parts.config.fleet is not None:
             self._membership().prepare_recovery()
 
     async def query_before_clients(self, took_over: bool) -> None:
-        """Ask the other gateways for what a lost or old disk lacks; nothing where there is no recovery."""
+        """Ask the other gateways for what a lost or old disk lacks; does nothing without a recovery."""
         if self.membership is not None:
             await self.membership.query_before_clients(took_over)
 
     async def join(self) -> None:
-        """Become a member, if the configuration names a fleet and this gateway is none yet."""
+        """Become a member, if the configuration names a fleet and this gateway is not a member yet."""
         if self.parts.config.fleet is not None:
             await self._membership().join()
 
     def leave(self, announce: bool) -> None:
-        """Be a member no more. `announce`: this gateway ends, and not only this process."""
+        """Stop being a member.
+
+        Args:
+            announce: Tell the other gateways that this gateway, and not only this process, leaves.
+        """
         if self.membership is not None:
             self.membership.leave(announce)
 
     def is_known_member(self, name: str) -> bool:
-        """Whether a gateway of this name is, or was, a member."""
+        """Return whether a gateway of this name is, or was, a member."""
         return self.membership is not None and self.membership.is_known_member(name)
 
     def gauges(self) -> dict[str, int]:
-        """Metrics of the fleet; none without one."""
+        """Return the metrics of the fleet; empty without a fleet."""
         return self.membership.gauges() if self.membership is not None else {}
 
     def describe(self) -> dict[str, object] | None:
-        """The fleet as this gateway sees it, for `GET /ops/fleet`; None where it is no member."""
+        """Return the fleet as this gateway sees it, for `GET /ops/fleet`; None if it is not a member."""
         return self.membership.describe() if self.membership is not None else None
 
     def _membership(self) -> FleetMembership:
         if self.membership is None:
-            self.membership = self.make()
+            self.membership = self.make_membership()
         return self.membership
--- a/switchline/service/parts.py
+++ b/switchline/service/parts.py
@@ -24,22 +24,29 @@
 
 
 def own_descriptors(config: Config) -> int:
-    """Descriptors of the process itself, with those of the optional parts that are on."""
-    state = STATE_DESCRIPTORS if config.state else 0
-    fleet = FLEET_DESCRIPTORS if config.fleet else 0
-    return PROCESS_DESCRIPTORS + state + fleet
+    """Return how many descriptors the process itself and the configured optional parts need."""
+    state_descriptors = STATE_DESCRIPTORS if config.state else 0
+    fleet_descriptors = FLEET_DESCRIPTORS if config.fleet else 0
+    return PROCESS_DESCRIPTORS + state_descriptors + fleet_descriptors
 
 
 class GatewayParts:
-    """Creates and closes the parts that every gateway has; `config` is the configuration in force."""
+    """Creates and closes the parts that every gateway has.
+
+    Args:
+        config: The configuration at the start.
+        replicate: Sends a record of the policy to the peer process of an upgrade.
+
+    Attributes:
+        config: The configuration in force.
+    """
 
     def __init__(self, config: Config, replicate: Callable[[list[Any]], None]) -> None:
-        """`replicate` sends a message of the policy to the peer process of an upgrade."""
         self.config = config
         self.loop = asyncio.get_running_loop()
         self.guard = Guard()
         self.timers = Timers(self.loop, self.guard)
-        self.metrics = Metrics([kind.name for kind in config.settings.classes])
+        self.metrics = Metrics([request_class.name for request_class in config.settings.classes])
         self.buffers = BufferBudget(config.memory_bytes)
         self.descriptors = Budget(config.descriptors, config.shares, own_descriptors(config))
         self.backends = BackendPool(
@@ -71,11 +78,11 @@
         config = self.config
         if not config.counter:
             return None
-        wait = config.settings.counter_call_ms
-        return Counter(self.loop, self.timers, config.counter, wait, self.descriptors)
+        timeout_ms = config.settings.counter_call_ms
+        return Counter(self.loop, self.timers, config.counter, timeout_ms, self.descriptors)
 
     def _make_discovery(self) -> Discovery:
-        """Begin with the configured list, and give the policy each later change of it."""
+        """Apply the configured endpoint list, and create the client that follows changes to it."""
         config = self.config
         version = None
         if config.known:
@@ -96,7 +103,7 @@
         self.guard.call("closing clients' connections", self.clients.close)
 
     def close_upstreams(self) -> None:
-        """Close the connections to backends and counter, each whatever becomes of the other."""
+        """Close the connections to backends and to the counter; a fault in one does not affect the other."""
         self.guard.call("closing backends' connections", self.backends.close)
         if self.counter is not None:
             self.guard.call("closing the counter's connections", self.counter.close)
--- a/switchline/service/program.py
+++ b/switchline/service/program.py
@@ -1,7 +1,7 @@
 """One gateway as a program: reads its configuration, serves until SIGTERM, and drains.
 
-SIGHUP reads the file again; SIGTERM and SIGINT end the process. `service.py` has the steps of a start,
-`reload.py` what a changed configuration changes, and `drain.py` the end.
+At SIGHUP the configuration is read again; SIGTERM and SIGINT end the process. See `service.py` for the steps
+of a start, `reload.py` for what a changed configuration changes, and `drain.py` for the end.
 """
 
 from __future__ import annotations
@@ -23,17 +23,17 @@
 
 log = logging.getLogger("switchline")
 
-# The file may be half written, or no descriptor be left for it: at SIGHUP, the platform waits 4 s for the
-# change to be applied.
+# Reading is retried: the file may be half written, or the system may have no descriptor for it. The platform
+# waits 4 s after SIGHUP for the change to be applied.
 CONFIG_ATTEMPTS = 5
 CONFIG_RETRY_S = 0.2
 SIGNAL_POLL_INTERVAL_MS = 100.0
 
 EXIT_OK = 0
-EXIT_MACHINE = 1  # the machine does not let it serve
+EXIT_MACHINE = 1  # a system call that serving depends on failed
 EXIT_CONFIG = 2
 
-early_reloads: list[int] = []  # SIGHUP before the event loop runs
+early_reloads: list[int] = []  # signal numbers of each SIGHUP that came before the event loop ran
 
 
 async def serve(
@@ -43,17 +43,25 @@
     changes: asyncio.Queue[Config] | None = None,
     signals: Signals | None = None,
 ) -> None:
-    """Serve until `stop` is set, then drain. `ready` is called with the port once clients may come."""
+    """Serve until `stop` is set, then drain.
+
+    Args:
+        config: The configuration at the start.
+        stop: Ends the service.
+        ready: Called with the port once clients are accepted.
+        changes: Later configurations, which are applied in turn.
+        signals: Noted signals, which are also polled for.
+    """
     loop = asyncio.get_running_loop()
     service = Service(config, stop)
     guard = service.parts.guard
     discovery = service.parts.discovery
-    if signals is not None:  # in step with the looks at overrides, so that it costs no further wake-up
+    if signals is not None:  # the interval is that of polling overrides, so this causes no further wake-ups
         service.parts.timers.every(SIGNAL_POLL_INTERVAL_MS, "signals", signals.run_pending)
     loop.set_exception_handler(guard.on_loop_error)
     await service.load()
-    watching = loop.create_task(guard.supervise("discovery", discovery.run))
-    reloading = loop.create_task(service.reload.follow(changes or asyncio.Queue[Config]()))
+    discovery_task = loop.create_task(guard.supervise("discovery", discovery.run))
+    reload_task = loop.create_task(service.reload.follow(changes or asyncio.Queue[Config]()))
     port = await service.open()
     if ready is not None:
         ready(port)
@@ -61,21 +69,21 @@
     try:
         await service.drain.run()
     finally:
-        watching.cancel()
-        reloading.cancel()
+        discovery_task.cancel()
+        reload_task.cancel()
         service.close()
-        violated = {one.value: number for one, number in guard.violations.items()}
+        violated = {invariant.value: count for invariant, count in guard.violations.items()}
         log.info(log_events.ENDED, guard.contained.total(), violated or "none")
 
 
 async def run(path: str, config: Config) -> None:
-    """Serve with a configuration, whose file is read again at each SIGHUP, until SIGTERM or SIGINT."""
+    """Serve until SIGTERM or SIGINT; at each SIGHUP the file at `path` is read again."""
     stop = asyncio.Event()
     changes = asyncio.Queue[Config]()
     loop = asyncio.get_running_loop()
 
     def reload(attempts_left: int = CONFIG_ATTEMPTS - 1) -> None:
-        """Read the file again; where it can't be read, later, and in the end not at all."""
+        """Read the file again; retry later if it can't be read, and give up after `CONFIG_ATTEMPTS`."""
         try:
             changes.put_nowait(load_config(path))
         except ConfigError as error:
@@ -91,7 +99,11 @@
 
 
 def read_config(path: str) -> Config:
-    """The configuration at a start; raises ConfigError once it can't be had in several attempts."""
+    """Return the configuration at a start.
+
+    Raises:
+        ConfigError: It could not be read in `CONFIG_ATTEMPTS` attempts.
+    """
     for _ in range(CONFIG_ATTEMPTS - 1):
         try:
             return load_config(path)
@@ -101,9 +113,10 @@
 
 
 def main(path: str) -> int:
-    """Serve with the configuration at `path`; returns the exit code.
+    """Serve with the configuration at `path`; return the exit code.
 
-    SIGHUP before the event loop runs is remembered for then, and after its end there is nothing to reload.
+    A SIGHUP before the event loop runs is noted, and the file is read again once the loop runs. After the
+    loop has ended, SIGHUP is ignored, as there is nothing to reload.
     """
     signal.signal(signal.SIGHUP, lambda number, _: early_reloads.append(number))
     try:
@@ -113,7 +126,7 @@
         print(f"switchline: bad configuration: {error}", file=sys.stderr)
         return EXIT_CONFIG
     except (ListenError, OSError) as error:
-        print(f"switchline: this machine does not let it serve: {error}", file=sys.stderr)
+        print(f"switchline: a system call needed to serve failed: {error}", file=sys.stderr)
         return EXIT_MACHINE
     finally:
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
--- a/switchline/service/reload.py
+++ b/switchline/service/reload.py
@@ -1,7 +1,8 @@
-"""SIGHUP: what a changed configuration changes while the gateway runs.
+"""Applies a changed configuration at SIGHUP, while the gateway runs.
 
-`discovery` and `counter` (addresses), `connections` and the limit of descriptors, `regions`, and the table
-`fleet`. Everything else holds from the next start on, but for the deadlines that a drain waits for.
+Changes of these take effect at once: the addresses `discovery` and `counter`, `connections` and the limit of
+descriptors, `regions`, the table `fleet`, and the deadlines that a drain waits for. All else takes effect at
+the next start.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class ConfigReload:
-    """Applies each new configuration to the running parts."""
+    """Applies new configurations to the running parts."""
 
     def __init__(self, parts: GatewayParts, trail: AuditTrail, fleet: OptionalFleet) -> None:
         self.parts = parts
@@ -24,23 +25,23 @@
         self.fleet = fleet
 
     async def follow(self, changes: asyncio.Queue[Config]) -> None:
-        """Apply the configurations of a queue, for ever; a fault with one is contained."""
+        """Apply the configurations of a queue, without end; a fault in applying one is contained."""
         while True:
             config = await changes.get()
             await self.parts.guard.await_call("a new configuration", self.apply, config)
 
     async def apply(self, config: Config) -> None:
-        """Act on a new configuration."""
+        """Apply a new configuration to the running parts."""
         parts = self.parts
-        before = parts.config
+        previous = parts.config
         parts.descriptors.configured_limit = config.descriptors
         parts.descriptors.shares = config.shares
-        if config.settings.regions != before.settings.regions:
+        if config.settings.regions != previous.settings.regions:
             parts.driver.dispatch(api.RegionsChanged(config.settings.regions))
         parts.config = config
         self.trail.record_config("SIGHUP")
         parts.descriptors.process_descriptors = own_descriptors(config)
-        if config.fleet != before.fleet:
+        if config.fleet != previous.fleet:
             self.fleet.leave(announce=True)
             await self.fleet.join()
         parts.discovery.move(config.discovery)
--- a/switchline/service/service.py
+++ b/switchline/service/service.py
@@ -1,19 +1,22 @@
 """One gateway in service: composes its parts, starts them and closes them.
 
-A start (`Service.load`, then `Service.open`) goes in this order; each wait is bounded:
+A start (`Service.load`, then `Service.open`) has these steps, in this order; each wait has a timeout:
 
-1. The audit begins, with `audit` or `fleet` in the configuration.
-2. The state on disk is read, with `state`.
+1. The audit begins, if the configuration has `audit` or `fleet`.
+2. The state on disk is read, if the configuration has `state`.
 3. Discovery is given `FIRST_LIST_TIMEOUT_S` for a newer list.
-4. An older process of this gateway, if there is one, tells all it knows (`upgrade.py`).
-5. The fleet is joined and asked for what a lost or old disk lacks, with `fleet` and `state`.
-6. The state on disk is restored; with a state older than the fleet's, in part.
-7. The operators' address opens, with `operator`.
-8. Quota spending is asked of the nearest gateways, and a power loss of the whole fleet is judged.
-9. Clients are accepted at `listen`; the older process is told so; the fleet is joined, with `fleet`.
-
-`reload.py` has what SIGHUP changes, `drain.py` what SIGTERM does, and `fleet_runtime/recovery/` the return
-after a power loss.
+4. An older process of this gateway, if there is one, sends all its state (`upgrade.py`).
+5. If the configuration has `fleet` and `state`, this gateway joins the fleet and asks it for what a lost or
+   old disk lacks.
+6. The state on disk is restored, or a part of it if the fleet has newer state.
+7. The operators' address opens, if the configuration has `operator`.
+8. The nearest gateways are asked for the spending of quotas, and it is decided whether the whole fleet had a
+   power loss.
+9. Clients are accepted at `listen`, and the older process is notified. This gateway joins the fleet, if the
+   configuration has `fleet`.
+
+See `reload.py` for what SIGHUP changes, `drain.py` for SIGTERM, and `fleet_runtime/recovery/` for the
+recovery after a power loss.
 """
 
 from __future__ import annotations
@@ -44,15 +47,19 @@
 
 log = logging.getLogger(__name__)
 
-FIRST_LIST_TIMEOUT_S = 0.25  # discovery sends nothing if nothing changed
+FIRST_LIST_TIMEOUT_S = 0.25  # a timeout is usual: discovery sends nothing if the list has not changed
 LISTEN_TIMEOUT_S = 25.0  # the platform allows 30 s for a start
 
 
 class Service:
-    """Owns the parts of one gateway from its start to its end."""
+    """Owns the parts of one gateway from its start to its end.
+
+    Args:
+        config: The configuration at the start.
+        stop: Set when this process is to end; set here once another process has taken over.
+    """
 
     def __init__(self, config: Config, stop: asyncio.Event) -> None:
-        """`stop` is set when this process is to end."""
         self.parts = GatewayParts(config, lambda message: self.upgrade.handover.send(message))
         self.trail = AuditTrail(self.parts)
         self.overrides = OverrideSet(self.parts, self.trail)
@@ -69,7 +76,7 @@
         self.parts.driver.report.states = self.status.report_counts
 
     def _make_persistence(self) -> StatePersistence | None:
-        """What restores and keeps the state on disk, with `state` in the configuration."""
+        """Return what restores and stores the state on disk; None if the configuration has no `state`."""
         parts = self.parts
         config = parts.config
         if config.state is None:
@@ -85,7 +92,7 @@
         return persistence
 
     def _make_membership(self) -> FleetMembership:
-        """Import and create the membership of a fleet."""
+        """Import the modules of the fleet and return a membership."""
         from switchline.fleet_runtime.membership import FleetMembership
 
         return FleetMembership(
@@ -98,21 +105,25 @@
         )
 
     async def load(self) -> None:
-        """Read the state on disk, if there is any; the list in it may be newer than the configured one."""
+        """Begin the audit and read the state on disk, which may have a newer list than the configuration."""
         self.trail.begin()
         if self.persistence is not None:
             await self.persistence.load()
             self.fleet.prepare_recovery()
 
     async def open(self) -> int:
-        """Begin to serve; returns the port. Raises ListenError where the address can't be had in time."""
+        """Begin to serve; return the port.
+
+        Raises:
+            ListenError: The address could not be had within `LISTEN_TIMEOUT_S`.
+        """
         await self._wait_for_first_list()
         await self.upgrade.handover.take_over()
         took_over = self.upgrade.took_over
         await self._recover(took_over)
         port = await self._listen()
         gc.collect()
-        gc.freeze()  # what was loaded stays: no pause to look at it again
+        gc.freeze()  # objects made so far stay: later collections skip them, which makes their pauses shorter
         log.info(log_events.SERVING, self.parts.config.name, self.parts.config.listen[0], port)
         self.upgrade.handover.notify_serving()
         if self.persistence is not None and took_over:
@@ -122,7 +133,7 @@
         return port
 
     async def _wait_for_first_list(self) -> None:
-        """Give discovery a moment: a backend of the last known list may be new or gone by now."""
+        """Wait for a newer list: backends may have been added or removed since the last known one."""
         discovery = self.parts.discovery
         if discovery.first_wait > FIRST_LIST_TIMEOUT_S:
             return
@@ -133,7 +144,7 @@
             log.info(log_events.NO_FIRST_LIST, FIRST_LIST_TIMEOUT_S)
 
     async def _recover(self, took_over: bool) -> None:
-        """Restore what is known from the fleet and the disk, and open the operators' address."""
+        """Restore state from the fleet and the disk, and open the operators' address."""
         await self.fleet.query_before_clients(took_over)
         fleet_recovery = self.fleet.recovery
         if self.persistence is not None:
@@ -150,7 +161,7 @@
         return self.parts.clients.listen(listener)
 
     def close(self) -> None:
-        """Close all parts; a fault in closing one is contained."""
+        """Close all parts; a fault in closing one does not keep the others open."""
         guard = self.parts.guard
         self.upgrade.stop_tasks()
         guard.call("leaving the fleet", self.fleet.leave, False)
--- a/switchline/service/signals.py
+++ b/switchline/service/signals.py
@@ -1,4 +1,4 @@
-"""Signals, also where the event loop's own way of hearing of them fails."""
+"""Handles signals, also when waking up the event loop for one fails."""
 
 from __future__ import annotations
 
@@ -10,26 +10,30 @@
 
 
 class Signals:
-    """Notes each signal in its handler, and acts on it in the event loop.
+    """Notes each signal in its handler, and runs its action in the event loop.
 
-    The handler wakes the event loop up. That wake-up may be lost, as any system call may fail, and a lost
-    SIGTERM would cost all that is open: so `run_pending` is to be called periodically as well.
+    The handler wakes the event loop up. The wake-up may be lost, as any system call may fail, and a SIGTERM
+    that is not acted on would cost all requests in flight. So `run_pending` has to be called periodically as
+    well.
+
+    Args:
+        loop: Where the actions run.
+        actions: The action of each signal, by signal number.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, actions: dict[int, Callable[[], None]]) -> None:
-        """`actions` by the number of their signal."""
         self.loop = loop
         self.actions = actions
-        self.noted: deque[int] = deque()
+        self.pending: deque[int] = deque()
         for number in actions:
             signal.signal(number, self._note)
 
     def _note(self, number: int, _: object) -> None:
-        self.noted.append(number)
+        self.pending.append(number)
         with contextlib.suppress(OSError, RuntimeError):
             self.loop.call_soon_threadsafe(self.run_pending)
 
     def run_pending(self) -> None:
-        """Act on the signals that have been noted."""
-        while self.noted:
-            self.actions[self.noted.popleft()]()
+        """Run the actions of the signals noted so far, in the order in which they came."""
+        while self.pending:
+            self.actions[self.pending.popleft()]()
--- a/switchline/service/upgrade.py
+++ b/switchline/service/upgrade.py
@@ -1,9 +1,9 @@
-"""The gateway's part in an upgrade: two processes of one gateway, of which the new one takes over.
+"""The gateway's part in an upgrade, in which a new process of a gateway takes over from the old one.
 
-The new process asks the old one for all it knows (`take_over`) and announces that it serves. The old one then
-hands over: it gives up the listening socket, its name in the fleet and the state on disk, tells how many
-descriptors it still holds, and ends once all that is open on it has ended. If the new process dies first, the
-old one takes everything back.
+The new process asks the old one for all its state (`take_over`), and notifies it once it serves. The old one
+then hands over: it gives up the listening socket, its name in the fleet and the state on disk. It reports how
+many descriptors it still uses, and ends once none of its connections and requests is left. If the new process
+ends first, the old one takes everything back.
 """
 
 from __future__ import annotations
@@ -30,7 +30,14 @@
 
 
 class ProcessUpgrade:
-    """Owns the hand-over between this process and the peer process of its gateway."""
+    """Owns the hand-over between this process and the peer process of its gateway.
+
+    Args:
+        parts: Of this gateway.
+        fleet: Left at the hand-over, and joined again if the new process is lost.
+        persistence: Of the state on disk; None without one.
+        stop: Set once this process has handed over and has no connection and no request left.
+    """
 
     def __init__(
         self,
@@ -39,7 +46,6 @@
         persistence: StatePersistence | None,
         stop: asyncio.Event,
     ) -> None:
-        """`stop` is set once this process has handed over and nothing is open on it."""
         self.parts = parts
         self.fleet = fleet
         self.persistence = persistence
@@ -50,12 +56,12 @@
                 peer_joined=partial(parts.driver.dispatch, api.PeerProcessJoined()),
                 record_received=parts.driver.on_peer_record,
                 peer_serving=self._hand_over,
-                peer_left=self._on_peer_process_gone,
+                peer_left=self._on_peer_left,
                 descriptors_reported=self._set_peer_descriptors,
             ),
         )
-        self._emptying: asyncio.Task[None] | None = None
-        self._joining: asyncio.Task[None] | None = None
+        self._idle_task: asyncio.Task[None] | None = None
+        self._rejoin_task: asyncio.Task[None] | None = None
 
     @property
     def took_over(self) -> bool:
@@ -63,45 +69,45 @@
         return self.handover.state_received.is_set()
 
     def _hand_over(self) -> None:
-        """The new process takes clients: what is open here ends, and then this process does."""
+        """Hand over to the new process, which accepts clients; this one ends after its last connection."""
         log.info(log_events.HANDING_OVER)
         self.parts.clients.hand_over()
         self.parts.descriptors.freeze()
         self.fleet.leave(announce=False)  # the new process has this name now
         if self.persistence is not None:
             self.persistence.release_folder()
-        if self._emptying is None:
-            self._emptying = self.parts.loop.create_task(self._empty())
+        if self._idle_task is None:
+            self._idle_task = self.parts.loop.create_task(self._wait_until_idle())
 
-    async def _empty(self) -> None:
-        """Report the descriptors held here until nothing is open, and then end the process."""
+    async def _wait_until_idle(self) -> None:
+        """Report the descriptors in use until no connection and no request is left; then end the process."""
         while self.parts.clients.holds_clients or self.parts.driver.requests.open:
             self.handover.report_descriptors(self.parts.descriptors.total)
             await asyncio.sleep(DESCRIPTOR_REPORT_INTERVAL_S)
         self.stop.set()
 
-    def _on_peer_process_gone(self) -> None:
-        """The peer process is gone; an old process takes back what it had handed over to a new one."""
+    def _on_peer_left(self) -> None:
+        """Note that the peer process is gone; take back what was handed over to it, if it was."""
         self.parts.driver.dispatch(api.PeerProcessLeft())
         self._set_peer_descriptors(0)
-        if self._emptying is None:
+        if self._idle_task is None:
             return
-        self._emptying.cancel()
-        self._emptying = None
+        self._idle_task.cancel()
+        self._idle_task = None
         self.parts.descriptors.unfreeze()
         self.parts.clients.take_back()
         if self.persistence is not None:
             self.persistence.acquire_folder()
-        self._joining = self.parts.loop.create_task(self.fleet.join())
+        self._rejoin_task = self.parts.loop.create_task(self.fleet.join())
 
-    def _set_peer_descriptors(self, held: int) -> None:
-        """Both processes hold their descriptors under one limit."""
-        self.parts.descriptors.peer_process_descriptors = max(0, held)
+    def _set_peer_descriptors(self, count: int) -> None:
+        """Note how many descriptors the peer process uses: both processes together have one limit."""
+        self.parts.descriptors.peer_process_descriptors = max(0, count)
 
     def stop_tasks(self) -> None:
-        """End what waits for open requests to end."""
-        if self._emptying is not None:
-            self._emptying.cancel()
+        """Cancel the task that waits for the last connection and request."""
+        if self._idle_task is not None:
+            self._idle_task.cancel()
 
     def close(self) -> None:
         """Close the socket to the peer process."""
