--- a/tests/service/test_driver.py
+++ b/tests/service/test_driver.py
@@ -1,4 +1,4 @@
-"""The driver between a scripted module and the sockets' parts, without any socket."""
+"""The driver with a scripted policy; only the test of an attempt's timeout opens a socket."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from testbed.stand_ins.single_gateway import in_loop, request
 
 
-def test_a_fault_in_the_module_ends_its_request_with_a_failure(caplog: pytest.LogCaptureFixture) -> None:
+def test_an_error_in_the_policy_fails_its_request(caplog: pytest.LogCaptureFixture) -> None:
     async def scenario() -> None:
         scene = DriverScene()
         scene.policy.actions_by_event[api.RequestArrived] = ValueError("what")
@@ -30,8 +30,8 @@
     assert "RequestArrived could not be handled" in caplog.text
 
 
-def test_a_request_that_the_module_forgets_is_failed_at_its_end() -> None:
-    """A fault at a timer or a counter's reply would leave its client without an answer."""
+def test_a_request_that_the_policy_never_answers_fails_at_its_deadline() -> None:
+    """If the policy fails at a timer or a counter's reply, it may never answer the request."""
 
     async def scenario() -> None:
         scene = DriverScene()
@@ -44,7 +44,7 @@
     in_loop(scenario)
 
 
-def test_attempts_are_limited_and_ignored_after_the_answer() -> None:
+def test_attempts_beyond_the_limit_or_after_the_answer_are_ignored() -> None:
     async def scenario() -> None:
         scene = DriverScene()
         send = api.Send("r1", 7)
@@ -55,7 +55,7 @@
             (e.attempt, e.outcome, e.request_finished) for e in ended if isinstance(e, api.AttemptEnded)
         ]
         assert outcomes == [
-            (0, api.Outcome.CONNECT_FAILED, False),  # a backend that was never listed
+            (0, api.Outcome.CONNECT_FAILED, False),  # backend 7 is on no list
             (1, api.Outcome.CONNECT_FAILED, False),
             (2, api.Outcome.IGNORED, False),
             (0, api.Outcome.IGNORED, True),
@@ -64,7 +64,7 @@
     in_loop(scenario)
 
 
-def test_an_attempt_s_own_time_out_leaves_the_request_open() -> None:
+def test_an_attempt_timeout_leaves_its_request_in_flight() -> None:
     async def scenario() -> None:
         scene = DriverScene()
         server = await asyncio.start_server(lambda *_: None, LOCAL, 0)
@@ -86,7 +86,7 @@
     in_loop(scenario)
 
 
-def test_more_open_requests_than_allowed_are_turned_away() -> None:
+def test_requests_beyond_the_limit_in_flight_are_rejected() -> None:
     async def scenario() -> None:
         scene = DriverScene(max_open=1)
         assert scene.send_request().reply is None
@@ -96,7 +96,7 @@
     in_loop(scenario)
 
 
-def test_without_a_counter_calls_end_as_never_made() -> None:
+def test_without_a_counter_calls_to_it_fail_to_connect() -> None:
     async def scenario() -> None:
         scene = DriverScene()
         scene.policy.actions_by_event[api.RequestArrived] = [api.AddToCounter("n", 1.0, 100.0)]
@@ -108,7 +108,7 @@
     in_loop(scenario)
 
 
-def test_a_report_tells_what_became_of_the_requests(caplog: pytest.LogCaptureFixture) -> None:
+def test_the_periodic_report_counts_requests_by_outcome(caplog: pytest.LogCaptureFixture) -> None:
     async def scenario() -> None:
         scene = DriverScene()
         scene.policy.actions_by_event[api.RequestArrived] = [api.Reject("r1", 30.0, api.RejectionCause.QUOTA)]
@@ -116,60 +116,66 @@
         scene.send_request()
         with caplog.at_level("INFO"):
             scene.driver.report.log_counts()
-            scene.driver.report.log_counts()  # nothing came since
+            scene.driver.report.log_counts()  # logs nothing: there is nothing new
         (line,) = caplog.records
         assert line.getMessage() == "last 10 s: refused for quota 1, requests taken 1; now: clients.idle 2"
 
     in_loop(scenario)
 
 
-KEYED_WINDOW_MS = 2_000.0  # of the class in helpers.py
+KEYED_WINDOW_MS = 2_000.0  # as the class `order` in helpers.py has it
 
 
-def keyed_request(scene: DriverScene, monkeypatch: pytest.MonkeyPatch) -> tuple[Request, list[float]]:
-    """An open request of a keyed class, and the time that the driver is told."""
+def open_keyed_request(scene: DriverScene, monkeypatch: pytest.MonkeyPatch) -> tuple[Request, list[float]]:
+    """Return a request in flight with an idempotency key, and the clock that the attempts read."""
     now = [10_000.0]
     monkeypatch.setattr("switchline.requests.attempts.now_ms", lambda: now[0])
-    words = list(request(b"r1", name=b"order"))
-    words[3] += b",k=5c0f6e1a2b3d4c59"
+    parts = list(request(b"r1", name=b"order"))
+    parts[3] += b",k=5c0f6e1a2b3d4c59"
     slot = Slot(scene.connection)
-    scene.driver.requests.on_command(parse_command(words), slot)
+    scene.driver.requests.on_command(parse_command(parts), slot)
     return scene.driver.requests.open["r1"], now
 
 
-def test_a_keyed_repeat_that_waited_out_the_window_does_not_begin(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The module judges the window when it decides; the wait for a connection comes after that."""
+def test_a_retry_with_an_idempotency_key_is_not_sent_after_its_window(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The policy checks the window when it decides on a retry; the wait for a connection comes after that."""
 
     async def scenario() -> None:
         scene = DriverScene()
-        owner, now = keyed_request(scene, monkeypatch)
+        open_request, now = open_keyed_request(scene, monkeypatch)
         attempt: Any = None
         assert (
-            scene.driver.attempts.reason_not_to_send(owner, now[0] + 10 * KEYED_WINDOW_MS) is None
+            scene.driver.attempts.reason_not_to_send(open_request, now[0] + 10 * KEYED_WINDOW_MS) is None
         )  # the first attempt
-        scene.driver.attempts.on_written(owner, 0, attempt)
+        scene.driver.attempts.on_written(open_request, 0, attempt)
         assert (
-            scene.driver.attempts.reason_not_to_send(owner, now[0] + KEYED_WINDOW_MS - REPEAT_MARGIN_MS - 1)
+            scene.driver.attempts.reason_not_to_send(
+                open_request, now[0] + KEYED_WINDOW_MS - REPEAT_MARGIN_MS - 1
+            )
             is None
         )
         late = now[0] + KEYED_WINDOW_MS - REPEAT_MARGIN_MS
-        assert scene.driver.attempts.reason_not_to_send(owner, late) is api.Outcome.IGNORED
+        assert scene.driver.attempts.reason_not_to_send(open_request, late) is api.Outcome.IGNORED
         scene.driver.requests.end_all()
 
     in_loop(scenario)
 
 
-def test_an_attempt_that_was_turned_away_begins_no_window(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_attempt_that_a_backend_rejects_starts_no_idempotency_window(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def scenario() -> None:
         scene = DriverScene()
-        owner, now = keyed_request(scene, monkeypatch)
-        scene.driver.attempts.send("r1", 7, 0.0)  # never listed, so it ends at once
+        open_request, now = open_keyed_request(scene, monkeypatch)
+        scene.driver.attempts.send("r1", 7, 0.0)  # backend 7 is on no list, so the attempt ends at once
         attempt: Any = None
-        scene.driver.attempts.on_written(owner, 1, attempt)
-        full: Any = SimpleNamespace(backend=7, true_units=0.0)
-        scene.driver.attempts.in_flight["r1", 1] = owner.in_flight[1] = full
-        scene.driver.attempts.on_ended(owner, 1, now[0], full, api.Outcome.QUEUE_FULL, b"")
-        assert scene.driver.attempts.reason_not_to_send(owner, now[0] + 10 * KEYED_WINDOW_MS) is None
+        scene.driver.attempts.on_written(open_request, 1, attempt)
+        rejected_attempt: Any = SimpleNamespace(backend=7, true_units=0.0)
+        scene.driver.attempts.in_flight["r1", 1] = open_request.in_flight[1] = rejected_attempt
+        scene.driver.attempts.on_ended(open_request, 1, now[0], rejected_attempt, api.Outcome.QUEUE_FULL, b"")
+        assert scene.driver.attempts.reason_not_to_send(open_request, now[0] + 10 * KEYED_WINDOW_MS) is None
         scene.driver.requests.end_all()
 
     in_loop(scenario)
--- a/tests/service/test_fleet_budgets.py
+++ b/tests/service/test_fleet_budgets.py
@@ -1,4 +1,4 @@
-"""What several gateways spend together, on one clock set by hand: ceilings and cold backends."""
+"""What several gateways spend together, on one simulated clock: ceilings and cold backends."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 
 @dataclass
-class Sent:
-    """A first attempt, as the fleet's books hold it."""
+class SentAttempt:
+    """An attempt that a gateway of the fleet sent, and when (milliseconds)."""
 
-    at: float
+    at_ms: float
     customer: str
     units: float
     backend: int
@@ -36,28 +36,35 @@
 
 @dataclass
 class Fleet:
-    """Gateways with one counter and backends that answer each attempt after the same time."""
+    """Gateways with one counter, and with backends that answer each attempt after `ANSWER_MS`.
+
+    Attributes:
+        backends: The list that a gateway gets when it starts.
+        sent: The first attempt of each request.
+        attempts: All attempts.
+        totals: What the counter has added up, by name.
+    """
 
     size: int
     backends: tuple[api.BackendEntry, ...]
     seed: int = 1
     now: float = 10_000.0
-    sent: list[Sent] = field(default_factory=list)
-    attempts: list[Sent] = field(default_factory=list)
+    sent: list[SentAttempt] = field(default_factory=list)
+    attempts: list[SentAttempt] = field(default_factory=list)
     totals: dict[str, float] = field(default_factory=dict)
     serial: int = 0
 
     def __post_init__(self) -> None:
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
-        self.asked: dict[str, tuple[str, float]] = {}
-        self.tries: dict[str, int] = {}
+        self.customer_and_units: dict[str, tuple[str, float]] = {}
+        self.attempt_counts: dict[str, int] = {}
         self.gateways: list[Gateway] = []
         for index in range(self.size):
-            self.gateways.append(self.start(index))
+            self.gateways.append(self.make_gateway(index))
             self.give(index, api.BackendsChanged(api.ListScope.FULL, self.backends))
 
-    def start(self, index: int) -> Gateway:
-        given = settings(
+    def make_gateway(self, index: int) -> Gateway:
+        gateway_settings = settings(
             index=index,
             gateways=self.size,
             classes=(CALC,),
@@ -66,13 +73,13 @@
             counter_call_ms=50.0,
             max_attempts=3,
         )
-        return Gateway(given, self.seed * 1_000 + index)
+        return Gateway(gateway_settings, self.seed * 1_000 + index)
 
     def restart(self, index: int) -> None:
-        self.gateways[index] = self.start(index)
+        self.gateways[index] = self.make_gateway(index)
         self.give(index, api.BackendsChanged(api.ListScope.FULL, self.backends))
 
-    def later(self, delay: float, call: Callable[[], None]) -> None:
+    def call_later(self, delay: float, call: Callable[[], None]) -> None:
         self.serial += 1
         heapq.heappush(self.queue, (self.now + delay, self.serial, call))
 
@@ -86,139 +93,149 @@
     def give(self, index: int, event: api.Event) -> None:
         gateway = self.gateways[index]
         for action in gateway.handle(self.now, event):
-            self.act(index, gateway, action)
+            self.execute(index, gateway, action)
 
-    def act(self, index: int, gateway: Gateway, action: api.Action) -> None:
+    def execute(self, index: int, gateway: Gateway, action: api.Action) -> None:
         if isinstance(action, api.SetTimer):
             event = api.TimerFired(action.timer)
-            self.later(action.delay_ms, lambda: self.give_living(index, gateway, event))
+            self.call_later(action.delay_ms, lambda: self.give_if_running(index, gateway, event))
         elif isinstance(action, api.AddToCounter):
             total = self.totals[action.name] = self.totals.get(action.name, 0.0) + action.amount
             replied = api.CounterReplied(action.name, api.Outcome.OK, total)
-            self.later(COUNTER_MS, lambda: self.give_living(index, gateway, replied))
+            self.call_later(COUNTER_MS, lambda: self.give_if_running(index, gateway, replied))
         elif isinstance(action, api.Send):
-            number = self.tries.get(action.request, 0)
-            self.tries[action.request] = number + 1
-            customer, units = self.asked[action.request]
-            made = Sent(self.now, customer, units, action.backend)
-            self.attempts.append(made)
+            number = self.attempt_counts.get(action.request, 0)
+            self.attempt_counts[action.request] = number + 1
+            customer, units = self.customer_and_units[action.request]
+            attempt = SentAttempt(self.now, customer, units, action.backend)
+            self.attempts.append(attempt)
             if not number:
-                self.sent.append(made)
+                self.sent.append(attempt)
             ended = api.AttemptEnded(action.request, number, action.backend, api.Outcome.OK, ANSWER_MS, True)
-            self.later(ANSWER_MS, lambda: self.give_living(index, gateway, ended))
+            self.call_later(ANSWER_MS, lambda: self.give_if_running(index, gateway, ended))
 
-    def give_living(self, index: int, gateway: Gateway, event: api.Event) -> None:
+    def give_if_running(self, index: int, gateway: Gateway, event: api.Event) -> None:
         if self.gateways[index] is gateway:
             self.give(index, event)
 
-    def ask(self, index: int, plan: api.Plan, customer: str, units: float, spread: int) -> None:
+    def send_request(
+        self, index: int, plan: api.Plan, customer: str, units: float, gateway_count: int
+    ) -> None:
         self.serial += 1
         request = f"r{self.serial}"
-        self.asked[request] = customer, units
+        self.customer_and_units[request] = customer, units
         expires = self.now + CALC.deadline_ms
-        arrived = api.RequestArrived(request, CALC.name, plan.name, customer, expires, units, spread, 0)
+        arrived = api.RequestArrived(
+            request, CALC.name, plan.name, customer, expires, units, gateway_count, 0
+        )
         self.give(index, arrived)
 
 
-def lowest_store(sent: list[Sent], rate: float, burst: float) -> float:
-    """The least that a customer's store has held: a store that is full at first and is filled evenly."""
-    store = lowest = burst
-    last = sent[0].at if sent else 0.0
-    for one in sent:
-        store = min(burst, store + (one.at - last) / 1_000 * rate) - one.units
-        last = one.at
-        lowest = min(lowest, store)
+def lowest_bucket_level(sent: list[SentAttempt], rate_per_s: float, burst_units: float) -> float:
+    """Return the lowest level (units) of a token bucket that starts full and pays for each first attempt."""
+    level = lowest = burst_units
+    last_ms = sent[0].at_ms if sent else 0.0
+    for attempt in sent:
+        level = min(burst_units, level + (attempt.at_ms - last_ms) / 1_000 * rate_per_s) - attempt.units
+        last_ms = attempt.at_ms
+        lowest = min(lowest, level)
     return lowest
 
 
 @pytest.mark.parametrize("seed", range(8))
-@pytest.mark.parametrize(("gap", "gap_of_others", "gap_in_burst"), [(60, 40, 0), (200, 100, 10), (20, 20, 5)])
+@pytest.mark.parametrize(
+    ("gap_ms", "gap_of_others_ms", "gap_in_burst_ms"), [(60, 40, 0), (200, 100, 10), (20, 20, 5)]
+)
 def test_a_ceiling_holds_while_traffic_shifts_between_gateways(
-    seed: int, gap: float, gap_of_others: float, gap_in_burst: float
+    seed: int, gap_ms: float, gap_of_others_ms: float, gap_in_burst_ms: float
 ) -> None:
-    """Danger: who has asked alone keeps most of the ceiling in store, and comes back after others took it."""
-    chance = random.Random(seed)
+    """Guards against overspending: a gateway that had all traffic of a customer keeps most of the ceiling.
+
+    When its traffic comes back, other gateways may have spent that part meanwhile.
+    """
+    rng = random.Random(seed)
     fleet = Fleet(3, tuple(entry(number) for number in range(9)), seed)
     for _ in range(8):
-        alone = chance.randrange(3)
-        busy = chance.uniform(1_000, 4_000)
-        end = fleet.now + busy
+        sole_gateway = rng.randrange(3)
+        duration_ms = rng.uniform(1_000, 4_000)
+        end = fleet.now + duration_ms
         while fleet.now < end:
-            fleet.ask(alone, CAPPED, "c", chance.choice([1.0, 2.0, 4.0]), 3)
-            fleet.run_until(fleet.now + chance.expovariate(1 / gap))
-        end = fleet.now + chance.uniform(1_000, 4_000)
+            fleet.send_request(sole_gateway, CAPPED, "c", rng.choice([1.0, 2.0, 4.0]), 3)
+            fleet.run_until(fleet.now + rng.expovariate(1 / gap_ms))
+        end = fleet.now + rng.uniform(1_000, 4_000)
         while fleet.now < end:
-            other = chance.choice([index for index in range(3) if index != alone])
-            fleet.ask(other, CAPPED, "c", chance.choice([1.0, 2.0, 4.0]), 3)
-            fleet.run_until(fleet.now + chance.expovariate(1 / gap_of_others))
+            other = rng.choice([index for index in range(3) if index != sole_gateway])
+            fleet.send_request(other, CAPPED, "c", rng.choice([1.0, 2.0, 4.0]), 3)
+            fleet.run_until(fleet.now + rng.expovariate(1 / gap_of_others_ms))
         for _ in range(40):
-            fleet.ask(alone, CAPPED, "c", 4.0, 3)
-            fleet.run_until(fleet.now + gap_in_burst)
-    lowest = lowest_store(fleet.sent, CAPPED.ceiling_rate_per_s, CAPPED.ceiling_burst_units)
-    assert lowest >= 0  # the rule's slack is left to what the network delays
-    asked_all_the_time = gap <= 60
-    least = CAPPED.rate_per_s * (fleet.now - 10_000.0) / 1_000  # what the quota alone brings
-    assert not asked_all_the_time or sum(one.units for one in fleet.sent) >= least
+            fleet.send_request(sole_gateway, CAPPED, "c", 4.0, 3)
+            fleet.run_until(fleet.now + gap_in_burst_ms)
+    lowest = lowest_bucket_level(fleet.sent, CAPPED.ceiling_rate_per_s, CAPPED.ceiling_burst_units)
+    assert lowest >= 0  # the slack of the ceiling rule is for network delays, which there are none of here
+    has_constant_demand = gap_ms <= 60
+    min_units = CAPPED.rate_per_s * (fleet.now - 10_000.0) / 1_000  # units that the quota alone allows
+    assert not has_constant_demand or sum(attempt.units for attempt in fleet.sent) >= min_units
+
 
+WINDOW_MS = 3_000.0  # the attempts at a cold backend are counted in windows of this length
+WARM_RATE_PER_S = 10.0  # requests of mean work that a warm backend can process
 
-WINDOW_MS = 3_000.0  # in which a cold backend's work is counted
-WARM_RATE = 10.0  # requests of mean work a second that a warm backend can do
 
+def allowed_requests(window_start_ms: float, started: float) -> float:
+    """Return how many requests a cold backend may get in the window from `window_start_ms` on.
 
-def allowed_work(at: float, started: float) -> float:
-    """Requests of mean work that a cold backend may get in a window that begins then, chance included."""
+    This is the expected number with two standard deviations and two more requests.
+    """
     rules = settings().rules
-    age = (at - started) / rules.warm_up_ms
-    warmth = min(1.0, rules.start_capacity + (1 - rules.start_capacity) * age)
-    expected = rules.overload_multiple * warmth * WARM_RATE * WINDOW_MS / 1_000
+    age_ratio = (window_start_ms - started) / rules.warm_up_ms
+    warm_ratio = min(1.0, rules.start_capacity + (1 - rules.start_capacity) * age_ratio)
+    expected = rules.overload_multiple * warm_ratio * WARM_RATE_PER_S * WINDOW_MS / 1_000
     return expected + 2 * math.sqrt(expected) + 2
 
 
-def most_over(times: list[float], started: float) -> float:
-    """By how much the fullest window passes what is allowed; below 0: by how much it stays under."""
+def max_excess(times: list[float], started: float) -> float:
+    """Return by how many requests the fullest window exceeds the allowed number; below 0 if it does not."""
     worst = -math.inf
     for first, begin in enumerate(times):
         inside = sum(1 for at in times[first:] if at < begin + WINDOW_MS)
-        worst = max(worst, inside - allowed_work(begin, started))
+        worst = max(worst, inside - allowed_requests(begin, started))
     return worst
 
 
 @pytest.mark.parametrize("cold", [1, 4])
 @pytest.mark.parametrize("gateways", [20, 30])
 @pytest.mark.parametrize("seed", range(4))
-def test_the_sum_of_all_gateways_never_pushes_a_cold_backend_over(
-    seed: int, gateways: int, cold: int
-) -> None:
-    """Uneven traffic, a list that comes at different times, a gateway that restarts, a burst in any phase."""
-    chance = random.Random(f"{seed} {gateways} {cold}")
+def test_all_gateways_together_never_overload_a_cold_backend(seed: int, gateways: int, cold: int) -> None:
+    """Covers uneven traffic, a list that comes at different times, a restart, and a burst in any phase."""
+    rng = random.Random(f"{seed} {gateways} {cold}")
     warm = tuple(entry(number) for number in range(10 - cold))
     fleet = Fleet(gateways, warm, seed)
-    busyness = [chance.paretovariate(1.2) for _ in range(gateways)]
+    traffic_weights = [rng.paretovariate(1.2) for _ in range(gateways)]
 
-    def traffic(seconds: float, rate: float) -> None:
-        end = fleet.now + seconds * 1_000
+    def traffic(duration_s: float, rate_per_s: float) -> None:
+        end = fleet.now + duration_s * 1_000
         while fleet.now < end:
-            index = chance.choices(range(gateways), busyness)[0]
-            fleet.ask(index, OPEN, f"c{chance.randrange(500)}", 1.0, gateways)
-            fleet.run_until(fleet.now + chance.expovariate(rate / 1_000))
+            index = rng.choices(range(gateways), traffic_weights)[0]
+            fleet.send_request(index, OPEN, f"c{rng.randrange(500)}", 1.0, gateways)
+            fleet.run_until(fleet.now + rng.expovariate(rate_per_s / 1_000))
 
-    usual = 0.8 * 10 * WARM_RATE
-    traffic(3.0, usual * len(warm) / 10)
+    usual_rate_per_s = 0.8 * 10 * WARM_RATE_PER_S
+    traffic(3.0, usual_rate_per_s * len(warm) / 10)
     started = fleet.now
-    joined = tuple(entry(100 + number, started=started) for number in range(cold))
-    fleet.backends = warm + joined  # what a gateway that starts from now on is told
-    told = api.BackendsChanged(api.ListScope.CHANGES, joined)
+    cold_backends = tuple(entry(100 + number, started=started) for number in range(cold))
+    fleet.backends = warm + cold_backends  # the list that a gateway gets which starts from now on
+    newer_list = api.BackendsChanged(api.ListScope.CHANGES, cold_backends)
     for index in range(gateways):
-        fleet.later(chance.uniform(0, 3_000), partial(fleet.give, index, told))
-    traffic(chance.uniform(0.5, 4.0), usual)
-    busiest = max(range(gateways), key=busyness.__getitem__)
-    fleet.restart(busiest)
-    traffic(chance.uniform(0.5, 3.0), usual)
-    traffic(2.0, 1.5 * usual)
-    traffic(5.0, usual)
-    reached = 0
-    for backend in joined:
-        times = [one.at for one in fleet.attempts if one.backend == backend.backend]
-        reached += len(times)
-        assert most_over(times, started) <= 0
-    assert reached >= 10 * cold  # they are put to use nevertheless
+        fleet.call_later(rng.uniform(0, 3_000), partial(fleet.give, index, newer_list))
+    traffic(rng.uniform(0.5, 4.0), usual_rate_per_s)
+    busiest_gateway = max(range(gateways), key=traffic_weights.__getitem__)
+    fleet.restart(busiest_gateway)
+    traffic(rng.uniform(0.5, 3.0), usual_rate_per_s)
+    traffic(2.0, 1.5 * usual_rate_per_s)
+    traffic(5.0, usual_rate_per_s)
+    attempt_count = 0
+    for backend in cold_backends:
+        times = [attempt.at_ms for attempt in fleet.attempts if attempt.backend == backend.backend]
+        attempt_count += len(times)
+        assert max_excess(times, started) <= 0
+    assert attempt_count >= 10 * cold  # cold backends get requests nevertheless
--- a/tests/service/test_guard.py
+++ b/tests/service/test_guard.py
@@ -1,4 +1,4 @@
-"""Faults are kept where they arise, and invariants are counted where they would be violated."""
+"""Faults are contained where they arise, and violations of invariants are counted and prevented."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from testbed.stand_ins.single_gateway import Wire, World, in_loop, running
 
 
-def fail() -> None:
+def raise_os_error() -> None:
     raise OSError("what")
 
 
-def test_repeated_work_goes_on_after_a_call_that_failed() -> None:
+def test_periodic_work_goes_on_after_an_error() -> None:
     async def scenario() -> None:
         timers, calls = Timers(asyncio.get_running_loop()), list[int]()
         done = asyncio.Event()
@@ -30,7 +30,7 @@
             if len(calls) == 3:
                 repeated.cancel()
                 done.set()
-            fail()
+            raise_os_error()
 
         repeated = timers.every(1.0, "work", work)
         await done.wait()
@@ -39,11 +39,11 @@
     in_loop(scenario)
 
 
-def test_a_timer_that_fails_costs_no_other_its_time() -> None:
+def test_an_error_in_a_timer_does_not_stop_other_timers() -> None:
     async def scenario() -> None:
         timers, called = Timers(asyncio.get_running_loop()), asyncio.Event()
         due = now_ms() + 1.0
-        timers.at(due, fail)
+        timers.at(due, raise_os_error)
         timers.at(due, called.set)
         await called.wait()
         assert timers.guard.contained["timer"] == 1
@@ -51,19 +51,19 @@
     in_loop(scenario)
 
 
-def test_a_background_task_that_fails_is_started_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_background_task_is_restarted_after_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("switchline.guard.RESTART_S", 0.0)
 
     async def scenario() -> None:
-        guard, tries = Guard(), list[int]()
+        guard, runs = Guard(), list[int]()
 
         async def work() -> None:
-            tries.append(1)
-            if len(tries) < 3:
-                fail()
+            runs.append(1)
+            if len(runs) < 3:
+                raise_os_error()
 
         await guard.supervise("work", work)
-        assert len(tries) == 3 and guard.contained["work"] == 2
+        assert len(runs) == 3 and guard.contained["work"] == 2
 
     in_loop(scenario)
 
@@ -80,7 +80,7 @@
     in_loop(scenario)
 
 
-def test_a_connection_with_an_open_request_is_not_closed_here() -> None:
+def test_a_connection_with_a_request_in_flight_is_not_closed() -> None:
     async def scenario() -> None:
         scene = DriverScene()
         connection, wire = scene.connection, Wire()
@@ -111,7 +111,8 @@
     in_loop(scenario)
 
 
-def hindered(scene: DriverScene, request: str) -> api.Outcome | None:
+def reason_not_to_send(scene: DriverScene, request: str) -> api.Outcome | None:
+    """Return the outcome of an attempt that may not be sent now for a request; None if it may."""
     return scene.driver.attempts.reason_not_to_send(scene.driver.requests.open[request], now_ms())
 
 
@@ -120,38 +121,38 @@
         scene = DriverScene()
         scene.connection.connection_made(Wire())
         scene.send_request()
-        owner = scene.driver.requests.open["r1"]
-        assert scene.driver.attempts.reason_not_to_send(owner, now_ms()) is None
+        open_request = scene.driver.requests.open["r1"]
+        assert scene.driver.attempts.reason_not_to_send(open_request, now_ms()) is None
         scene.driver.execute(api.Fail("r1"))
-        assert scene.driver.attempts.reason_not_to_send(owner, now_ms()) is api.Outcome.IGNORED
+        assert scene.driver.attempts.reason_not_to_send(open_request, now_ms()) is api.Outcome.IGNORED
         scene.send_request(b"r2")
-        owner = scene.driver.requests.open["r2"]
+        open_request = scene.driver.requests.open["r2"]
         scene.connection.connection_lost(None)
-        assert scene.driver.attempts.reason_not_to_send(owner, now_ms()) is not None
+        assert scene.driver.attempts.reason_not_to_send(open_request, now_ms()) is not None
 
     in_loop(scenario)
 
 
-def test_what_may_not_run_twice_is_not_sent_again_once_it_may_have_run() -> None:
+def test_a_request_that_is_not_idempotent_is_not_retried_once_it_was_sent() -> None:
     async def scenario() -> None:
         scene = DriverScene()
         scene.connection.connection_made(Wire())
         scene.send_request()
-        owner = scene.driver.requests.open["r1"]
-        owner.kind = next(
+        open_request = scene.driver.requests.open["r1"]
+        open_request.kind = next(
             kind for kind in scene.driver.settings.classes if kind.effect is api.Effect.NOT_IDEMPOTENT
         )
-        assert hindered(scene, "r1") is None
-        owner.sent_at[0] = now_ms()
-        assert hindered(scene, "r1") is api.Outcome.IGNORED
+        assert reason_not_to_send(scene, "r1") is None
+        open_request.sent_at[0] = now_ms()
+        assert reason_not_to_send(scene, "r1") is api.Outcome.IGNORED
         assert scene.driver.guard.violations[Invariant.NO_UNSAFE_REPEAT] == 1
 
     in_loop(scenario)
 
 
-def test_a_part_that_fails_to_close_keeps_no_other_from_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_error_in_closing_one_part_does_not_keep_another_open(monkeypatch: pytest.MonkeyPatch) -> None:
     closed: list[str] = []
-    monkeypatch.setattr("switchline.operators.server.OperatorServer.close", lambda _: fail())
+    monkeypatch.setattr("switchline.operators.server.OperatorServer.close", lambda _: raise_os_error())
     monkeypatch.setattr("switchline.net.descriptors.Budget.close", lambda _: closed.append("budget"))
 
     async def scenario() -> None:
--- a/tests/service/test_logs.py
+++ b/tests/service/test_logs.py
@@ -1,4 +1,4 @@
-"""The log's bound."""
+"""The limit on the number of log lines of one kind."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from switchline.logs import MAX_LINES, PERIOD_S, RateLimit
 
 
-def line(text: str = "peer %d broke off", *values: object) -> logging.LogRecord:
+def log_record(text: str = "peer %d broke off", *values: object) -> logging.LogRecord:
     return logging.LogRecord("n", logging.WARNING, "f", 1, text, values, None)
 
 
-def test_a_flood_of_one_kind_is_cut_and_counted_and_hides_no_other_kind(
+def test_many_lines_of_one_kind_are_limited_and_counted_and_hide_no_other_kind(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    limit, now = RateLimit(), [0.0]
-    monkeypatch.setattr("switchline.logs.time.monotonic", lambda: now[0])
+    limit, now_s = RateLimit(), [0.0]
+    monkeypatch.setattr("switchline.logs.time.monotonic", lambda: now_s[0])
 
-    def passes(at: float, record: logging.LogRecord) -> bool:
-        now[0] = at
+    def passes(at_s: float, record: logging.LogRecord) -> bool:
+        now_s[0] = at_s
         return limit.filter(record)
 
-    shown = [passes(0.01 * n, line("peer %d broke off", n)) for n in range(100)]
-    assert shown == [True] * MAX_LINES + [False] * (100 - MAX_LINES)
-    assert passes(1.0, line("something else"))
-    later = line("peer %d broke off", 7)
-    assert passes(PERIOD_S, later)
-    assert later.getMessage() == f"peer 7 broke off (and {100 - MAX_LINES} like it before)"
-    assert passes(PERIOD_S + 0.1, line("peer %d broke off", 8))
+    passed = [passes(0.01 * n, log_record("peer %d broke off", n)) for n in range(100)]
+    assert passed == [True] * MAX_LINES + [False] * (100 - MAX_LINES)
+    assert passes(1.0, log_record("something else"))
+    next_period_record = log_record("peer %d broke off", 7)
+    assert passes(PERIOD_S, next_period_record)
+    assert next_period_record.getMessage() == f"peer 7 broke off (and {100 - MAX_LINES} like it before)"
+    assert passes(PERIOD_S + 0.1, log_record("peer %d broke off", 8))
--- a/tests/service/test_process.py
+++ b/tests/service/test_process.py
@@ -1,4 +1,4 @@
-"""The program as a process: start, SIGTERM, exit code."""
+"""The program's start, signals, drain and exit code, its timers and its settings."""
 
 from __future__ import annotations
 
@@ -37,26 +37,26 @@
 
 @dataclass
 class Program:
-    """The program as a process, with the surroundings that its configuration names."""
+    """The program as a process; its configuration names the counter and discovery of the first world."""
 
     port: int
     config: Path
-    given: dict[str, Any]
+    config_values: dict[str, Any]
     process: asyncio.subprocess.Process
 
 
 @asynccontextmanager
 async def program(folder: Path, *worlds: World) -> AsyncIterator[Program]:
-    """Start the program in the first of some worlds; whatever is left of it at the end is killed."""
-    servers = [server for w in worlds for server in (*w.backends, w.counter, w.discovery)]
+    """Start the program, configured for the first of some worlds; kill it at the end if it still runs."""
+    servers = [server for world in worlds for server in (*world.backends, world.counter, world.discovery)]
     for server in servers:
         await server.start()
     port, config = claimed_port(), folder / "config.json"
-    given = {**worlds[0].config(), "listen": f"{LOCAL}:{port}"}
-    config.write_text(json.dumps(given))
+    config_values = {**worlds[0].config(), "listen": f"{LOCAL}:{port}"}
+    config.write_text(json.dumps(config_values))
     process = await start_gateway(config)
     try:
-        yield Program(port, config, given, process)
+        yield Program(port, config, config_values, process)
     finally:
         if process.returncode is None:
             process.kill()
@@ -65,33 +65,34 @@
             await server.stop()
 
 
-def test_sigterm_finishes_what_is_in_and_ends_with_0(tmp_path: Path) -> None:
+def test_sigterm_answers_requests_in_flight_and_exits_with_0(tmp_path: Path) -> None:
     async def scenario() -> None:
-        go_on = asyncio.Event()
+        may_answer = asyncio.Event()
 
-        async def script(command: list[bytes]) -> Reply:
-            await go_on.wait()
+        async def answer_when_allowed(command: list[bytes]) -> Reply:
+            await may_answer.wait()
             return b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
-        backend = Backend(script)
-        async with program(tmp_path, World(backend)) as made:
-            port, process = made.port, made.process
+        backend = Backend(answer_when_allowed)
+        async with program(tmp_path, World(backend)) as running_program:
+            port, process = running_program.port, running_program.process
             peer, idle = await connect_client(port), await connect_client(port)
             peer.send(b"PING")
             assert await peer.receive() == b"PONG"
-            # Sent once: a safe request's attempt is called off after 0.6 s, and the drain takes 0.45.
+            # Not idempotent, so it is sent once: else its attempt would be cancelled after 0.6 s, and the
+            # drain takes 0.45 s.
             peer.send(*request(name=b"wipe", wait=60_000, body=b"x"))
             await until(lambda: backend.got)
             process.send_signal(signal.SIGTERM)
-            late = await connect_client(port)  # the front has not noticed yet
+            late = await connect_client(port)  # accepted: the front may not have noticed the drain yet
             answer = b"PONG"
-            while answer == b"PONG":  # until the signal is taken
+            while answer == b"PONG":  # until the signal is handled
                 late.send(b"PING")
                 answer = await late.receive()
             assert str(answer) == "ERR draining"
-            assert await idle.receive() is None  # closed between requests
+            assert await idle.receive() is None  # closed, as it has no request in flight
             assert process.returncode is None
-            go_on.set()
+            may_answer.set()
             assert await peer.receive() == b"value"
             assert await peer.receive() is None
             assert await process.wait() == 0
@@ -99,15 +100,15 @@
     in_loop(scenario)
 
 
-def test_what_is_open_at_the_end_is_failed_rather_than_lost(monkeypatch: pytest.MonkeyPatch) -> None:
-    """SIGKILL would leave its client without an answer; whether it ran is not known, so it is no refusal."""
+def test_requests_in_flight_at_the_drain_deadline_are_failed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """SIGKILL would leave the client without an answer. The request may have run, so it isn't rejected."""
     monkeypatch.setattr("switchline.service.drain.FinalDrain.max_drain_s", lambda _: 0.05)
 
-    async def silent(command: list[bytes]) -> Reply:
+    async def never_answer(command: list[bytes]) -> Reply:
         return None
 
     async def scenario() -> None:
-        backend = Backend(silent)
+        backend = Backend(never_answer)
         async with running(World(backend)) as world:
             peer = await world.client()
             peer.send(*request())
@@ -120,61 +121,61 @@
 
 
 @pytest.mark.parametrize(("deadline_ms", "killed_s"), [(900.0, 1.6), (2_000.0, 2.7), (8_000.0, 3.7)])
-def test_the_last_answers_are_given_before_sigkill_may_come(deadline_ms: float, killed_s: float) -> None:
+def test_the_last_answers_are_sent_before_sigkill_may_come(deadline_ms: float, killed_s: float) -> None:
     async def scenario() -> None:
         config = World().config()
         classes = [{**kind, "deadline": deadline_ms} for kind in config["settings"]["classes"]]
         settings = {**config["settings"], "classes": classes}
-        given = {**config, "settings": settings, "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1"}
-        service = Service(parse_config(given), asyncio.Event())
+        service_config = {**config, "settings": settings, "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1"}
+        service = Service(parse_config(service_config), asyncio.Event())
         assert killed_s - 0.35 <= service.drain.max_drain_s() + LAST_ANSWERS_TIMEOUT_S < killed_s - 0.1
 
     in_loop(scenario)
 
 
-def test_at_the_end_what_never_left_is_refused_and_so_is_what_still_comes(
+def test_at_the_drain_deadline_unsent_and_later_requests_are_rejected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("switchline.service.drain.FinalDrain.max_drain_s", lambda _: 0.05)
     monkeypatch.setattr("switchline.service.drain.LAST_ANSWERS_TIMEOUT_S", 60.0)
 
-    class Deaf(World):
-        """Its backend's handshakes never come up: nobody accepts, and the backlog is full."""
+    class UnreachableBackendWorld(World):
+        """Handshakes with its backend never complete: nothing accepts there, and the backlog is full."""
 
         def hosts(self) -> list[dict[str, Any]]:
-            return [host("h0", deaf.getsockname()[1])]
+            return [host("h0", full_listener.getsockname()[1])]
 
     async def scenario() -> None:
         fillers = [socket.socket() for _ in range(3)]
         for filler in fillers:
             filler.setblocking(False)
-            filler.connect_ex(deaf.getsockname())
-        async with running(Deaf(connect_ms=60_000.0)) as world:
-            waits, last = await world.client(), await world.client()
-            waits.send(*request(b"waits", name=b"wipe", wait=60_000, body=b"x"))
+            filler.connect_ex(full_listener.getsockname())
+        async with running(UnreachableBackendWorld(connect_ms=60_000.0)) as world:
+            waiting, unfinished = await world.client(), await world.client()
+            waiting.send(*request(b"waits", name=b"wipe", wait=60_000, body=b"x"))
             whole = encode(*request(b"last", name=b"wipe", wait=60_000, body=b"x"))
-            last.writer.write(whole[:-10])
-            for peer in (waits, last):
+            unfinished.writer.write(whole[:-10])
+            for peer in (waiting, unfinished):
                 await peer.writer.drain()
             world.stop.set()
-            assert str(await waits.receive()) == "BUSY"
-            last.writer.write(whole[-10:])
-            assert str(await last.receive()).startswith("BUSY")
-            assert await last.receive() is None
+            assert str(await waiting.receive()) == "BUSY"
+            unfinished.writer.write(whole[-10:])
+            assert str(await unfinished.receive()).startswith("BUSY")
+            assert await unfinished.receive() is None
         for filler in fillers:
             filler.close()
 
-    with socket.create_server((LOCAL, 0), backlog=0) as deaf:
+    with socket.create_server((LOCAL, 0), backlog=0) as full_listener:
         in_loop(scenario)
 
 
-def test_signals_again_and_again_change_nothing_of_a_drain(tmp_path: Path) -> None:
-    """A second SIGTERM, and SIGHUP in the drain, with a request half read and one pipelined behind it."""
+def test_repeated_signals_do_not_change_a_drain(tmp_path: Path) -> None:
+    """SIGHUP and a second SIGTERM come in a drain, with a request half read and one pipelined after it."""
 
     async def scenario() -> None:
-        async with program(tmp_path, World(Backend())) as made:
-            port, process = made.port, made.process
-            peer, asker = await connect_client(port), await connect_client(port)
+        async with program(tmp_path, World(Backend())) as running_program:
+            port, process = running_program.port, running_program.process
+            peer, pinging = await connect_client(port), await connect_client(port)
             peer.send(b"PING")
             assert await peer.receive() == b"PONG"
             whole = encode(*request(b"one")) + encode(*request(b"two"))
@@ -183,8 +184,8 @@
                 process.send_signal(sent)
             answer: object = b"PONG"
             while answer == b"PONG":
-                asker.send(b"PING")
-                answer = await asker.receive()
+                pinging.send(b"PING")
+                answer = await pinging.receive()
             peer.writer.write(whole[50:])
             assert [await peer.receive() for _ in range(3)] == [b"value", b"value", None]
             assert await process.wait() == 0
@@ -192,8 +193,8 @@
     in_loop(scenario)
 
 
-def test_sigterm_during_the_start_ends_it_with_0(tmp_path: Path) -> None:
-    """It has read its configuration and asked discovery, and does not yet take clients."""
+def test_sigterm_during_the_start_exits_with_0(tmp_path: Path) -> None:
+    """The signal comes once the configuration is read and discovery is asked, before clients are accepted."""
 
     async def scenario() -> None:
         world = World(Backend())
@@ -212,18 +213,23 @@
     in_loop(scenario)
 
 
-def test_a_configuration_that_is_half_written_at_sighup_is_taken_once_it_is_whole(tmp_path: Path) -> None:
+def test_a_half_written_configuration_at_sighup_is_read_again_until_complete(tmp_path: Path) -> None:
     async def scenario() -> None:
         old, new = World(Backend()), World(Backend())
-        async with program(tmp_path, old, new) as made:
-            port, process, config, given = made.port, made.process, made.config, made.given
+        async with program(tmp_path, old, new) as running_program:
+            port, process, config, original = (
+                running_program.port,
+                running_program.process,
+                running_program.config,
+                running_program.config_values,
+            )
             peer = await connect_client(port)
             await until(lambda: old.discovery.watches)
-            moved = json.dumps({**given, "discovery": f"{LOCAL}:{new.discovery.port}"})
+            moved = json.dumps({**original, "discovery": f"{LOCAL}:{new.discovery.port}"})
             config.write_text(moved[: len(moved) // 2])
             process.send_signal(signal.SIGHUP)
             peer.send(b"PING")
-            assert await peer.receive() == b"PONG"  # the signal has been taken before
+            assert await peer.receive() == b"PONG"  # by now the signal has been handled
             config.write_text(moved)
             await until(lambda: new.discovery.watches)
             peer.close()
@@ -233,11 +239,11 @@
     in_loop(scenario)
 
 
-def test_a_connection_that_waits_to_be_accepted_is_served_at_the_end() -> None:
-    """Closing the listening socket resets what waits in its backlog, with the requests on it."""
+def test_connections_in_the_backlog_are_accepted_before_the_listener_closes() -> None:
+    """Closing a listening socket resets the connections in its backlog, and their requests would be lost."""
 
     async def scenario() -> None:
-        made = listen((LOCAL, 0), 16)
+        listener = listen((LOCAL, 0), 16)
         opened: list[str] = []
 
         class Opened(asyncio.Protocol):
@@ -245,8 +251,9 @@
                 opened.append("opened")
                 transport.close()
 
-        acceptor = Acceptor(made, Opened, Budget(256))
-        waiting = [socket.create_connection((LOCAL, acceptor.port)) for _ in range(12)]  # in this very turn
+        acceptor = Acceptor(listener, Opened, Budget(256))
+        # All connect in one turn of the event loop, so it accepts none of them before the test does.
+        waiting = [socket.create_connection((LOCAL, acceptor.port)) for _ in range(12)]
         acceptor.accept_backlog()
         acceptor.close()
         assert len(acceptor.opening) == 12
@@ -258,7 +265,7 @@
     in_loop(scenario)
 
 
-def test_the_end_waits_for_a_connection_that_is_being_opened() -> None:
+def test_the_final_drain_waits_for_a_connection_that_is_being_opened() -> None:
     async def scenario() -> None:
         handler: Any = None
         server = ClientServer(handler, Budget(256), BufferBudget(2**26), Metrics([]))
@@ -277,7 +284,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "[]", "{}", '{"listen": "here", "discovery": "there", "settings": {}}'])
-def test_a_bad_configuration_is_named_in_one_line(tmp_path: Path, text: str) -> None:
+def test_a_bad_configuration_is_reported_in_one_line(tmp_path: Path, text: str) -> None:
     config = tmp_path / "config.json"
     config.write_text(text)
     run = subprocess.run(
@@ -292,7 +299,7 @@
     assert run.stderr.startswith("switchline: bad configuration: ")
 
 
-def test_the_settings_are_those_of_the_simulator_s_wire() -> None:
+def test_the_configuration_has_the_settings_of_the_simulator_s_wire() -> None:
     config = parse_config(
         {
             "listen": "10.0.0.4:6379",
@@ -307,30 +314,30 @@
         parse_config({"listen": "10.0.0.4:6379", "discovery": "x", "settings": {}})
 
 
-def test_timers_never_come_early_and_keep_their_order(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The module ignores a timer that comes early, and the request it was for would never be ended."""
+def test_timers_never_fire_early_and_fire_in_order(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The policy ignores a timer that fires early: the request that it was set for would never end."""
 
     async def scenario() -> None:
         timers = clock.Timers(asyncio.get_running_loop())
         start = clock.now_ms()
-        early: list[float] = []
+        early_ms: list[float] = []
         fired: list[int] = []
 
-        def fire(place: int, due: float) -> None:
-            fired.append(place)
-            early.append(due - clock.now_ms())
+        def fire(index: int, due: float) -> None:
+            fired.append(index)
+            early_ms.append(due - clock.now_ms())
 
-        waits = [3.4, 0.6, 2.5, 0.0, 7.7, 1.49]
-        for wait in waits:
-            place, due = waits.index(wait), start + wait
-            timers.at(due, lambda place=place, due=due: fire(place, due))  # type: ignore[misc]
-        await until(lambda: len(fired) == len(waits))
-        assert fired == [3, 1, 5, 2, 0, 4] and max(early) <= 0
+        delays_ms = [3.4, 0.6, 2.5, 0.0, 7.7, 1.49]
+        for delay_ms in delays_ms:
+            index, due = delays_ms.index(delay_ms), start + delay_ms
+            timers.at(due, lambda index=index, due=due: fire(index, due))  # type: ignore[misc]
+        await until(lambda: len(fired) == len(delays_ms))
+        assert fired == [3, 1, 5, 2, 0, 4] and max(early_ms) <= 0
 
     in_loop(scenario)
 
 
-def test_a_cancelled_timer_is_silent_and_wakes_nobody() -> None:
+def test_a_cancelled_timer_does_not_fire_and_leaves_the_queue() -> None:
     async def scenario() -> None:
         timers = clock.Timers(asyncio.get_running_loop())
         fired: list[str] = []
@@ -344,12 +351,17 @@
 
 
 def test_sighup_moves_discovery_and_the_counter_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
-    """The platform may move both; the old addresses close what is open soon after."""
+    """The platform may move both; soon after that, the old addresses close the connections to them."""
 
     async def scenario() -> None:
         old, new = World(Backend()), World(Backend())
-        async with program(tmp_path, old, new) as made:
-            port, process, config, begin = made.port, made.process, made.config, made.given
+        async with program(tmp_path, old, new) as running_program:
+            port, process, config, original = (
+                running_program.port,
+                running_program.process,
+                running_program.config,
+                running_program.config_values,
+            )
             peer = await connect_client(port)
             assert await old.ask(peer, plan=b"basic") == b"value"
             await until(lambda: old.discovery.watches and old.counter.got)
@@ -358,20 +370,20 @@
             peer.send(b"PING")
             assert await peer.receive() == b"PONG"
             moved = {name: new.config()[name] for name in ("discovery", "counter")}
-            config.write_text(json.dumps({**begin, **moved}))
+            config.write_text(json.dumps({**original, **moved}))
             process.send_signal(signal.SIGHUP)
             await until(lambda: new.discovery.watches)
             assert new.discovery.requests == ["/catalog/members?stream=1&index=41"]
             new.discovery.change(42, {**new.hosts()[0], "host": "h9"}, whole=True)
             number = 0
-            while not new.backends[0].got:  # until the change is taken
+            while not new.backends[0].got:  # until the change of the list is applied
                 number += 1
                 assert await old.ask(peer, id=b"%d" % number) == b"value"
-            asked = len(old.counter.got)
+            old_calls = len(old.counter.got)
             await until(lambda: not old.discovery.open)
-            while not new.counter.got:  # a refresh may be some requests away
+            while not new.counter.got:  # the next call to the counter may be some requests away
                 number += 1
                 await old.ask(peer, id=b"%d" % number, plan=b"basic")
-            assert len(old.counter.got) == asked and process.returncode is None
+            assert len(old.counter.got) == old_calls and process.returncode is None
 
     in_loop(scenario)
--- a/tests/service/test_wall_clock.py
+++ b/tests/service/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""Wall clocks that are wrong, here or at other machines: what is compared with them, and what holds."""
+"""Wrong wall clocks, at this gateway or at other machines, and what must hold in spite of them."""
 
 from __future__ import annotations
 
@@ -19,43 +19,46 @@
 HOUR_MS = 3_600_000.0
 
 
-def told(world: World, started: float, held_until: float) -> None:
-    """A newer list brings backend 9, whose start another clock tells."""
-    world.give(api.BackendsChanged(api.ListScope.CHANGES, (entry(9, started=started),), held_until))
+def apply_newer_list(world: World, started: float, previous_valid_until_ms: float) -> None:
+    """Apply a newer list with backend 9, whose start time is by another machine's clock."""
+    world.give(
+        api.BackendsChanged(api.ListScope.CHANGES, (entry(9, started=started),), previous_valid_until_ms)
+    )
 
 
 @pytest.mark.parametrize("ahead_ms", [1_000.0, 90_000.0, HOUR_MS])
-def test_a_backend_that_a_newer_list_brings_is_cold_though_this_clock_is_ahead(ahead_ms: float) -> None:
+def test_a_newly_listed_backend_is_cold_even_if_this_clock_is_ahead(ahead_ms: float) -> None:
     world = World(now=2 * HOUR_MS)
-    told(world, started=world.now - ahead_ms, held_until=world.now - 500)
+    apply_newer_list(world, started=world.now - ahead_ms, previous_valid_until_ms=world.now - 500)
     backend = world.gateway.backends.by_id[9]
     assert backend.warm_ratio(world.now) == pytest.approx(0.2 + 0.8 * 500 / RULES.warm_up_ms)
     assert backend.warm_ratio(world.now + RULES.warm_up_ms) == 1.0
 
 
 @pytest.mark.parametrize("behind_ms", [1_000.0, 90_000.0, HOUR_MS])
-def test_a_start_that_is_yet_to_come_by_this_clock_is_now(behind_ms: float) -> None:
+def test_a_start_time_in_the_future_by_this_clock_counts_as_now(behind_ms: float) -> None:
     world = World(now=2 * HOUR_MS)
-    told(world, started=world.now + behind_ms, held_until=world.now - 500)
+    apply_newer_list(world, started=world.now + behind_ms, previous_valid_until_ms=world.now - 500)
     backend = world.gateway.backends.by_id[9]
     assert backend.warm_ratio(world.now) == pytest.approx(RULES.start_capacity)
     assert backend.warm_ratio(world.now + RULES.warm_up_ms) == pytest.approx(1.0)
 
 
-def test_a_backend_that_tells_a_new_start_is_cold_though_this_clock_is_ahead() -> None:
+def test_a_restarted_backend_is_cold_even_if_this_clock_is_ahead() -> None:
     world = World((entry(1), entry(9, started=1.0)), now=2 * HOUR_MS)
-    assert world.gateway.backends.by_id[9].warm_ratio(world.now) == 1.0  # the first list is believed
-    told(world, started=2.0, held_until=world.now)
+    # Start times of the first list are taken as they are.
+    assert world.gateway.backends.by_id[9].warm_ratio(world.now) == 1.0
+    apply_newer_list(world, started=2.0, previous_valid_until_ms=world.now)
     assert world.gateway.backends.by_id[9].warm_ratio(world.now) == pytest.approx(RULES.start_capacity)
 
 
-def test_a_start_of_long_ago_is_warm_whenever_it_is_told() -> None:
+def test_a_newly_listed_backend_that_started_long_ago_is_warm() -> None:
     world = World(now=2 * HOUR_MS)
-    told(world, started=0.0, held_until=world.now)
+    apply_newer_list(world, started=0.0, previous_valid_until_ms=world.now)
     assert world.gateway.backends.by_id[9].warm_ratio(world.now) == 1.0
 
 
-def test_what_was_put_back_by_a_clock_that_is_ahead_warms_up_from_now_on() -> None:
+def test_a_backend_enabled_by_a_clock_that_is_ahead_warms_up_from_now_on() -> None:
     world = World(now=2 * HOUR_MS)
     world.give(api.BackendOverridden(1, True, world.now))
     world.give(api.BackendOverridden(1, False, world.now + HOUR_MS))
@@ -64,29 +67,29 @@
     assert backend.warm_ratio(world.now + RULES.warm_up_ms) == pytest.approx(1.0)
 
 
-def test_who_counts_apart_from_all_others_keeps_to_the_even_share() -> None:
+def test_a_gateway_that_no_other_counts_with_keeps_to_the_even_share() -> None:
     world = World()
-    for number in range(9):  # the front spreads each of them over two gateways
+    for number in range(9):  # the front distributes each of them over two gateways
         for call in counts(world.ask(customer=f"c{number}")):
             answer(world, call, call.amount)
     last = world.gateway.customers.by_key["c8"]
     assert (last.quota_share, last.ceiling_share, last.has_valid_reading) == (0.5, 0.5, False)
     for call in counts(world.ask(customer="c9")):
-        answer(world, call, call.amount + 1.0)  # somebody else counts in the same period
+        answer(world, call, call.amount + 1.0)  # another gateway counts in the same period
     waiting = counts(world.ask(customer="c10"))
-    while waiting:  # of this period, and of how the last one ended
+    while waiting:  # calls for this period, and for the final total of the last one
         call = waiting[0]
         waiting = counts(world.give(api.CounterReplied(call.name, api.Outcome.OK, call.amount)))
     assert world.gateway.customers.by_key["c10"].has_valid_reading
 
 
-def test_a_clock_set_back_keeps_no_line_of_the_log_back(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_log_lines_pass_after_the_wall_clock_is_set_back(monkeypatch: pytest.MonkeyPatch) -> None:
     limit, now = RateLimit(), [100.0]
     monkeypatch.setattr("switchline.logs.time.monotonic", lambda: now[0])
 
-    def passes(wall: float) -> bool:
+    def passes(wall_s: float) -> bool:
         record = logging.makeLogRecord({"msg": "what"})
-        record.created = wall
+        record.created = wall_s
         return limit.filter(record)
 
     assert [passes(1e9) for _ in range(MAX_LINES + 1)] == [True] * MAX_LINES + [False]
@@ -94,16 +97,16 @@
     assert passes(1e9 - HOUR_MS / 1000)
 
 
-def test_an_empty_line_says_that_the_list_still_holds() -> None:
+def test_an_empty_line_of_discovery_confirms_that_the_list_is_valid() -> None:
     async def scenario() -> None:
         async with Watch() as watch:
             await until(lambda: watch.service.watches)
             assert watch.client.valid_until_ms == -math.inf
             watch.service.say(b"")
             await until(lambda: watch.client.valid_until_ms > 0)
-            silent_from = watch.client.valid_until_ms
+            confirmed_until_ms = watch.client.valid_until_ms
             watch.service.change(42, host("h9", 1))
             await until(lambda: watch.client.version == 42)
-            assert watch.client.valid_until_ms >= silent_from
+            assert watch.client.valid_until_ms >= confirmed_until_ms
 
     in_loop(scenario)
--- a/tests/support/driver_scene.py
+++ b/tests/support/driver_scene.py
@@ -1,4 +1,4 @@
-"""A driver with its parts and a client's connection, without a process."""
+"""A driver with its parts and one client's connection, without sockets or a process."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ScriptedPolicy:
-    """Stands in for the decision module: keeps the events, and answers each with what a test says."""
+    """A policy that records its events and returns the actions, or raises the error, that a test set."""
 
     def __init__(self) -> None:
         self.events: list[api.Event] = []
@@ -29,30 +29,34 @@
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         self.events.append(event)
-        answer = self.actions_by_event.get(type(event), [])
-        if isinstance(answer, Exception):
-            raise answer
-        return answer
+        actions = self.actions_by_event.get(type(event), [])
+        if isinstance(actions, Exception):
+            raise actions
+        return actions
 
     def events_of(self, kind: type) -> list[api.Event]:
+        """Return the recorded events of one type."""
         return [event for event in self.events if type(event) is kind]
 
 
 class DriverScene:
+    """A driver of a `ScriptedPolicy`, with a backend pool and a client's connection, without a counter."""
+
     def __init__(self, max_open: int = 10) -> None:
         loop = asyncio.get_running_loop()
         timers = Timers(loop)
-        given = settings(max_attempts=2, plans=(api.Plan("free"),))
-        self.metrics = Metrics([kind.name for kind in given.classes])
-        room, budget = BufferBudget(2**26), Budget(256)
-        self.backends = BackendPool(loop, timers, 250, 15_000, budget, self.metrics, room)
-        parts = DriverParts(timers, self.backends, None, self.metrics, room, max_open, print)
-        self.driver = Driver(given, 1, parts)
+        policy_settings = settings(max_attempts=2, plans=(api.Plan("free"),))
+        self.metrics = Metrics([request_class.name for request_class in policy_settings.classes])
+        buffers, budget = BufferBudget(2**26), Budget(256)
+        self.backends = BackendPool(loop, timers, 250, 15_000, budget, self.metrics, buffers)
+        parts = DriverParts(timers, self.backends, None, self.metrics, buffers, max_open, print)
+        self.driver = Driver(policy_settings, 1, parts)
         self.policy = ScriptedPolicy()
         self.driver.gateway = self.policy  # type: ignore[assignment]
-        self.connection = ClientConnection(ClientServer(self.driver.requests, budget, room, self.metrics))
+        self.connection = ClientConnection(ClientServer(self.driver.requests, budget, buffers, self.metrics))
 
     def send_request(self, id: bytes = b"r1", wait: int = 3000) -> Slot:
+        """Hand the driver a request with a deadline of `wait` milliseconds; return its slot."""
         slot = Slot(self.connection)
         slot.request = id.decode()
         self.connection.slots.append(slot)
--- a/tests/support/gateway_process.py
+++ b/tests/support/gateway_process.py
@@ -1,4 +1,4 @@
-"""A gateway as a process of its own."""
+"""Starts a gateway as a process of its own, and connects clients to it."""
 
 from __future__ import annotations
 
@@ -13,6 +13,7 @@
 
 
 async def start_gateway(config: Path) -> asyncio.subprocess.Process:
+    """Start the program with a configuration file; its log can be read from `stderr`."""
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -24,6 +25,7 @@
 
 
 async def connect_client(port: int) -> Peer:
+    """Connect a client, and retry for as long as nothing listens at the port yet."""
     while True:
         try:
             return Peer(*await asyncio.open_connection(LOCAL, port))
