--- a/switchline/service/calls/overrides.py
+++ b/switchline/service/calls/overrides.py
@@ -65,7 +65,7 @@
 class OverrideSet:
     """Owns the overrides of each kind, and applies each change to the policy, the disk and the audit.
 
-    The other kinds exist only if the configuration named a fleet at the start.
+    Kinds that need a fleet exist only if the configuration named one at the start.
 
     Attributes:
         persist: Stores each change on disk; None without a state on disk.
