--- a/tests/clients/test_connections.py
+++ b/tests/clients/test_connections.py
@@ -613,7 +613,9 @@
             budget.open_reserve()
             acceptor = Acceptor(listener, asyncio.Protocol, budget, may_use_reserve)
             scarce_socket = ScarceSocket(1)
-            acceptor.socket = SimpleNamespace(accept=scarce_socket, fileno=listener.fileno)  # type: ignore[assignment]
+            acceptor.socket = SimpleNamespace(  # type: ignore[assignment]
+                accept=scarce_socket, fileno=listener.fileno
+            )
             acceptor._accept()
             assert (
                 scarce_socket.call_count == call_count
--- a/tests/service/test_logs.py
+++ b/tests/service/test_logs.py
@@ -28,5 +28,8 @@
     assert passes(1.0, log_record("something else"))
     next_period_record = log_record("peer %d broke off", 7)
     assert passes(PERIOD_S, next_period_record)
-    assert next_period_record.getMessage() == f"peer 7 broke off (and {100 - MAX_LINES_PER_PERIOD} like it before)"
+    assert (
+        next_period_record.getMessage()
+        == f"peer 7 broke off (and {100 - MAX_LINES_PER_PERIOD} like it before)"
+    )
     assert passes(PERIOD_S + 0.1, log_record("peer %d broke off", 8))
--- a/tests/service/test_wall_clock.py
+++ b/tests/service/test_wall_clock.py
@@ -22,7 +22,9 @@
 def apply_newer_list(world: GatewayHarness, started: float, previous_valid_until_ms: float) -> None:
     """Apply a newer list with backend 9, whose start time is by another machine's clock."""
     world.give(
-        api.BackendsChanged(api.ListScope.CHANGES, (entry(9, started_at_ms=started),), previous_valid_until_ms)
+        api.BackendsChanged(
+            api.ListScope.CHANGES, (entry(9, started_at_ms=started),), previous_valid_until_ms
+        )
     )
 
 
