--- a/tests/state/test_persistence.py
+++ b/tests/state/test_persistence.py
@@ -158,8 +158,8 @@
 
     in_loop(scenario)
     assert (
-        Budget(256, process_descriptors=PROCESS_DESCRIPTORS + STATE_DESCRIPTORS).total
-        == Budget(256).total + STATE_DESCRIPTORS
+        Budget(256, process_descriptors=PROCESS_DESCRIPTORS + STATE_DESCRIPTORS).total_in_use
+        == Budget(256).total_in_use + STATE_DESCRIPTORS
     )
 
 
