--- a/switchline/policy/backends/backend.py
+++ b/switchline/policy/backends/backend.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of one backend, and the part of its capacity that it has while it warms up."""
+"""What a gateway knows of one backend, and the share of its capacity that it has while it warms up."""
 
 from __future__ import annotations
 
@@ -6,8 +6,7 @@
 
 from switchline.policy import interface as api
 
-# A backend that an operator enabled again gets a request within this time, as it may have
-# capacity that the gateway can use.
+# A backend that an operator enabled again gets a request within this time, as it may have capacity to use.
 MAX_PROBE_DELAY_MS = 1_500.0
 
 
--- a/switchline/policy/backends/backend_table.py
+++ b/switchline/policy/backends/backend_table.py
@@ -28,7 +28,7 @@
         self.free_in_flight = 0.0
         self._settings = settings
         self._zones = zones
-        # Times in milliseconds at which operators enabled backends again, of those that are still warming up.
+        # When operators enabled backends again, in milliseconds, by number; only of those still warming up.
         self._enabled_ms: dict[int, float] = {}
 
     def is_usable(self, backend: Backend) -> bool:
--- a/switchline/policy/backends/subset.py
+++ b/switchline/policy/backends/subset.py
@@ -51,10 +51,10 @@
     It is the backend of that zone with the lowest hash, which differs between gateways.
     """
     covered = {backend.zone for backend in chosen}
-    first: dict[str, tuple[int, Backend]] = {}
+    lowest_by_zone: dict[str, tuple[int, Backend]] = {}
     for backend in usable:
         if backend.zone not in covered:
             position = slice_of_backend(index, backend.id, 2**64)
-            if backend.zone not in first or position < first[backend.zone][0]:
-                first[backend.zone] = (position, backend)
-    return [backend for _, backend in first.values()]
+            if backend.zone not in lowest_by_zone or position < lowest_by_zone[backend.zone][0]:
+                lowest_by_zone[backend.zone] = (position, backend)
+    return [backend for _, backend in lowest_by_zone.values()]
--- a/switchline/policy/backends/zone_routing.py
+++ b/switchline/policy/backends/zone_routing.py
@@ -13,12 +13,12 @@
 # Relative surcharge on the cost of a zone that surely fails. It is low, so that the zone still gets requests
 # until it is left.
 ZONE_FAILURE_COST = 1.0
-# Relative surcharge for each step of distance from the own zone: without a price for attempts that cross
-# zones, for each unit of that price, and at most.
+# Relative surcharge for each step of distance from the own zone, if attempts that cross zones have no price.
 MIN_DISTANCE_COST = 0.05
-DISTANCE_COST_PER_PRICE = 5.0
-MAX_DISTANCE_COST = 1.0
-# Granted requests that may accumulate in this gateway's part of the fleet's ramp: it allows no bursts.
+DISTANCE_COST_PER_PRICE = 5.0  # added to that surcharge for each unit of the price
+MAX_DISTANCE_COST = 1.0  # the highest surcharge for each step
+# Granted requests that may accumulate at this gateway during the fleet's ramp; below 2, so that there are no
+# bursts.
 MAX_GRANTED_REQUESTS = 1.5
 OTHER_REGION_DISTANCE = 2  # steps from the own zone
 
--- a/switchline/policy/backends/zones.py
+++ b/switchline/policy/backends/zones.py
@@ -16,11 +16,10 @@
 OUTCOME_WEIGHT = 0.8
 # Level of evidence above which a backend counts as lost.
 LOST_BACKEND_SCORE = 0.5
-# Healthy backends that are assumed beside those with evidence: a zone is left only after three of them fail.
+# Healthy backends that are added to those with evidence, so that a zone is left only after three fail.
 ASSUMED_HEALTHY_BACKENDS = 0.75
-# Failure score of a zone from which it is left, and below which it may return.
-LEAVE_SCORE = 0.5
-RETURN_SCORE = 0.25
+LEAVE_SCORE = 0.5  # a zone is left from this failure score on
+RETURN_SCORE = 0.25  # a zone that is left may return below this failure score
 # Mean time between two health checks of a zone that is left, by one gateway.
 HEALTH_CHECK_INTERVAL_MS = 2_000.0
 # Bounds of the duration of a zone's return, in warm-up times of a backend; each gateway draws its own.
--- a/switchline/policy/interface/events.py
+++ b/switchline/policy/interface/events.py
@@ -125,7 +125,7 @@
         customer: The key of its customer.
         expires_ms: When its client stops waiting.
         units: The estimated size of the request, in units of quota.
-        customer_gateway_count: The number of gateways over which the front distributes this customer.
+        customer_gateway_count: The number of gateways over which this customer's requests are distributed.
         first_gateway: The index of the first of those gateways.
         is_repeat: Whether the client has sent it before.
         streamed: Whether its body is still being received; `RequestBodyReceived` follows.
--- a/switchline/policy/persistence/reserve.py
+++ b/switchline/policy/persistence/reserve.py
@@ -8,7 +8,8 @@
 from switchline.policy import interface as api
 from switchline.policy.quota.customer import Customer
 
-# A record reserves this ratio of a burst, or the units that the rate yields in this time if they are more.
+# A record reserves the larger of two amounts: this ratio of the burst, and the units that the rate yields in
+# `RESERVED_RATE_MS`.
 RESERVED_BURST_RATIO = 0.25
 RESERVED_RATE_MS = 100.0
 
@@ -36,7 +37,7 @@
 
 
 def reserve_size_units(customer: Customer, max_request_units: float) -> float:
-    """Return the units that one record of a customer reserves: a part of its bucket, at least one request."""
+    """Return the units that a customer's record reserves: a share of its bucket, at least one request."""
     plan = customer.plan
     if plan.rate_per_s:
         burst = plan.burst_units * customer.quota_share
@@ -124,7 +125,7 @@
         self.spent_since_write += units
 
     def on_written(self, now: float, units: float, rate: SafeRate) -> None:
-        """Note a record that was written and is not committed; the caller sets `pending_serial`.
+        """Handle the write of a record that is not committed yet; the caller sets `pending_serial`.
 
         Args:
             now: The time in milliseconds.
--- a/switchline/policy/persistence/restore.py
+++ b/switchline/policy/persistence/restore.py
@@ -13,7 +13,8 @@
 MAX_DOWNTIME_MS = 600_000.0
 # The units gained in this time may have been spent without a reserve; a commit takes half of it at most.
 MAX_COMMIT_LAG_MS = 3_000.0
-# After this many recent restarts a customer without a record starts with one request and no ceiling units.
+# After this many recent restarts, a customer without a record starts with the units of a single request and
+# with no ceiling units.
 MAX_COUNTED_RESTARTS = 8
 # Maximum of any number in a record, except times.
 MAX_RECORD_VALUE = 1e9
@@ -65,7 +66,7 @@
             is_valid = False
     if not is_valid:
         raise ValueError(
-            f"wrong kind of record, or a number not in the range to 1e9: {type(record).__name__}"
+            f"wrong kind of record, or a number out of range, expected at most 1e9: {type(record).__name__}"
         )
 
 
--- a/switchline/policy/quota/admission.py
+++ b/switchline/policy/quota/admission.py
@@ -24,14 +24,13 @@
 
 # The weight of one reading in `QuotaCheck.admitted_ratio`, an exponential moving average.
 READING_WEIGHT = 0.1
-# The part of the admissible units that a very sparse customer uses once its demand is over its quota, because
-# its bucket is empty at times by chance.
+# The share of the admissible units that a very sparse customer uses once its demand is over its quota: its
+# bucket is empty at times by chance.
 VERY_SPARSE_RATIO = 0.8
-# The load ratio above which requests of the highest priority are shed; the largest random increase of that
-# ratio; and the part by which it is lower for a class of priority 0.
+# The load ratio above which requests of the highest priority are shed.
 SHEDDING_RATIO = 0.55
-SHEDDING_JITTER = 0.5
-SHEDDING_PRIORITY_SPAN = 0.45
+SHEDDING_JITTER = 0.5  # the largest random increase of that ratio
+SHEDDING_PRIORITY_SPAN = 0.45  # the share by which that ratio is lower for a class of priority 0
 # Below this load ratio there is spare capacity.
 LOW_LOAD_RATIO = 0.1
 
@@ -95,7 +94,7 @@
     """Compares a request with its customer's lease.
 
     Attributes:
-        admitted_ratio: The part of the requests with a recent reading for which the quota had enough units.
+        admitted_ratio: The share of the requests with a recent reading for which the quota had enough units.
     """
 
     def __init__(self, rng: random.Random, counter_capacity: CounterCapacity) -> None:
@@ -128,7 +127,7 @@
             return units - customer.fleet_remaining_units if customer.admit_probability == 1 else units
         probability = customer.admit_probability
         if customer.is_very_sparse:
-            # The part of the requests that is admitted without a reading.
+            # The share of the requests that is admitted without a reading.
             unread_ratio = (1 - self._counter_capacity.ratio) * self.admitted_ratio
             probability = (VERY_SPARSE_RATIO * probability - unread_ratio) / self._counter_capacity.ratio
         return 0.0 if self._rng.random() < probability else units
@@ -269,7 +268,7 @@
         """Return the time in milliseconds after which a rejected client should retry.
 
         If units are missing, it is the time until the quota has them. For any other cause, also the ceiling,
-        it is the usual wait, a part of the latency objective.
+        it is the usual wait, a share of the latency objective.
 
         While the whole fleet is recovering, the waits are random, so that rejected clients don't all retry at
         the same time.
--- a/switchline/policy/quota/counter_capacity.py
+++ b/switchline/policy/quota/counter_capacity.py
@@ -1,4 +1,4 @@
-"""The part of lease refreshes for which an overloaded counter service has capacity."""
+"""The share of lease refreshes for which an overloaded counter service has capacity."""
 
 from __future__ import annotations
 
@@ -6,14 +6,13 @@
 
 # Added to the ratio after a successful call; it makes up for a few lost calls in a hundred.
 RECOVERY_STEP = 0.02
-# The ratio is multiplied by one of these after a call that failed or that the busy counter refused.
-FAILED_FACTOR = 0.9
-BUSY_FACTOR = 0.6
+FAILED_FACTOR = 0.9  # multiplies the ratio after a call that failed
+BUSY_FACTOR = 0.6  # multiplies the ratio after a call that the busy counter refused
 MIN_RATIO = 0.1
 
 
 class CounterCapacity:
-    """Owns the part of refreshes that are sent to the counter.
+    """Owns the share of refreshes that are sent to the counter.
 
     An overloaded counter fails the calls of all gateways, and their number keeps it overloaded.
 
--- a/switchline/policy/quota/customer.py
+++ b/switchline/policy/quota/customer.py
@@ -6,13 +6,13 @@
 
 from switchline.policy import interface as api
 
-# The time to live of a lease: for as long, other gateways may rely on what this one has reported.
+# The time to live of a lease, during which other gateways may rely on the demand that this gateway reported.
 LEASE_MS = 15_000.0
-# Bounds for an even share of a burst, in requests of the largest size. Below the first it is sparse (too
-# small to be spent locally), below the second very sparse.
+# A customer is sparse if the even share of its burst is smaller than this, in requests of the largest size:
+# then it is too small to be spent locally.
 SPARSE_REQUESTS = 1.5
-VERY_SPARSE_REQUESTS = 0.25
-NO_PERIOD = -2  # no reading yet; it is neither equal to any period nor to the one before any
+VERY_SPARSE_REQUESTS = 0.25  # the same bound for a very sparse customer
+NO_PERIOD = -2  # no reading yet; neither this nor the next number is a period
 
 
 @dataclass(slots=True)
@@ -48,7 +48,7 @@
         fleet_remaining_units: The units that all gateways have left: those of the last reading, refilled
             since, less those that this gateway has spent since.
         filled_at_ms: The time up to which the buckets have been filled.
-        admit_probability: The part of its requests for which the quota has units; used if it is sparse.
+        admit_probability: The share of its requests for which the quota has units; used if it is sparse.
         spent_units: Units that this gateway has spent since the last reading.
         lease_expires_ms: When the lease expires unless a call to the counter renews it.
         next_refresh_ms: The earliest time of the next call to the counter.
@@ -113,7 +113,8 @@
         self.ceiling_share = even_share
         even_burst = plan.burst_units * even_share
         self.tokens = max(max_request_units, even_burst)
-        # A restarted gateway does not know what it has sent; an empty bucket keeps it from spending it twice.
+        # A restarted gateway does not know what it spent before its start. The bucket was empty then, so that
+        # nothing is spent twice.
         self.ceiling_tokens = (now - gateway_created_ms) / 1000 * plan.ceiling_rate_per_s * even_share
         self.fleet_remaining_units = plan.burst_units
         self.filled_at_ms = now
@@ -146,7 +147,7 @@
         return not self.in_flight and now - self.filled_at_ms > self.idle_ttl_ms
 
     def use_even_share(self) -> None:
-        """Fall back to the even share, which is safe if nothing is known of the other gateways."""
+        """Fall back to the even share, which is safe if the demand at the other gateways is not known."""
         self.quota_share = self.even_share
         self.ceiling_share = self.even_share
         self.has_valid_reading = False
--- a/switchline/policy/quota/lease_sizing.py
+++ b/switchline/policy/quota/lease_sizing.py
@@ -8,13 +8,15 @@
 
 from switchline.policy.quota.customer import Customer, PendingPeriod
 
-# The length of a counter period, for which one number is used. It is long because each new number costs one
-# more call.
+# The length of a counter period. The counter has one number for each customer and period; the period is long
+# because each new number costs one more call.
 PERIOD_MS = 15_000.0
-# The shortest time between two refreshes: shares follow a shift of demand, and calls are fewer than requests.
+# The shortest time between two refreshes: short enough that shares follow a shift of demand, and long enough
+# that there are fewer calls than requests.
 REFRESH_MS = 500.0
 DEMAND_MEMORY_MS = 3_000.0  # the time constant with which demand decays
-# The ratios of a ceiling that are divided evenly and by demand; the rest is a margin for late readings.
+# The ratio of a ceiling that is divided evenly, and the ratio that is divided by demand. The rest is a margin
+# for late readings.
 EVEN_CEILING_RATIO = 0.5
 DEMAND_CEILING_RATIO = 0.45
 SPARSE_REFRESH_MS = 100.0  # the shortest time between two refreshes of a sparse lease
@@ -163,7 +165,7 @@
     period_s = max(0.0, now - reading.period * PERIOD_MS) / 1000
     period_units = rate * period_s
     if customer.is_sparse and others + own + spent <= period_units:
-        # All demand of this period is within its refill, whatever the final total of the last one was.
+        # All demand of this period is within its refill, whatever the final total of the last period was.
         gained = max(period_units - spent, customer.fleet_remaining_units if reading.is_next_period else 0.0)
         set_remaining(now, customer, others, own, QuotaGain(gained), max_request_units)
         return True
@@ -179,10 +181,20 @@
 
 
 def apply_final_total(now: float, customer: Customer, total: float, max_request_units: float) -> None:
-    """Complete a pending period with the final total of the period before it, in units."""
+    """Complete a pending period with the final total of the period before it.
+
+    If this gateway read that period, the demand after its last reading counts as demand of other gateways.
+    Otherwise the burst counts as refilled, less the units by which the total exceeded that period's refill.
+
+    Args:
+        now: The time in milliseconds.
+        customer: The customer that owns the lease.
+        total: The final total, in units.
+        max_request_units: The units of the largest request.
+    """
     plan, pending = customer.plan, customer.pending_period
     others, own, gained = pending.other_units, pending.own_units, pending.gained_units
-    if pending.previous_total >= 0:  # that period was read before, so what was left then is known
+    if pending.previous_total >= 0:  # this gateway read that period: what was left then is known
         others += max(0.0, total - pending.previous_total)
         set_remaining(now, customer, others, own, QuotaGain(gained), max_request_units)
         return
@@ -199,7 +211,7 @@
     gain: QuotaGain,
     max_request_units: float,
 ) -> None:
-    """Set what is left of the quota after some demand, as a single gateway with all the demand would.
+    """Set what is left of the quota after the given demand, as a single gateway that got all of it would.
 
     Demand within the refill was admitted and is taken off. Above it, the admitted part is the refill, less a
     burst that went to the first requests, divided by all demand; but a lone request of another gateway that
--- a/switchline/policy/quota/leases.py
+++ b/switchline/policy/quota/leases.py
@@ -29,8 +29,8 @@
 REPLY_WAIT_MULTIPLE = 5.0
 MIN_REPORT_UNITS = 0.01  # the smallest amount to add, as an amount of 0 only reads
 MIN_FOREIGN_UNITS = 0.1  # the smallest demand of other gateways that can't come from rounding
-# The front distributes each customer over several gateways. If no demand of others was ever read for this
-# many customers, that is not by chance.
+# Each customer's requests are distributed over several gateways. If no demand of other gateways was ever read
+# for this many customers, that is not by chance.
 MAX_CUSTOMERS_ALONE = 8
 
 
@@ -57,7 +57,7 @@
     Attributes:
         is_stale: Whether this gateway's data are older than the fleet's; then it uses even shares of
             quotas and does not call the counter.
-        counter_capacity: The part of refreshes for which the counter has capacity.
+        counter_capacity: The share of refreshes for which the counter has capacity.
     """
 
     def __init__(
@@ -80,7 +80,10 @@
         self._customers_alone: set[str] = set()  # keys of customers without demand of others in a reading
 
     def fill(self, now: float, customer: Customer) -> None:
-        """Refill a customer's buckets; once its lease has expired, it has the even share, which is safe."""
+        """Refill a customer's buckets, at the even share of its quota once its lease has expired.
+
+        The even shares of the customer's gateways add up to its quota, so they are safe without a reading.
+        """
         if now > customer.lease_expires_ms or self.is_stale:
             customer.use_even_share()
         fill_buckets(now, customer, self._settings.max_request_units)
--- a/switchline/policy/requests/attempts.py
+++ b/switchline/policy/requests/attempts.py
@@ -90,13 +90,13 @@
             self.schedule_check(now, request, request.check_at_ms, actions)
 
     def on_body_sent(self, now: float, event: api.RequestBodySent, _: api.Actions) -> None:
-        """Start the time of a streamed request's attempt, now that its body has been sent."""
+        """Measure the time of a streamed request's attempt from now on, as its body has been sent."""
         attempt = self.in_flight.get((event.request, event.attempt))
         if attempt:
             attempt.sent_at_ms = now
 
     def on_answer_streamed(self, now: float, event: api.StreamedAnswerStarted, actions: api.Actions) -> None:
-        """Take a streamed answer as the final one: it must not be cancelled; cancel all others."""
+        """Take a streamed answer as the final one: its attempt must not be cancelled; cancel all others."""
         attempt = self.in_flight.get((event.request, event.attempt))
         request = self.requests.pop(event.request, None)
         if attempt and request:
@@ -113,7 +113,7 @@
     def on_overdue(self, now: float, request: Request, actions: api.Actions) -> None:
         """Handle an overdue attempt of a request: hedge it, or cancel it, which leads to a retry."""
         self.schedule_check(now, request, math.inf, actions)
-        for number in request.in_flight_attempts:  # an overdue attempt is evidence on its zone before it ends
+        for number in request.in_flight_attempts:  # an overdue attempt counts against its zone before it ends
             attempt = self.in_flight[request.id, number]
             if now - attempt.sent_at_ms >= self.loss_timeout_ms(now, attempt) - TIMER_TOLERANCE_MS:
                 self._zones.on_outcome(
@@ -183,7 +183,8 @@
             latency.observe_answer(now, clamped_ms)
         if is_unfinished and not is_overdue:
             return  # a client that left early says nothing about the backend
-        if outcome not in (api.Outcome.IGNORED, api.Outcome.QUEUE_FULL):  # a full one is reachable
+        # A backend with a full queue was reached, so its refusal says nothing about the zone.
+        if outcome not in (api.Outcome.IGNORED, api.Outcome.QUEUE_FULL):
             self._zones.on_outcome(now, backend.id, backend.zone, is_lost=not is_ok)
         self._outliers.observe_outcome(now, backend, outcome, attempt.request.score_names)
 
--- a/switchline/policy/requests/final_answer.py
+++ b/switchline/policy/requests/final_answer.py
@@ -24,7 +24,7 @@
 
     Args:
         request: The request.
-        retry_after_ms: The wait before a retry; 0: the usual wait, a part of the latency objective.
+        retry_after_ms: The wait before a retry; 0: the usual wait, a share of the latency objective.
         cause: The cause of the rejection.
         max_retry_after_ms: The longest Retry-After; 0: the answer has none.
     """
--- a/switchline/policy/requests/latency.py
+++ b/switchline/policy/requests/latency.py
@@ -18,7 +18,7 @@
 
     Attributes:
         mean_ms: The mean latency of the last answers; 0 before the first.
-        recent_ms: The recent latency, a decaying geometric mean, because few answers are long.
+        recent_ms: The recent latency: a decaying geometric mean, which rare long answers change little.
         recent_at_ms: When the recent latency was last updated.
         sample_count: The number of answers over which the mean is taken.
         rate_per_s: Answers per second, a decaying average.
--- a/switchline/policy/requests/loss_timeout.py
+++ b/switchline/policy/requests/loss_timeout.py
@@ -15,7 +15,9 @@
 
 
 def loss_timeout_ms(mean_ms: float, failure_probability: float, latency_objective_ms: float) -> float:
-    """Return the loss timeout in milliseconds: five mean latencies, down to two at a failing backend.
+    """Return the loss timeout in milliseconds, a multiple of the mean latency.
+
+    It is `MAX_SAMPLE_MULTIPLE` at a healthy backend, and down to `MIN_MEAN_MULTIPLE` at a failing one.
 
     Args:
         mean_ms: The mean latency of answers; 0: not known.
--- a/switchline/policy/requests/retry_budget.py
+++ b/switchline/policy/requests/retry_budget.py
@@ -3,9 +3,8 @@
 from __future__ import annotations
 
 MAX_BALANCE_ATTEMPTS = 10.0
-# The further attempts that one request earns, usually and while the load is low.
-ATTEMPTS_PER_REQUEST = 0.15
-ATTEMPTS_PER_REQUEST_AT_LOW_LOAD = 0.6
+ATTEMPTS_PER_REQUEST = 0.15  # the further attempts that each request earns
+ATTEMPTS_PER_REQUEST_AT_LOW_LOAD = 0.6  # the same while the load is low
 
 
 class RetryBudget:
@@ -19,7 +18,7 @@
         self.balance = MAX_BALANCE_ATTEMPTS
 
     def earn(self, is_load_low: bool) -> None:
-        """Add the part of an attempt that one request earns."""
+        """Add the fraction of an attempt that each request earns."""
         self.balance = min(
             MAX_BALANCE_ATTEMPTS,
             self.balance + (ATTEMPTS_PER_REQUEST_AT_LOW_LOAD if is_load_low else ATTEMPTS_PER_REQUEST),
