--- a/switchline/fleet/membership/suspicion.py
+++ b/switchline/fleet/membership/suspicion.py
@@ -15,7 +15,7 @@
 import math
 from dataclasses import dataclass
 
-# With so many members that share a suspicion, in addition to the first, its timeout is the shortest.
+# Number of members that must share a suspicion, in addition to the first, for the shortest timeout.
 MAX_CONFIRMATIONS = 3
 MIN_SUSPICION_TIMEOUT_S = 1.1  # the timeout of a suspicion with `MAX_CONFIRMATIONS`
 MAX_SUSPICION_TIMEOUT_S = 3.0  # the timeout of a suspicion that only one member has
@@ -64,6 +64,7 @@
         health: The local health of this member.
     """
     size_factor = max(1.0, math.log10(max(1, members)) / LOG_SIZE_SCALE)
+    # All members but the suspected one and the first that suspects it can confirm the suspicion.
     needed = min(MAX_CONFIRMATIONS, max(0, members - 2))
     confirmed_ratio = 1.0 if needed == 0 else min(1.0, math.log(confirmations + 1) / math.log(needed + 1))
     timeout_s = (
--- a/switchline/fleet/versions/quarantine.py
+++ b/switchline/fleet/versions/quarantine.py
@@ -22,11 +22,11 @@
 from switchline.fleet.messages import Incarnation, MemberState
 from switchline.fleet.versions.staleness import VersionFloors, VersionKind, parse_list_seq, seq_or_no_list
 
-MEMBERS_PER_QUARANTINED = 5  # one of this many members may be quarantined
+MEMBERS_PER_QUARANTINED = 5  # number of members for each one that may be quarantined
 # How long a gateway must be up to date before it leaves quarantine; doubled by each repeated quarantine.
 RECOVERY_S = 3.0
 MAX_RECOVERY_S = 60.0
-REPEAT_WINDOW_S = 600.0  # a quarantine that begins within this time of the last one is a repeated one
+REPEAT_WINDOW_S = 600.0  # a quarantine that begins within this time of the last one is repeated
 # A member grants nothing for this long after its start. Then all know that its earlier process has ended.
 GRANT_DELAY_S = 5.0
 NO_FLOORS = VersionFloors()
@@ -64,7 +64,8 @@
 def max_grants_per_member(members: int) -> int:
     """Return how many quarantines each member may grant at once.
 
-    With g grants by each member, at most 2g - 1 gateways can be quarantined.
+    A quarantine needs the grants of more than half of all members, so that with g grants by each member at
+    most 2g - 1 gateways can be quarantined.
     """
     return (max_quarantined(members) + 1) // 2
 
--- a/switchline/fleet_runtime/list_repair.py
+++ b/switchline/fleet_runtime/list_repair.py
@@ -40,7 +40,7 @@
 
 
 class ListRepair:
-    """Owns whether the list of this gateway is stale, and the newer lists that others have sent meanwhile."""
+    """Owns whether the list of this gateway is stale, and the newer lists that others sent while it is."""
 
     def __init__(
         self, driver: Driver, discovery: Discovery, state: StatePersistence, rng: random.Random
@@ -110,7 +110,7 @@
         newer = [listed for listed in self.lists.values() if listed.seq > self.own_seq()]
         agreed = agreed_changes(own, newer)
         changes = [host for host in agreed if _host_health(host) not in self._applied]
-        if len(newer) > 1:
+        if len(newer) > 1:  # two lists have reached the second highest number
             self.repaired_seq = max(self.repaired_seq, sorted(listed.seq for listed in newer)[-2])
         if changes and not removes_all(own, agreed):
             self._apply(changes)
--- a/switchline/fleet_runtime/membership.py
+++ b/switchline/fleet_runtime/membership.py
@@ -150,8 +150,8 @@
     def leave(self, announce: bool) -> None:
         """End the membership.
 
-        With `announce` the other members are told that the gateway leaves. Without it only this process ends,
-        as in an upgrade.
+        With `announce` the other members are notified that the gateway leaves. Without it only this process
+        ends, as in an upgrade.
         """
         member = self.member
         self.member = None
--- a/switchline/fleet_runtime/recovery/spending.py
+++ b/switchline/fleet_runtime/recovery/spending.py
@@ -21,16 +21,16 @@
 POLL_INTERVAL_S = 0.02
 REQUEST_INTERVAL_S = 0.15  # between two rounds of requests
 REQUESTS_PER_ROUND = 2
-NEAREST_GATEWAYS = 6  # how many are asked; the gateways that serve one customer have neighbouring places
+NEAREST_GATEWAYS = 6  # number that is asked; the gateways that serve a customer have neighbouring places
 
 
 class SpendingRecovery:
     """Owns which gateways were asked for customers' spending and have not answered."""
 
-    def __init__(self, driver: Driver, index: int) -> None:
-        """`index` is this gateway's place among all gateways."""
+    def __init__(self, driver: Driver, place: int) -> None:
+        """`place` is this gateway's place among all gateways."""
         self.driver = driver
-        self.index = index
+        self.place = place
         self.waiting_for: set[str] = set()
         self.customers = 0  # number of customers whose spending came from other gateways
         self.can_answer = False  # false while this gateway itself may have to ask others
@@ -65,12 +65,15 @@
             log.info(log_events.SPENDING_MISSING, ", ".join(sorted(self.waiting_for)))
 
     def _nearest(self, node: ProtocolEndpoint) -> dict[str, Address]:
-        """Return the addresses, by name, of the gateways with the nearest places on the ring of all."""
+        """Return the addresses, by name, of the gateways with the nearest places.
+
+        The places form a ring: the last one is next to the first.
+        """
         places = max(1, self.driver.settings.gateways)
         by_distance = []
         for origin, member in node.members.present.items():
             if (place := node.facts.place(origin)) is not None:
-                distance = (place - self.index) % places
+                distance = (place - self.place) % places
                 by_distance.append((min(distance, places - distance), origin, member.address))
         return {origin: address for _, origin, address in sorted(by_distance)[:NEAREST_GATEWAYS]}
 
--- a/switchline/zones/agreement.py
+++ b/switchline/zones/agreement.py
@@ -75,7 +75,7 @@
         self.progress: dict[str, ZoneProgress] = {}
         self.regions: Mapping[str, str] = {}  # each zone's region, by zone
         self.directives: dict[str, Directive] = {}
-        # Whether no zone is in question, or one that is in question is still in use.
+        # Whether no zone is in question, or at least one zone in question is still in use.
         self.undecided = True
         self._evaluated_at_s = -math.inf
         self._resumed_at_s = -math.inf
--- a/switchline/zones/decision.py
+++ b/switchline/zones/decision.py
@@ -123,19 +123,20 @@
 def row_to_entry(name: str, row: DecisionRow) -> Entry | None:
     """Return the entry in a stored row; None if the row is invalid.
 
-    A ramp is not resumed, as the backends may no longer bear the load of its step: the entry leaves the zone,
-    so that it is probed again. If other gateways still follow the same version, their entry takes precedence.
+    A ramp is not resumed, as the backends may no longer bear the load of its step: the decision is changed to
+    one that leaves the zone, so that it is probed again. If other gateways still follow the same version,
+    their entry takes precedence.
     """
     try:
-        origin, began, lot, version, at, value = row
+        origin, started_ms, random_number, version, at_ms, value = row
         decision = decode_decision(str(value))
         if decision.state == ZoneState.RETURNING:
             reason = "kept on disk: the return is begun anew"
             decision = ZoneDecision(ZoneState.LEFT, flaps=decision.flaps, reason=reason)
-        incarnation = int(began), int(lot)
+        incarnation = int(started_ms), int(random_number)
         encoded = msgspec.json.encode(decision).decode()
         entry = Entry(
-            FactKind.ZONE_DECISION, name, str(origin), incarnation, int(version), float(at), encoded
+            FactKind.ZONE_DECISION, name, str(origin), incarnation, int(version), float(at_ms), encoded
         )
         return msgspec.convert(msgspec.to_builtins(entry), Entry)  # checks the ranges of the fields
     except (ValueError, TypeError):
--- a/switchline/zones/publisher.py
+++ b/switchline/zones/publisher.py
@@ -98,7 +98,7 @@
 
         Args:
             evaluation: The evaluation under way.
-            left_since_s: Since when each zone that is left is left, in monotonic seconds.
+            left_since_s: By zone that is left: the time at which it was left, in monotonic seconds.
         """
         reports = self._collect_received(evaluation)
         if quarantined := quarantined_members(evaluation.facts):
--- a/switchline/zones/ramp.py
+++ b/switchline/zones/ramp.py
@@ -48,7 +48,13 @@
 
 
 def backend_range(weights: str, place: int, places: int) -> BackendRange:
-    """Return the backend range of one place; all ranges are within 0 to 1 and never overlap."""
+    """Return the backend range of one place; all ranges are within 0 to 1 and never overlap.
+
+    Args:
+        weights: The weights of all places, as returned by `weights_by_load`; "" gives even ranges.
+        place: The place of the gateway, from 0.
+        places: Number of places.
+    """
     if not weights:
         return BackendRange(min(place, places - 1) / max(1, places), 1 / max(1, places))
     digits = [int(digit, 16) for digit in weights]
