--- a/switchline/audit/chain.py
+++ b/switchline/audit/chain.py
@@ -18,7 +18,7 @@
 
 FIRST_DIGEST = ""  # the previous hash of the first record
 DIGEST_BYTES = 12
-MAX_LINE_CHARS = 8_192  # including the hash
+MAX_LINE_CHARS = 8_192  # the longest line, including the hash
 MAX_TEXT_CHARS = 400  # limits a cause, a name or a version
 MAX_COUNTS = 16
 GAP_KIND = "gap"
--- a/switchline/audit/recorder.py
+++ b/switchline/audit/recorder.py
@@ -30,8 +30,8 @@
 AuditCallback = Callable[[str, str, str, str], None]
 """Called with a kind, subject, version and cause, as `Audit.record`."""
 
-MAX_RECENT_RECORDS = 512  # in memory
-MAX_VERSIONS = 512  # in memory, of the subjects that changed last
+MAX_RECENT_RECORDS = 512  # the most records that stay in memory
+MAX_VERSIONS = 512  # the most versions in memory: those of the subjects that changed last
 KINDS_WITH_COUNTS = frozenset({"list", "config"})
 """The kinds of versions for which the outcomes of requests are counted."""
 
--- a/switchline/audit/sources.py
+++ b/switchline/audit/sources.py
@@ -17,7 +17,7 @@
 from switchline.audit.segments import segment_paths, text_lines
 from switchline.fleet.messages import HybridTimestamp, Incarnation
 
-REPLY_TIMEOUT_S = 2.0  # for a call to a gateway
+REPLY_TIMEOUT_S = 2.0  # limits a call to a gateway
 MAX_PARALLEL_READS = 64
 HEAD_FACT = "audit"  # the kind of the facts by which gateways publish their last records
 
--- a/switchline/audit/writer.py
+++ b/switchline/audit/writer.py
@@ -20,7 +20,7 @@
 log = logging.getLogger(__name__)
 
 SYNC_INTERVAL_S = 0.5  # a power loss loses the records of at most this time
-RETRY_INTERVAL_S = 2.0  # between attempts to open an unusable folder
+RETRY_INTERVAL_S = 2.0  # time between attempts to open an unusable folder
 CLOSE_TIMEOUT_S = 1.0  # limits writing the last records at the end of the process
 MAX_WAITING_RECORDS = 4_096  # applies to the queue and separately to the thread's list
 
@@ -53,7 +53,7 @@
         # Records lost since the start because the queue was full; only the event loop writes this.
         self.overflowed = 0
         self.faults = 0
-        self._overflowed_recorded = 0  # the part of `overflowed` that gap records include
+        self._overflowed_recorded = 0  # the number of `overflowed` records that gap records include
         self._cause = ""
         self._segments: Segments | None = None
         self._retry_at_s = 0.0
--- a/switchline/clients/connection.py
+++ b/switchline/clients/connection.py
@@ -32,7 +32,7 @@
 # While more bytes of a long answer wait in the transport, no more of it is written. The last piece may exceed
 # this limit.
 MAX_UNSENT_STREAMED_BYTES = 16 * 1024
-MAX_COMMAND_BYTES = 128 * 1024  # without a streamed value
+MAX_COMMAND_BYTES = 128 * 1024  # the largest command, without a streamed value
 MAX_ARGUMENTS = 16  # a request has at most five, and the set-up commands of client libraries few more
 READ_BUFFER_BYTES = 64 * 1024
 # Bytes that are read and discarded after the last command. A peer that sends more is read no further while
@@ -82,7 +82,7 @@
         self._writing_paused = False
         self._pumping = False  # `pump` is running; prevents recursion
         self.half_closed_at_s = 0.0
-        self._discarded_bytes = 0  # received after the last command that is answered
+        self._discarded_bytes = 0  # number of bytes received after the last command that is answered
 
     @property
     def guard(self) -> Guard:
--- a/switchline/fleet/dissemination/anti_entropy.py
+++ b/switchline/fleet/dissemination/anti_entropy.py
@@ -13,13 +13,13 @@
 from switchline.fleet.membership.members import Members
 from switchline.fleet.messages import MemberState
 
-EXCHANGE_INTERVAL_S = 12.0  # between two exchanges, in a fleet of up to 32 members
+EXCHANGE_INTERVAL_S = 12.0  # time between two exchanges, in a fleet of up to 32 members
 LOG2_SIZE_OFFSET = 4  # in a larger fleet the interval is multiplied by log2(members) minus this
 JOIN_BACKOFF_S = 0.5  # the first delay between two attempts to join by the seeds
 MAX_JOIN_BACKOFF_S = 8.0
 JOIN_SEEDS = 2  # number of seeds in one attempt
-# Between two exchanges with a dead member or an unknown seed. They let the parts of a fleet find each other
-# again after a network partition.
+# Time between two exchanges with a dead member or an unknown seed. These exchanges let the parts of a fleet
+# find each other again after a network partition.
 REJOIN_INTERVAL_S = 15.0
 JITTER_RATIO = 0.25  # each interval is longer or shorter by at most this ratio, at random
 
--- a/switchline/fleet/dissemination/gossip_queue.py
+++ b/switchline/fleet/dissemination/gossip_queue.py
@@ -13,7 +13,7 @@
 MAX_GOSSIP_BYTES = MAX_DATAGRAM_BYTES - 120  # the rest is for the frame and the datagram's other fields
 UPDATE_OVERHEAD_BYTES = 48  # estimated size of an update without its texts
 ENTRY_OVERHEAD_BYTES = 72  # estimated size of an entry without its texts
-MAX_EXAMINED_ITEMS = 40  # for one datagram
+MAX_EXAMINED_ITEMS = 40  # the most items that are examined for one datagram
 
 Item = MemberUpdate | Entry
 
--- a/switchline/fleet/dissemination/outbox.py
+++ b/switchline/fleet/dissemination/outbox.py
@@ -13,7 +13,7 @@
 from switchline.fleet.membership.probing import NO_ADDRESS
 from switchline.fleet.messages import MAX_DATAGRAM_BYTES, Datagram, Entry, MemberUpdate, MessageKind
 
-GOSSIP_INTERVAL_S = 0.2  # between two rounds of gossip, while there is gossip to pass on
+GOSSIP_INTERVAL_S = 0.2  # time between two rounds of gossip, while there is gossip to pass on
 GOSSIP_FANOUT = 2  # number of members that a round is sent to
 # Delay before the first round with a new item. It is short, as a refutation must arrive before the timeout of
 # the suspicion.
--- a/switchline/fleet/endpoint.py
+++ b/switchline/fleet/endpoint.py
@@ -33,7 +33,7 @@
 )
 
 LEAVE_FANOUT = 4  # number of members that are sent this member's claim that it leaves
-EXPIRY_INTERVAL_S = 5.0  # between two removals of expired members and facts
+EXPIRY_INTERVAL_S = 5.0  # time between two removals of expired members and facts
 STALL_GAP_S = 0.75  # after a longer gap between two ticks this process is taken to have been stalled
 
 
@@ -68,7 +68,7 @@
         self.prober = Prober(self.members, address, self.outbox.send, rng, now_s)
         self.exchange_schedule = ExchangeSchedule(self.members, address, seeds, rng, now_s)
         self.refused: dict[str, int] = {}  # number of dropped messages by reason
-        self.received_datagrams = 0  # without those that were dropped
+        self.received_datagrams = 0  # number of received datagrams, without dropped ones
         # Called with each fact entry that is new in `facts`.
         self.on_fact: Callable[[Entry], None] = lambda entry: None
         # What this gateway asks for in exchanges, the number of its own endpoint list (-1: none), and the
--- a/switchline/fleet/facts.py
+++ b/switchline/fleet/facts.py
@@ -23,9 +23,9 @@
 )
 from switchline.fleet.messages import MAX_NAME_CHARS, MAX_VALUE_CHARS, Entry, Incarnation
 
-MAX_ENTRIES = 4_096  # of the table
-MAX_ENTRIES_OF_ORIGIN = 64  # not enforced for operators' overrides and decisions
-MAX_DECISIONS = 256  # the most names of one versioned kind
+MAX_ENTRIES = 4_096  # the most entries in the table
+MAX_ENTRIES_OF_ORIGIN = 64  # the most facts of one gateway, without overrides and decisions
+MAX_DECISIONS = 256  # the most decisions of one kind (`VERSIONED_KINDS`)
 MAX_CLOCK_SKEW_MS = 300_000.0  # an override from further ahead of this gateway's wall clock is refused
 # Lifetime of decisions and of overrides that were taken back: longer than any network partition lasts.
 SHARED_ENTRY_TTL_MS = 86_400_000.0
--- a/switchline/fleet/membership/probing.py
+++ b/switchline/fleet/membership/probing.py
@@ -18,7 +18,7 @@
 
 PROBE_INTERVAL_S = 0.4
 PROBE_JITTER_RATIO = 0.1  # each interval is longer or shorter by at most this ratio, at random
-PROBE_TIMEOUT_S = 0.1  # for the answer to a direct probe, and as long again for indirect probes
+PROBE_TIMEOUT_S = 0.1  # time for the answer to a direct probe, and as long again for indirect probes
 INDIRECT_PROBES = 3  # number of helpers that are asked for an indirect probe
 NACK_TIMEOUT_RATIO = 0.8  # a helper sends a nack after this ratio of the probe timeout
 MAX_RELAYS = 64  # the most pings in flight on others' behalf
--- a/switchline/fleet/membership/suspicion.py
+++ b/switchline/fleet/membership/suspicion.py
@@ -20,7 +20,7 @@
 MIN_SUSPICION_TIMEOUT_S = 1.1  # the timeout of a suspicion with `MAX_CONFIRMATIONS`
 MAX_SUSPICION_TIMEOUT_S = 3.0  # the timeout of a suspicion that only one member has
 LOG_SIZE_SCALE = 2.0  # timeouts are multiplied by log10(members) over this, from 100 members on
-RECHECK_TIMEOUT_S = 1.0  # for the answer to one more probe of a member that few suspect
+RECHECK_TIMEOUT_S = 1.0  # time for the answer to one more probe of a member that few suspect
 EXPECTED_RECHECKERS = 6.0  # mean number of members, chosen at random, that probe a suspected one at once
 # Dead members, and those that left, are remembered for so long that a minority knows that it is one, and that
 # old gossip does not bring a dead member back.
--- a/switchline/fleet/versions/quarantine.py
+++ b/switchline/fleet/versions/quarantine.py
@@ -100,7 +100,7 @@
         self.quarantine_after_s = quarantine_after_s
         self.is_quarantined = False
         self.stale_version = ""  # a `VersionKind`; empty if no version is stale
-        self.reason = ""  # of the last change of `is_quarantined`
+        self.reason = ""  # the reason of the last change of `is_quarantined`
         self._grants = QuarantineGrants(started_at_s)
         self._stale_since_s = math.inf
         self._up_to_date_since_s = -math.inf
--- a/switchline/fleet_runtime/exchange.py
+++ b/switchline/fleet_runtime/exchange.py
@@ -13,7 +13,7 @@
 from switchline.fleet.endpoint import ProtocolEndpoint
 from switchline.fleet.messages import MAX_EXCHANGE_BYTES
 
-EXCHANGE_TIMEOUT_S = 2.0  # for one exchange, including the connection
+EXCHANGE_TIMEOUT_S = 2.0  # limits one exchange, including the opening of its connection
 MAX_INCOMING = 4
 MAX_OUTGOING = 2
 LISTEN_BACKLOG = 16
--- a/switchline/fleet_runtime/incarnation.py
+++ b/switchline/fleet_runtime/incarnation.py
@@ -13,8 +13,8 @@
 
 log = logging.getLogger(__name__)
 
-FILE_NAME = "life"  # in the folder with the state on disk
-RANDOM_BITS = 40  # of the second number
+FILE_NAME = "life"  # file in the folder with the state on disk
+RANDOM_BITS = 40  # size of the second number of an incarnation
 
 
 def next_incarnation(folder: Path | None, rng: random.Random) -> Incarnation:
--- a/switchline/fleet_runtime/list_repair.py
+++ b/switchline/fleet_runtime/list_repair.py
@@ -31,7 +31,7 @@
 
 log = logging.getLogger(__name__)
 
-REQUEST_INTERVAL_S = 0.5  # between two requests for newer lists
+REQUEST_INTERVAL_S = 0.5  # time between two requests for newer lists
 GATEWAYS_PER_REQUEST = 3  # number of gateways that are asked for their lists at once
 MAX_LISTS = 8  # the most lists of other gateways that are stored at a time
 MAX_LOGGED_HOSTS = 8  # the most backends that one log line names
--- a/switchline/fleet_runtime/recovery/coordinator.py
+++ b/switchline/fleet_runtime/recovery/coordinator.py
@@ -42,7 +42,7 @@
 log = logging.getLogger(__name__)
 
 QUERY_TIMEOUT_S = 2.0  # a gateway that reaches no other one serves after this
-ENOUGH_EXCHANGES = 3  # number of complete states of others to wait for, or of all others if they are fewer
+ENOUGH_EXCHANGES = 3  # complete states to wait for, or those of all other gateways if they are fewer
 # Delay after the last of these exchanges, in which a gateway that started slightly later publishes what its
 # disk holds.
 SETTLE_DELAY_S = 0.3
--- a/switchline/fleet_runtime/recovery/spending.py
+++ b/switchline/fleet_runtime/recovery/spending.py
@@ -17,9 +17,9 @@
 
 log = logging.getLogger(__name__)
 
-TIMEOUT_S = 1.0  # for the answers of all gateways that are asked
+TIMEOUT_S = 1.0  # limits the wait for the answers of all gateways that are asked
 POLL_INTERVAL_S = 0.02
-REQUEST_INTERVAL_S = 0.15  # between two rounds of requests
+REQUEST_INTERVAL_S = 0.15  # time between two rounds of requests
 REQUESTS_PER_ROUND = 2
 NEAREST_GATEWAYS = 6  # number that is asked; the gateways that serve a customer have neighbouring places
 
--- a/switchline/fleet_runtime/transport.py
+++ b/switchline/fleet_runtime/transport.py
@@ -25,9 +25,9 @@
 
 log = logging.getLogger(__name__)
 
-PUBLISH_INTERVAL_S = 0.25  # between two checks for facts that this gateway has to publish
-REOPEN_DELAY_S = 1.0  # before another attempt to listen at an address that was not available
-REPORT_INTERVAL_S = 10.0  # between two log lines about dropped messages
+PUBLISH_INTERVAL_S = 0.25  # time between two checks for facts that this gateway has to publish
+REOPEN_DELAY_S = 1.0  # delay before another attempt to listen at an unavailable address
+REPORT_INTERVAL_S = 10.0  # time between two log lines about dropped messages
 # After so many invalid frames of one host within a second its further frames are dropped undecoded.
 MAX_INVALID_FRAMES_PER_S = 200
 MAX_INVALID_HOSTS = 256  # the most hosts whose invalid frames are counted
--- a/switchline/policy/backends/outlier_scores.py
+++ b/switchline/policy/backends/outlier_scores.py
@@ -15,8 +15,8 @@
 # `DECAY_GAPS`, but no less than `MIN_DECAY_MS`.
 MIN_DECAY_MS = 4_000.0
 DECAY_GAPS = 5.0
-SLOWNESS_WEIGHT = 0.15  # of one outcome in the slowness score
-FAILURE_WEIGHT = 0.3  # of one outcome in the failure scores
+SLOWNESS_WEIGHT = 0.15  # weight of one outcome in the slowness score
+FAILURE_WEIGHT = 0.3  # weight of one outcome in the failure scores
 # Relative surcharge on the cost of a backend that always fails: it costs far more than any healthy backend.
 BACKEND_FAILURE_COST = 8.0
 # Score from which a backend counts as ejected: its cost is then five times that of a healthy one.
--- a/switchline/policy/backends/zone_routing.py
+++ b/switchline/policy/backends/zone_routing.py
@@ -20,7 +20,7 @@
 # Granted requests that may accumulate at this gateway during the fleet's ramp; below 2, so that there are no
 # bursts.
 MAX_GRANTED_REQUESTS = 1.5
-OTHER_REGION_DISTANCE = 2  # steps from the own zone
+OTHER_REGION_DISTANCE = 2  # distance from the own zone, in steps
 
 
 class ZoneRouting:
--- a/switchline/state/metrics.py
+++ b/switchline/state/metrics.py
@@ -14,7 +14,7 @@
     def __init__(self) -> None:
         self.failures = 0
         self.restore_ms = 0  # time that the restore added to the start
-        self._past_commits = 0  # of closed stores
+        self._past_commits = 0  # number of commits by closed stores
         self._outage_started_at_s: float | None = None  # by the monotonic clock; None outside an outage
         self._past_outages_s = 0.0
 
--- a/switchline/state/persistence.py
+++ b/switchline/state/persistence.py
@@ -43,7 +43,7 @@
 """Limits reading the files, and also the first commit; after a timeout the gateway starts without state."""
 
 OVERRIDE_COMMIT_TIMEOUT_S = 0.8  # the reply to an operator's call must be sent within 1 s
-RETRY_INTERVAL_S = 1.0  # from a fault to the attempt to create a new database
+RETRY_INTERVAL_S = 1.0  # time from a fault to the attempt to create a new database
 LOCK_TIMEOUT_S = 1.0  # limits the wait for the peer process of an upgrade to release the folder
 LIST_RECORD_NAME = "seq"
 GATEWAY_RECORD_NAME = ""  # empty, because there is only one record of this kind
@@ -82,7 +82,7 @@
         self.loop = asyncio.get_running_loop()
         self.store: StateStore | None = None
         self._saved: SavedState | None = None  # the state read from disk, until it is restored
-        self._opening_store: StateStore | None = None  # for a new database after a fault
+        self._opening_store: StateStore | None = None  # store that is creating a new database after a fault
         self._retry_timer: asyncio.TimerHandle | None = None
         self._first_commit_decided = asyncio.Event()  # set by the first commit or by a failure
         self._locked_by_other = False
--- a/switchline/state/records.py
+++ b/switchline/state/records.py
@@ -4,7 +4,7 @@
 
 from typing import Any, NamedTuple
 
-MAX_RECORDS = 16_384  # of all kinds together
+MAX_RECORDS = 16_384  # the most records of all kinds together
 MAX_BODY_CHARS = 16 * 1024
 MAX_NAME_BYTES = 256
 
--- a/switchline/state/writer.py
+++ b/switchline/state/writer.py
@@ -21,7 +21,7 @@
 
 log = logging.getLogger(__name__)
 
-COMMIT_PAUSE_S = 0.02  # from the end of a commit to the next one
+COMMIT_PAUSE_S = 0.02  # time from the end of a commit to the next one
 HEARTBEAT_S = 0.5  # the longest time without a commit
 
 
--- a/switchline/zones/coordination.py
+++ b/switchline/zones/coordination.py
@@ -38,8 +38,8 @@
 
 log = logging.getLogger(__name__)
 
-URGENT_EVALUATION_INTERVAL_S = 0.05  # after a loss at this gateway, or an urgent fact
-EVALUATION_INTERVAL_S = 0.25  # without either
+URGENT_EVALUATION_INTERVAL_S = 0.05  # used after a loss at this gateway or an urgent fact
+EVALUATION_INTERVAL_S = 0.25  # used after neither of them
 STATE_GAUGES = {ZoneState.UP: 0, ZoneState.RETURNING: 1, ZoneState.LEFT: 2}  # as in the policy's gauge
 
 
--- a/switchline/zones/evidence.py
+++ b/switchline/zones/evidence.py
@@ -82,7 +82,9 @@
     observation_count, lost_observation_ratio = _observations_since(pooled, began_s)
     return PooledEvidence(
         lost=lost,
-        healthy=frozenset(b for b, at in answered_at.items() if b not in lost and at >= began_s),
+        healthy=frozenset(
+            backend for backend, at in answered_at.items() if backend not in lost and at >= began_s
+        ),
         loss_observers=frozenset(loss_observers),
         loss_zones=frozenset(loss_observers.values()),
         healthy_observers=frozenset(report.observer for report in pooled if report.answered_at_s),
@@ -105,8 +107,11 @@
 
 def _lost_leave_one_out(reports: Sequence[ReceivedReport], lost: frozenset[str]) -> int:
     """Return how many backends are still reported lost without the gateway whose report matters most."""
-    observers = Counter[str](backend for report in reports for backend in report.lost_at_s if backend in lost)
+    observer_counts = Counter[str](
+        backend for report in reports for backend in report.lost_at_s if backend in lost
+    )
     lost_by_one_observer = (
-        sum(observers[b] == 1 for b in report.lost_at_s if b in lost) for report in reports
+        sum(observer_counts[backend] == 1 for backend in report.lost_at_s if backend in lost)
+        for report in reports
     )
     return len(lost) - max(lost_by_one_observer, default=0)
--- a/switchline/zones/leaving.py
+++ b/switchline/zones/leaving.py
@@ -14,18 +14,18 @@
 
 LEAVE_FAILURE_RATIO = 0.7  # a zone is left if its pooled `failure_ratio` is at least this
 MIN_LOST_OBSERVATION_RATIO = 0.5
-MIN_OBSERVATIONS = 6  # since the first counted loss
-MIN_UNANIMOUS_OBSERVATIONS = 4  # instead of `MIN_OBSERVATIONS`, if all of them are losses
+MIN_OBSERVATIONS = 6  # minimum number of observations since the first counted loss
+MIN_UNANIMOUS_OBSERVATIONS = 4  # replaces `MIN_OBSERVATIONS` if all observations are losses
 # Number of distinct backends that must be lost to leave a zone, or answer to return to it. A zone with fewer
 # usable backends needs fewer.
 MIN_BACKENDS = 3
-MIN_OBSERVERS = 2  # gateways of the own zone, or zones whose gateways report losses
-MIN_LOST_LEAVE_ONE_OUT = 2  # backends still lost without any single gateway's report
+MIN_OBSERVERS = 2  # minimum number of the own zone's gateways, or of zones, that report losses
+MIN_LOST_LEAVE_ONE_OUT = 2  # minimum of `PooledEvidence.lost_leave_one_out`
 PANIC_REMAINING_RATIO = 0.3  # a zone is not left if fewer than this share of all backends would remain
 # Seconds for which a zone must go on failing before it is left. Reports of answers have arrived by then.
 CONFIRMATION_S = 0.12
 FLAP_WINDOW_S = 60.0  # a zone left within this time after the last decision on it has flapped
-MAX_NAMED_OBSERVERS = 3  # names in the reason of a decision
+MAX_NAMED_OBSERVERS = 3  # number of names in the reason of a decision
 
 
 def is_failing(evidence: PooledEvidence, usable: int) -> bool:
--- a/switchline/zones/returning.py
+++ b/switchline/zones/returning.py
@@ -29,7 +29,7 @@
 STEADY_ANSWERS_S = 5.0
 PROBES_PER_S = 1.0  # probes of a zone that is left, by all gateways together
 ANSWERED_PROBES_FACTOR = 6.0  # multiplies `PROBES_PER_S` once a probe is answered
-MIN_PROBE_INTERVAL_S = 0.5  # between two probes by one gateway
+MIN_PROBE_INTERVAL_S = 0.5  # minimum time between two probes by one gateway
 STEP_BACK_INTERVAL_S = 1.0  # minimum age of a decision before a step back
 # Lowest load that any backend is taken to bear. Without it a ramp that begins without load would never end.
 MIN_BACKEND_RATE_PER_S = 1.0
