--- a/switchline/audit/recorder.py
+++ b/switchline/audit/recorder.py
@@ -145,9 +145,11 @@
     def _new_counts(self) -> dict[str, int]:
         """Return the numbers of requests by outcome since the last record that had counts."""
         counts = dict(list(self.outcome_counts().items())[:MAX_COUNTS])
-        new = {outcome: number - self.reported_counts.get(outcome, 0) for outcome, number in counts.items()}
+        new_counts = {
+            outcome: number - self.reported_counts.get(outcome, 0) for outcome, number in counts.items()
+        }
         self.reported_counts = counts
-        return {outcome: number for outcome, number in new.items() if number}
+        return {outcome: number for outcome, number in new_counts.items() if number}
 
     def _gap_record(self, cause: str, lost: int) -> Record:
         """Return the record that stands for `lost` records; called in the writer's thread."""
--- a/switchline/audit/sources.py
+++ b/switchline/audit/sources.py
@@ -74,19 +74,21 @@
         OSError: the folder can't be read.
     """
     segments = ((path.name, text_lines(path)) for path in segment_paths(folder))
-    records, findings, last = verify_chain(segments)
-    source = Source(records[0].name if records else folder.name, records, findings, {}, last)
+    records, findings, last_head = verify_chain(segments)
+    source = Source(records[0].name if records else folder.name, records, findings, {}, last_head)
     findings += missing_head_findings(source, heads or {})
     return source
 
 
 def missing_head_findings(source: Source, heads: Mapping[str, Head]) -> list[Finding]:
     """Return a finding if a chain lacks the last record that its gateway published."""
-    head = heads.get(source.name)
-    last = source.last
-    if head is None or (last is not None and (head == last or head.number < last.number)):
+    published_head = heads.get(source.name)
+    last_head = source.last
+    if published_head is None or (
+        last_head is not None and (published_head == last_head or published_head.number < last_head.number)
+    ):
         return []
-    return [Finding("", 0, f"record {head.number}, which the gateway published, is missing")]
+    return [Finding("", 0, f"record {published_head.number}, which the gateway published, is missing")]
 
 
 def read_address(address: str, with_heads: bool = False) -> Source:
--- a/switchline/clients/commands.py
+++ b/switchline/clients/commands.py
@@ -154,8 +154,8 @@
         ValueError: a pair or a number is malformed, or the request class or the time left is missing.
     """
     values: dict[bytes, bytes] = {}
-    before = None
-    after = b""
+    before_time_left = None
+    after_time_left = b""
     items = attribute_text.split(b",")
     for index, item in enumerate(items):
         name, separator, value = item.partition(b"=")
@@ -163,11 +163,11 @@
             raise ValueError("malformed attributes")
         values[name] = value
         if name == TIME_LEFT:
-            before = b",".join([*items[:index], TIME_LEFT + b"="])
-            after = b"".join(b"," + following for following in items[index + 1 :])
-    if before is None or REQUEST_CLASS not in values:
+            before_time_left = b",".join([*items[:index], TIME_LEFT + b"="])
+            after_time_left = b"".join(b"," + following for following in items[index + 1 :])
+    if before_time_left is None or REQUEST_CLASS not in values:
         raise ValueError("class or time left missing")
     for name, value in values.items():
         if name in NUMERIC_ATTRIBUTE_PATTERNS and not NUMERIC_ATTRIBUTE_PATTERNS[name].fullmatch(value):
             raise ValueError("malformed number")
-    return Attributes(values, before, after)
+    return Attributes(values, before_time_left, after_time_left)
--- a/switchline/fleet/facts.py
+++ b/switchline/fleet/facts.py
@@ -185,11 +185,17 @@
         """Publish all facts of this gateway again under a later incarnation."""
         self.incarnation = incarnation
         for stored in list(self.table.values()):
-            old = stored.entry
-            if old.kind not in SHARED_KINDS and old.origin == self.origin:
+            old_entry = stored.entry
+            if old_entry.kind not in SHARED_KINDS and old_entry.origin == self.origin:
                 self.last_version += 1
                 entry = Entry(
-                    old.kind, old.name, self.origin, incarnation, self.last_version, old.at_ms, old.value
+                    old_entry.kind,
+                    old_entry.name,
+                    self.origin,
+                    incarnation,
+                    self.last_version,
+                    old_entry.at_ms,
+                    old_entry.value,
                 )
                 self.merge(entry.at_ms, entry)
 
--- a/switchline/fleet/versions/staleness.py
+++ b/switchline/fleet/versions/staleness.py
@@ -134,14 +134,14 @@
 
     def update(self, now_s: float, kind: str, own: str, others: Iterable[str | None]) -> bool:
         """Update one kind of version; return whether `majority_versions` has changed for it."""
-        other = other_majority_version(own, others)
-        if other is None:
+        majority_version = other_majority_version(own, others)
+        if majority_version is None:
             self._since_s.pop(kind, None)
             return self.majority_versions.pop(kind, None) is not None
         is_due = now_s - self._since_s.setdefault(kind, now_s) >= DIVERGENCE_DELAY_S
-        if not is_due or self.majority_versions.get(kind) == other:
+        if not is_due or self.majority_versions.get(kind) == majority_version:
             return False
-        self.majority_versions[kind] = other
+        self.majority_versions[kind] = majority_version
         return True
 
 
@@ -177,13 +177,13 @@
     """
     newer_hosts = {host.host: host for host in newer.hosts}
     for host in own:
-        other = newer_hosts.get(str(host["host"]))
+        newer_host = newer_hosts.get(str(host["host"]))
         born_ms = float(host.get("born_ms") or 0)
-        if other is None:
+        if newer_host is None:
             yield host | {"health": "removed"}
-        elif other.health == "draining" != host["health"] or other.born_ms > born_ms:
-            health = other.health if other.health == "draining" else host["health"]
-            yield host | {"health": health, "born_ms": max(born_ms, other.born_ms)}
+        elif newer_host.health == "draining" != host["health"] or newer_host.born_ms > born_ms:
+            health = newer_host.health if newer_host.health == "draining" else host["health"]
+            yield host | {"health": health, "born_ms": max(born_ms, newer_host.born_ms)}
 
 
 def agreed_changes(own: list[DiscoveryHost], lists: list[EndpointList]) -> list[DiscoveryHost]:
--- a/switchline/fleet_runtime/list_repair.py
+++ b/switchline/fleet_runtime/list_repair.py
@@ -76,14 +76,14 @@
             self._request_lists(node, seqs, now_s)
 
     def _set_stale(self, is_stale: bool, seqs: dict[str, int | None], node: ProtocolEndpoint) -> None:
-        own = self.own_seq()
+        own_seq = self.own_seq()
         if is_stale and not self.is_stale:
-            newest = max((seq for seq in seqs.values() if seq is not None), default=-1)
-            log.warning(log_events.LIST_STALE, own, newest)
-            self.record("behind", "list", str(own), f"most have a newer one, up to {newest}")
+            newest_seq = max((seq for seq in seqs.values() if seq is not None), default=-1)
+            log.warning(log_events.LIST_STALE, own_seq, newest_seq)
+            self.record("behind", "list", str(own_seq), f"most have a newer one, up to {newest_seq}")
         if self.is_stale and not is_stale:
-            log.info(log_events.LIST_UP_TO_DATE, own)
-            self.record("level", "list", str(own), "its agent tells as much as the others'")
+            log.info(log_events.LIST_UP_TO_DATE, own_seq)
+            self.record("level", "list", str(own_seq), "its agent tells as much as the others'")
             self.lists.clear()
             node.wants &= ~Wanted.LIST
         self.is_stale = is_stale
@@ -101,18 +101,18 @@
 
     def on_exchange(self, exchange: Exchange) -> None:
         """Store the list of another gateway, and apply the changes that two newer lists agree on."""
-        own = self.state.saved_hosts()
-        if not self.is_stale or exchange.endpoint_list is None or own is None:
+        own_hosts = self.state.saved_hosts()
+        if not self.is_stale or exchange.endpoint_list is None or own_hosts is None:
             return
         if exchange.endpoint_list.seq <= self.own_seq():
             return
         self._store(exchange.sender, exchange.endpoint_list)
         newer = [listed for listed in self.lists.values() if listed.seq > self.own_seq()]
-        agreed = agreed_changes(own, newer)
+        agreed = agreed_changes(own_hosts, newer)
         changes = [host for host in agreed if _host_health(host) not in self._applied]
         if len(newer) > 1:  # two lists have reached the second highest number
             self.repaired_seq = max(self.repaired_seq, sorted(listed.seq for listed in newer)[-2])
-        if changes and not removes_all(own, agreed):
+        if changes and not removes_all(own_hosts, agreed):
             self._apply(changes)
 
     def _store(self, sender: str, listed: EndpointList) -> None:
--- a/switchline/fleet_runtime/recovery/backend_list.py
+++ b/switchline/fleet_runtime/recovery/backend_list.py
@@ -64,13 +64,13 @@
         asked for its whole list, as its changes alone would not undo an error of the other gateway.
         """
         newer = self.newest
-        own = self.state.saved_hosts()
+        own_hosts = self.state.saved_hosts()
         own_seq = seq_or_no_list(self.discovery.version)
-        if newer is None or own is None or newer.seq <= own_seq:
+        if newer is None or own_hosts is None or newer.seq <= own_seq:
             return
-        changes = list(restrictive_changes(own, newer))
+        changes = list(restrictive_changes(own_hosts, newer))
         parsed = self._parse(newer.seq, changes)
-        if parsed is None or removes_all(own, changes):
+        if parsed is None or removes_all(own_hosts, changes):
             return
         log.info(log_events.PEER_LIST_NEWER, newer.seq, own_seq)
         self.record("brought up", "list", str(newer.seq), "at the start, by another gateway's list")
@@ -95,15 +95,15 @@
         """
         hosts = raw.get("hosts") or []
         newest_seq = max(seq_or_no_list(self.discovery.version), self.newest.seq if self.newest else -1)
-        own = self.state.saved_hosts()
+        own_hosts = self.state.saved_hosts()
         is_older_or_empty = raw.get("whole") and (int(raw["seq"]) < newest_seq or not hosts)
-        if not is_older_or_empty or not own or time.monotonic() >= self.doubt_until_s:
+        if not is_older_or_empty or not own_hosts or time.monotonic() >= self.doubt_until_s:
             return raw
         if not self.is_withheld:
             log.warning(log_events.DISCOVERY_WITHHELD, len(hosts), raw["seq"], newest_seq)
         self.is_withheld = True
         drained = {str(host["host"]) for host in hosts if host["health"] == "draining"}
-        changes = [host | {"health": "draining"} for host in own if host["host"] in drained]
+        changes = [host | {"health": "draining"} for host in own_hosts if host["host"] in drained]
         return {"seq": newest_seq, "whole": False, "hosts": changes} if hosts else None
 
     def tick(self, now_s: float) -> None:
--- a/switchline/fleet_runtime/recovery/coordinator.py
+++ b/switchline/fleet_runtime/recovery/coordinator.py
@@ -126,11 +126,11 @@
         """Wait until enough others have sent their complete state, for at most `QUERY_TIMEOUT_S`."""
         next_request_s = self.began_s
         while (left_s := self.began_s + QUERY_TIMEOUT_S - time.monotonic()) > 0:
-            others = len(node.members.present)
-            if others and len(node.exchanged_with) >= min(ENOUGH_EXCHANGES, others):
+            other_gateways = len(node.members.present)
+            if other_gateways and len(node.exchanged_with) >= min(ENOUGH_EXCHANGES, other_gateways):
                 await asyncio.sleep(min(SETTLE_DELAY_S, left_s))
                 return
-            if not (others or has_seeds):
+            if not (other_gateways or has_seeds):
                 return
             if time.monotonic() >= next_request_s:
                 next_request_s = time.monotonic() + REQUEST_INTERVAL_S
@@ -184,10 +184,10 @@
         if self._node is None:
             return self.verdict
         facts = self._node.facts
-        others = [
+        other_downtimes = [
             decode_downtime(facts.value(FactKind.DOWNTIME, "", name)) for name in self._node.members.present
         ]
-        return judge_outage(self.down_s if self._started_lately() else None, others)
+        return judge_outage(self.down_s if self._started_lately() else None, other_downtimes)
 
     def _begin_warm_up(self) -> None:
         verdict = self.verdict
--- a/switchline/fleet_runtime/transport.py
+++ b/switchline/fleet_runtime/transport.py
@@ -231,9 +231,11 @@
             return
         self._next_report_at_s = now_s + REPORT_INTERVAL_S
         refused = self.node.refused
-        new = {reason: number - self._reported.get(reason, 0) for reason, number in refused.items()}
-        if any(new.values()):
-            reasons = ", ".join(f"{reason} {number}" for reason, number in sorted(new.items()) if number)
+        new_counts = {reason: number - self._reported.get(reason, 0) for reason, number in refused.items()}
+        if any(new_counts.values()):
+            reasons = ", ".join(
+                f"{reason} {number}" for reason, number in sorted(new_counts.items()) if number
+            )
             log.warning(log_events.GOSSIP_DROPPED, REPORT_INTERVAL_S, reasons)
         self._reported = dict(refused)
         is_shared = self.node.members.superseded
--- a/switchline/policy/backends/selection.py
+++ b/switchline/policy/backends/selection.py
@@ -171,14 +171,14 @@
         remaining = [backend for backend in candidates if backend.zone not in closed]
         if remaining:
             return remaining
-        others = [
+        other_backends = [
             backend
             for backend in self.backends.by_id.values()
             if backend.zone not in closed
             and self.backends.is_usable(backend)
             and may_repeat_at(now, request, backend)
         ]
-        return others or [
+        return other_backends or [
             backend
             for backend in candidates
             if request.may_have_run or not self.zones.is_rationed(backend.zone)
--- a/switchline/policy/quota/fair_shares.py
+++ b/switchline/policy/quota/fair_shares.py
@@ -43,9 +43,9 @@
 
     def release(self, holder: str) -> None:
         """Free a slot of a holder. Raises KeyError if the holder has none."""
-        left = self.slots_by_holder[holder] - 1
+        remaining_slots = self.slots_by_holder[holder] - 1
         self.slots_in_use -= 1
-        if left:
-            self.slots_by_holder[holder] = left
+        if remaining_slots:
+            self.slots_by_holder[holder] = remaining_slots
         else:
             del self.slots_by_holder[holder]
--- a/switchline/policy/quota/lease_sizing.py
+++ b/switchline/policy/quota/lease_sizing.py
@@ -124,13 +124,15 @@
 
     The shares of a quota may add up to more than 1 while it has units left; those of a ceiling may not.
     """
-    own, others = reading.own_units, reading.other_units
+    own_units, other_units = reading.own_units, reading.other_units
     if reading.is_same_period:
-        customer.own_demand_units = customer.own_demand_units * reading.decay_factor + own
-        customer.fleet_demand_units = customer.fleet_demand_units * reading.decay_factor + own + others
+        customer.own_demand_units = customer.own_demand_units * reading.decay_factor + own_units
+        customer.fleet_demand_units = (
+            customer.fleet_demand_units * reading.decay_factor + own_units + other_units
+        )
         demand_share = customer.own_demand_units / customer.fleet_demand_units
     else:
-        demand_share = own / (own + others)
+        demand_share = own_units / (own_units + other_units)
     customer.ceiling_share = EVEN_CEILING_RATIO * customer.even_share + DEMAND_CEILING_RATIO * demand_share
     load = min(1.0, customer.fleet_demand_units * 1000 / DEMAND_MEMORY_MS / customer.plan.rate_per_s)
     if customer.fleet_demand_units:
@@ -149,34 +151,38 @@
         the period before it (`PendingPeriod`), as the burst may not have refilled yet.
     """
     plan = customer.plan
-    rate, spent = plan.rate_per_s, reading.spent_units
-    own, others = reading.own_units, reading.other_units
-    window_units = rate * reading.window_s - spent
+    rate_per_s, spent_units = plan.rate_per_s, reading.spent_units
+    own_units, other_units = reading.own_units, reading.other_units
+    window_units = rate_per_s * reading.window_s - spent_units
     if reading.is_same_period:
         set_remaining(
             now,
             customer,
-            others,
-            own,
+            other_units,
+            own_units,
             QuotaGain(max(customer.fleet_remaining_units, window_units)),
             max_request_units,
         )
         return True
     period_s = max(0.0, now - reading.period * PERIOD_MS) / 1000
-    period_units = rate * period_s
-    if customer.is_sparse and others + own + spent <= period_units:
+    period_units = rate_per_s * period_s
+    if customer.is_sparse and other_units + own_units + spent_units <= period_units:
         # All demand of this period is within its refill, whatever the final total of the last period was.
-        gained = max(period_units - spent, customer.fleet_remaining_units if reading.is_next_period else 0.0)
-        set_remaining(now, customer, others, own, QuotaGain(gained), max_request_units)
+        gained_units = max(
+            period_units - spent_units, customer.fleet_remaining_units if reading.is_next_period else 0.0
+        )
+        set_remaining(now, customer, other_units, own_units, QuotaGain(gained_units), max_request_units)
         return True
-    gained = max(customer.fleet_remaining_units, window_units) if reading.is_next_period else period_units
-    if not reading.is_next_period and others > max(gained + plan.burst_units, max_request_units):
+    gained_units = (
+        max(customer.fleet_remaining_units, window_units) if reading.is_next_period else period_units
+    )
+    if not reading.is_next_period and other_units > max(gained_units + plan.burst_units, max_request_units):
         # The other gateways requested more than a whole burst would cover as well: the share is the same for
         # any final total of the period before.
-        set_remaining(now, customer, others, own, QuotaGain(gained), max_request_units)
+        set_remaining(now, customer, other_units, own_units, QuotaGain(gained_units), max_request_units)
         return True
     previous_total = reading.previous_total if reading.is_next_period else -1.0
-    customer.pending_period = PendingPeriod(others, own, gained, previous_total)
+    customer.pending_period = PendingPeriod(other_units, own_units, gained_units, previous_total)
     return False
 
 
@@ -193,14 +199,21 @@
         max_request_units: The units of the largest request.
     """
     plan, pending = customer.plan, customer.pending_period
-    others, own, gained = pending.other_units, pending.own_units, pending.gained_units
+    other_units, own_units, gained_units = pending.other_units, pending.own_units, pending.gained_units
     if pending.previous_total >= 0:  # this gateway read that period: what was left then is known
-        others += max(0.0, total - pending.previous_total)
-        set_remaining(now, customer, others, own, QuotaGain(gained), max_request_units)
+        other_units += max(0.0, total - pending.previous_total)
+        set_remaining(now, customer, other_units, own_units, QuotaGain(gained_units), max_request_units)
         return
-    burst = plan.burst_units
-    burst -= min(burst, max(0.0, total - plan.rate_per_s * PERIOD_MS / 1000))
-    set_remaining(now, customer, others, own, QuotaGain(gained + burst, burst), max_request_units)
+    burst_units = plan.burst_units
+    burst_units -= min(burst_units, max(0.0, total - plan.rate_per_s * PERIOD_MS / 1000))
+    set_remaining(
+        now,
+        customer,
+        other_units,
+        own_units,
+        QuotaGain(gained_units + burst_units, burst_units),
+        max_request_units,
+    )
 
 
 def set_remaining(
--- a/switchline/zones/coordination.py
+++ b/switchline/zones/coordination.py
@@ -93,8 +93,8 @@
         self._timer = asyncio.get_running_loop().call_later(URGENT_EVALUATION_INTERVAL_S, self._run_timer)
         now_s = time.monotonic()
         losses = self.driver.gateway.zones.lost_attempts
-        due = now_s - self._evaluated_at_s >= EVALUATION_INTERVAL_S
-        if losses != self._losses or self._is_urgent or due:
+        is_due = now_s - self._evaluated_at_s >= EVALUATION_INTERVAL_S
+        if losses != self._losses or self._is_urgent or is_due:
             self._losses = losses
             self._is_urgent = False
             self._evaluated_at_s = now_s
--- a/switchline/zones/publisher.py
+++ b/switchline/zones/publisher.py
@@ -106,11 +106,11 @@
                 zone: [report for report in received if report.observer not in quarantined]
                 for zone, received in reports.items()
             }
-        me = evaluation.endpoint.members.me.name
+        own_name = evaluation.endpoint.members.me.name
         for zone, received in reports.items():
             report = self.own_report(evaluation, zone, left_since_s)
             if report.lost_age_tenths or report.healthy_age_tenths:
-                received.append(receive_report(report, me, self.zone, evaluation.now_s))
+                received.append(receive_report(report, own_name, self.zone, evaluation.now_s))
         return reports
 
     def _collect_received(self, evaluation: Evaluation) -> dict[str, list[ReceivedReport]]:
@@ -145,7 +145,9 @@
             left_since_s.get(zone, -math.inf),
         )
         healthy = {
-            b: age_s for b, age_s in observation.healthy_ages_s.items() if age_s <= evaluation.now_s - since_s
+            backend: age_s
+            for backend, age_s in observation.healthy_ages_s.items()
+            if age_s <= evaluation.now_s - since_s
         }
         return PublishedReport(latest_ages(observation.lost_ages_s), latest_ages(healthy), observation.slow)
 
@@ -203,13 +205,15 @@
             if zone in evaluation.observations:
                 report = self.own_report(evaluation, zone, left_since_s)
             previous = self._published.get(zone, NOT_PUBLISHED)
-            urgent = (
+            is_urgent = (
                 report.lost_age_tenths.keys() - previous.report.lost_age_tenths
                 or (report.healthy_age_tenths and not previous.report.healthy_age_tenths)
                 or self._refutes(evaluation, report, reports.get(zone, ()))
             )
-            due = evaluation.now_s - previous.at_s >= (LOSS_PUBLISH_INTERVAL_S if urgent else interval_s)
-            if report != previous.report and due:
+            is_due = evaluation.now_s - previous.at_s >= (
+                LOSS_PUBLISH_INTERVAL_S if is_urgent else interval_s
+            )
+            if report != previous.report and is_due:
                 self._published[zone] = Publication(evaluation.now_s, report)
                 evaluation.facts.publish_if_allowed(
                     evaluation.wall_ms, FactKind.ZONE_REPORT, zone, encode_report(report)
@@ -233,11 +237,13 @@
     ) -> bool:
         """Return whether this gateway alone has an answer from a backend since it was reported lost."""
         received = list(reports)
-        me = evaluation.endpoint.members.me.name
-        answered_at = latest_times(other.answered_at_s for other in received if other.observer != me)
-        lost_at = latest_times(other.lost_at_s for other in received)
-        own = receive_report(report, me, self.zone, evaluation.now_s)
+        own_name = evaluation.endpoint.members.me.name
+        answered_at = latest_times(
+            other_report.answered_at_s for other_report in received if other_report.observer != own_name
+        )
+        lost_at = latest_times(other_report.lost_at_s for other_report in received)
+        own_report = receive_report(report, own_name, self.zone, evaluation.now_s)
         return any(
             at > lost_at.get(backend, math.inf) and lost_at[backend] > answered_at.get(backend, -math.inf)
-            for backend, at in own.answered_at_s.items()
+            for backend, at in own_report.answered_at_s.items()
         )
