--- a/switchline/policy/backends/backend_table.py
+++ b/switchline/policy/backends/backend_table.py
@@ -58,7 +58,7 @@
         self.update_subset(now)
 
     def on_overridden(self, now: float, event: api.BackendOverridden, _: api.Actions) -> None:
-        """Apply an operator's override of a backend: it precedes the list and lasts until it is revoked."""
+        """Apply an operator's override of a backend: it overrides the list until it is revoked."""
         cold_since_ms = now - self._settings.rules.warm_up_ms
         self._enabled_ms = {number: at for number, at in self._enabled_ms.items() if at > cold_since_ms}
         if event.disabled:
--- a/switchline/policy/backends/outlier_scores.py
+++ b/switchline/policy/backends/outlier_scores.py
@@ -59,7 +59,8 @@
 
         A backend may fail requests of one class or plan and serve the others. A backend that is gone or full
         refuses work of every class and plan. A failing backend is assumed to fail also the classes and plans
-        of which it has no score.
+        of which it has no score. Class and plan are assumed to act independently: each changes the
+        probability by the ratio of its score to that of all requests.
 
         Args:
             now: The time in milliseconds.
--- a/switchline/policy/backends/zones.py
+++ b/switchline/policy/backends/zones.py
@@ -45,7 +45,7 @@
         state: Whether the zone gets work.
         evidence: Decaying score from 0 to 1 by backend: 1 means that the backend is surely lost.
         usable_backends: Number of its backends that may get work.
-        last_listed_ms: Time at which a list named it last.
+        last_listed_ms: Time of the last endpoint list or override that named it.
         check_due_ms: Time at which its next health check is due, while it is left.
         last_return_ms: Time at which its last return began; minus infinity if there was none.
         ramp_began_ms: Start time of its ramp: that of its last return, 0 if there was none.
@@ -189,7 +189,7 @@
     def on_directive(self, now: float, event: api.ZoneDirective, _: api.Actions) -> None:
         """Apply the fleet's decision on a zone.
 
-        It precedes this gateway's own evidence, which decides alone if there is no decision.
+        It takes precedence over this gateway's own evidence, which decides alone if there is no decision.
         """
         zone = self.by_name.get(event.zone)
         if zone is None:
@@ -247,7 +247,7 @@
         zone.evidence[backend] = api.FadingScore(level + (is_lost - level) * OUTCOME_WEIGHT, now)
 
     def forget_backend(self, backend: int, name: str) -> None:
-        """Drop the evidence of a backend: a new process has its number."""
+        """Drop the evidence of a backend, as a new process has its number."""
         zone = self.by_name.get(name)
         if zone:
             zone.evidence.pop(backend, None)
--- a/switchline/policy/interface/states.py
+++ b/switchline/policy/interface/states.py
@@ -1,4 +1,4 @@
-"""States of backends, endpoint lists and zones, and outcomes of attempts, as events give them."""
+"""States of backends, endpoint lists and zones, and outcomes of attempts, as events contain them."""
 
 from __future__ import annotations
 
--- a/switchline/state/database.py
+++ b/switchline/state/database.py
@@ -170,7 +170,7 @@
         return hashlib.blake2b(covered, digest_size=CHECKSUM_BYTES).digest()
 
     def remember_file(self) -> None:
-        """Note the inode of the open file, so that a commit fails after the file was replaced."""
+        """Record the inode of the open file, so that a commit fails after the file was replaced."""
         self.inode = self.path.stat().st_ino
 
     def record_start(self) -> None:
--- a/switchline/state/store.py
+++ b/switchline/state/store.py
@@ -139,7 +139,7 @@
         self.events.failed(error)
 
     def close(self) -> None:
-        """Tell the writer to commit the pending records and release the files, without waiting for it."""
+        """Make the writer commit the pending records and release the files, without waiting for it."""
         if not self.closed:
             self._end(abandon=False)
 
--- a/switchline/state/writer.py
+++ b/switchline/state/writer.py
@@ -116,7 +116,7 @@
         return batch
 
     def on_committed(self) -> None:
-        """Note that the last batch taken is on disk."""
+        """Record that the last batch taken is on disk."""
         with self._changed:
             self._oldest_in_commit_at_s = math.inf
 
--- a/switchline/zones/agreement.py
+++ b/switchline/zones/agreement.py
@@ -85,7 +85,7 @@
         return kind == FactKind.ZONE_DECISION or (kind == FactKind.ZONE_REPORT and self.undecided)
 
     def decision(self, facts: Facts, zone: str) -> ZoneDecision:
-        """Return the decision on a zone that holds for the gateways of this gateway's zone."""
+        """Return the decision on a zone that is in force for the gateways of this gateway's zone."""
         return decision_on(facts, self.zone, zone)
 
     def version(self, facts: Facts, zone: str) -> int:
@@ -163,7 +163,7 @@
             evaluation.facts.publish_if_allowed(evaluation.wall_ms, FactKind.ZONE_FOLLOWED, zone, None)
 
     def _track(self, facts: Facts, zone: str, now_s: float) -> ZoneProgress:
-        """Return the progress of a zone, updated to the decision that holds."""
+        """Return the progress of a zone, updated to the decision in force."""
         progress = self.progress.get(zone)
         if progress is None:
             progress = self.progress[zone] = ZoneProgress(RampWatch(self.slow_start))
--- a/switchline/zones/decision.py
+++ b/switchline/zones/decision.py
@@ -41,7 +41,7 @@
         state: Whether the zone is used.
         step: The current step of the ramp, from 0.
         flaps: How often the zone was left again within `FLAP_WINDOW_S` after a decision.
-        backend_rate_per_s: Requests per second that a warm backend is taken to bear from these gateways.
+        backend_rate_per_s: Requests per second that a warm backend is assumed to serve from these gateways.
         backends: Number of backends that the ramp's rate is computed for.
         weights: A hexadecimal digit for each gateway's place: its weight in dividing the rate; "" for
             even shares.
@@ -106,7 +106,7 @@
 
 
 def decision_on(facts: Facts, observers: str, zone: str) -> ZoneDecision:
-    """Return the decision that holds for the gateways of `observers` on `zone`."""
+    """Return the decision in force for the gateways of `observers` on `zone`."""
     return decode_decision(facts.value(FactKind.ZONE_DECISION, decision_name(observers, zone)))
 
 
--- a/switchline/zones/progress.py
+++ b/switchline/zones/progress.py
@@ -18,12 +18,12 @@
     Attributes:
         ramp: Decides the steps of the zone's return.
         answers: Watches the answers to probes of the zone while it is left.
-        version: Version of the decision that holds; 0 without a decision, -1 before the first evaluation.
+        version: Version of the decision in force; 0 without a decision, -1 before the first evaluation.
         version_received_at_s: When this gateway received that decision.
-        failing_since_s: Since when the evidence suffices to leave the zone; None while it does not.
-        left_since_s: Since when the zone is left; None while it is not.
-        waiting_since_s: Since when the zone could return but waits for other zones of its region; None while
-            it does not wait.
+        failing_since_s: Time from which the evidence has sufficed to leave the zone; None while it does not.
+        left_since_s: Time at which the zone was left; None while it is in use.
+        waiting_since_s: Time from which the zone could return but has waited for other zones of its region;
+            None while it does not wait.
         write_due_at_s: When this gateway writes the due decision, unless another has written it before.
     """
 
@@ -56,7 +56,7 @@
 
     Attributes:
         zone: The zone's name.
-        decision: The decision that holds.
+        decision: The decision in force.
         progress: The zone's state between evaluations.
         observation: What this gateway observes there.
         reports: All gateways' reports. While the zone is not in use, losses older than `MAX_LOSS_AGE_S` are
--- a/switchline/zones/ramp.py
+++ b/switchline/zones/ramp.py
@@ -89,7 +89,7 @@
     """Return what one gateway may send into a zone that returns.
 
     Args:
-        decision: The decision that holds, in the state `returning`.
+        decision: The decision in force, in the state `returning`.
         remaining: Number of backends of the zones that are in use.
         cold_capacity_ratio: The capacity of a cold backend, as a ratio of a warm one's.
         backends: The gateway's range of the zone's backends.
--- a/switchline/zones/returning.py
+++ b/switchline/zones/returning.py
@@ -31,7 +31,7 @@
 ANSWERED_PROBES_FACTOR = 6.0  # multiplies `PROBES_PER_S` once a probe is answered
 MIN_PROBE_INTERVAL_S = 0.5  # minimum time between two probes by one gateway
 STEP_BACK_INTERVAL_S = 1.0  # minimum age of a decision before a step back
-# Lowest load that any backend is taken to bear. Without it a ramp that begins without load would never end.
+# Lowest load that a backend is assumed to serve; otherwise a ramp that begins without load would never end.
 MIN_BACKEND_RATE_PER_S = 1.0
 MAX_BACKEND_RATE_PER_S = 1e9
 # Minimum time between two steps up whose load the backends bear already, as their age shows.
@@ -54,7 +54,7 @@
     """Watches the answers to probes of a zone that is left.
 
     Attributes:
-        steady_since_s: Since when some of its backends have answered without a break; None if they have not.
+        steady_since_s: Time from which some of its backends have answered without a break; None if none have.
     """
 
     steady_since_s: float | None = None
@@ -139,9 +139,9 @@
 ) -> ZoneDecision:
     """Return the decision that begins a ramp.
 
-    A backend of the zone is taken to bear as much load as a backend of the other zones serves now. The ramp
-    begins at the step that the backend started last bears, if its start is known and the zone did not flap;
-    else at step 0.
+    A backend of the zone is assumed to serve as much load as a backend of the other zones serves now. The
+    ramp begins at the step that the backend started last bears, if its start is known and the zone did not
+    flap; else at step 0.
     """
     total_load = sum(basis.loads_per_s.values())
     backend_rate_per_s = min(
@@ -215,7 +215,7 @@
         most of the zone's backends fail, the zone is left again.
 
         Args:
-            decision: The decision that holds.
+            decision: The decision in force.
             age_s: Seconds since this gateway received that decision.
             observation: What this gateway observes in the zone.
             own_evidence: The pooled evidence of the own zone's gateways.
@@ -245,13 +245,13 @@
         return RampStep(_step_up(decision, observation, own_evidence), urgent=False)
 
     def step_interval_s(self, decision: ZoneDecision, warm_ratio: float) -> float:
-        """Return the seconds between the decision that holds and the next step up.
+        """Return the seconds between the decision in force and the next step up.
 
         Steps follow the warm-up of the backend that started last, if its start is known and the zone did not
         flap. Otherwise the ramp takes as long as a cold backend's warm-up; each flap doubles that.
 
         Args:
-            decision: The decision that holds.
+            decision: The decision in force.
             warm_ratio: Capacity of the backend that started last, as a ratio of a warm one's.
         """
         is_warm_enough = decision.step < step_for_warm_ratio(warm_ratio, self.slow_start.cold_capacity_ratio)
