--- a/switchline/audit/recorder.py
+++ b/switchline/audit/recorder.py
@@ -30,8 +30,8 @@
 AuditCallback = Callable[[str, str, str, str], None]
 """Called with a kind, subject, version and cause, as `Audit.record`."""
 
-MAX_RECENT_RECORDS = 512  # in memory
-MAX_VERSIONS = 512  # in memory, of the subjects that changed last
+MAX_RECENT_RECORDS = 512  # the most records that stay in memory
+MAX_VERSIONS = 512  # the most versions in memory: those of the subjects that changed last
 KINDS_WITH_COUNTS = frozenset({"list", "config"})
 """The kinds of versions for which the outcomes of requests are counted."""
 
@@ -145,9 +145,11 @@
     def _new_counts(self) -> dict[str, int]:
         """Return the numbers of requests by outcome since the last record that had counts."""
         counts = dict(list(self.outcome_counts().items())[:MAX_COUNTS])
-        new = {outcome: number - self.reported_counts.get(outcome, 0) for outcome, number in counts.items()}
+        new_counts = {
+            outcome: number - self.reported_counts.get(outcome, 0) for outcome, number in counts.items()
+        }
         self.reported_counts = counts
-        return {outcome: number for outcome, number in new.items() if number}
+        return {outcome: number for outcome, number in new_counts.items() if number}
 
     def _gap_record(self, cause: str, lost: int) -> Record:
         """Return the record that stands for `lost` records; called in the writer's thread."""
--- a/switchline/fleet/facts.py
+++ b/switchline/fleet/facts.py
@@ -23,9 +23,9 @@
 )
 from switchline.fleet.messages import MAX_NAME_CHARS, MAX_VALUE_CHARS, Entry, Incarnation
 
-MAX_ENTRIES = 4_096  # of the table
-MAX_ENTRIES_OF_ORIGIN = 64  # not enforced for operators' overrides and decisions
-MAX_DECISIONS = 256  # the most names of one versioned kind
+MAX_ENTRIES = 4_096  # the most entries in the table
+MAX_ENTRIES_OF_ORIGIN = 64  # the most facts of one gateway, without overrides and decisions
+MAX_DECISIONS = 256  # the most decisions of one kind (`VERSIONED_KINDS`)
 MAX_CLOCK_SKEW_MS = 300_000.0  # an override from further ahead of this gateway's wall clock is refused
 # Lifetime of decisions and of overrides that were taken back: longer than any network partition lasts.
 SHARED_ENTRY_TTL_MS = 86_400_000.0
@@ -185,11 +185,17 @@
         """Publish all facts of this gateway again under a later incarnation."""
         self.incarnation = incarnation
         for stored in list(self.table.values()):
-            old = stored.entry
-            if old.kind not in SHARED_KINDS and old.origin == self.origin:
+            old_entry = stored.entry
+            if old_entry.kind not in SHARED_KINDS and old_entry.origin == self.origin:
                 self.last_version += 1
                 entry = Entry(
-                    old.kind, old.name, self.origin, incarnation, self.last_version, old.at_ms, old.value
+                    old_entry.kind,
+                    old_entry.name,
+                    self.origin,
+                    incarnation,
+                    self.last_version,
+                    old_entry.at_ms,
+                    old_entry.value,
                 )
                 self.merge(entry.at_ms, entry)
 
--- a/switchline/fleet_runtime/transport.py
+++ b/switchline/fleet_runtime/transport.py
@@ -25,9 +25,9 @@
 
 log = logging.getLogger(__name__)
 
-PUBLISH_INTERVAL_S = 0.25  # between two checks for facts that this gateway has to publish
-REOPEN_DELAY_S = 1.0  # before another attempt to listen at an address that was not available
-REPORT_INTERVAL_S = 10.0  # between two log lines about dropped messages
+PUBLISH_INTERVAL_S = 0.25  # time between two checks for facts that this gateway has to publish
+REOPEN_DELAY_S = 1.0  # delay before another attempt to listen at an unavailable address
+REPORT_INTERVAL_S = 10.0  # time between two log lines about dropped messages
 # After so many invalid frames of one host within a second its further frames are dropped undecoded.
 MAX_INVALID_FRAMES_PER_S = 200
 MAX_INVALID_HOSTS = 256  # the most hosts whose invalid frames are counted
@@ -231,9 +231,11 @@
             return
         self._next_report_at_s = now_s + REPORT_INTERVAL_S
         refused = self.node.refused
-        new = {reason: number - self._reported.get(reason, 0) for reason, number in refused.items()}
-        if any(new.values()):
-            reasons = ", ".join(f"{reason} {number}" for reason, number in sorted(new.items()) if number)
+        new_counts = {reason: number - self._reported.get(reason, 0) for reason, number in refused.items()}
+        if any(new_counts.values()):
+            reasons = ", ".join(
+                f"{reason} {number}" for reason, number in sorted(new_counts.items()) if number
+            )
             log.warning(log_events.GOSSIP_DROPPED, REPORT_INTERVAL_S, reasons)
         self._reported = dict(refused)
         is_shared = self.node.members.superseded
--- a/switchline/policy/backends/zones.py
+++ b/switchline/policy/backends/zones.py
@@ -16,11 +16,10 @@
 OUTCOME_WEIGHT = 0.8
 # Level of evidence above which a backend counts as lost.
 LOST_BACKEND_SCORE = 0.5
-# Healthy backends that are assumed beside those with evidence: a zone is left only after three of them fail.
+# Healthy backends that are added to those with evidence, so that a zone is left only after three fail.
 ASSUMED_HEALTHY_BACKENDS = 0.75
-# Failure score of a zone from which it is left, and below which it may return.
-LEAVE_SCORE = 0.5
-RETURN_SCORE = 0.25
+LEAVE_SCORE = 0.5  # a zone is left from this failure score on
+RETURN_SCORE = 0.25  # a zone that is left may return below this failure score
 # Mean time between two health checks of a zone that is left, by one gateway.
 HEALTH_CHECK_INTERVAL_MS = 2_000.0
 # Bounds of the duration of a zone's return, in warm-up times of a backend; each gateway draws its own.
@@ -46,7 +45,7 @@
         state: Whether the zone gets work.
         evidence: Decaying score from 0 to 1 by backend: 1 means that the backend is surely lost.
         usable_backends: Number of its backends that may get work.
-        last_listed_ms: Time at which a list named it last.
+        last_listed_ms: Time of the last endpoint list or override that named it.
         check_due_ms: Time at which its next health check is due, while it is left.
         last_return_ms: Time at which its last return began; minus infinity if there was none.
         ramp_began_ms: Start time of its ramp: that of its last return, 0 if there was none.
@@ -190,7 +189,7 @@
     def on_directive(self, now: float, event: api.ZoneDirective, _: api.Actions) -> None:
         """Apply the fleet's decision on a zone.
 
-        It precedes this gateway's own evidence, which decides alone if there is no decision.
+        It takes precedence over this gateway's own evidence, which decides alone if there is no decision.
         """
         zone = self.by_name.get(event.zone)
         if zone is None:
@@ -248,7 +247,7 @@
         zone.evidence[backend] = api.FadingScore(level + (is_lost - level) * OUTCOME_WEIGHT, now)
 
     def forget_backend(self, backend: int, name: str) -> None:
-        """Drop the evidence of a backend: a new process has its number."""
+        """Drop the evidence of a backend, as a new process has its number."""
         zone = self.by_name.get(name)
         if zone:
             zone.evidence.pop(backend, None)
--- a/switchline/state/writer.py
+++ b/switchline/state/writer.py
@@ -21,7 +21,7 @@
 
 log = logging.getLogger(__name__)
 
-COMMIT_PAUSE_S = 0.02  # from the end of a commit to the next one
+COMMIT_PAUSE_S = 0.02  # time from the end of a commit to the next one
 HEARTBEAT_S = 0.5  # the longest time without a commit
 
 
@@ -116,7 +116,7 @@
         return batch
 
     def on_committed(self) -> None:
-        """Note that the last batch taken is on disk."""
+        """Record that the last batch taken is on disk."""
         with self._changed:
             self._oldest_in_commit_at_s = math.inf
 
--- a/switchline/zones/ramp.py
+++ b/switchline/zones/ramp.py
@@ -48,7 +48,13 @@
 
 
 def backend_range(weights: str, place: int, places: int) -> BackendRange:
-    """Return the backend range of one place; all ranges are within 0 to 1 and never overlap."""
+    """Return the backend range of one place; all ranges are within 0 to 1 and never overlap.
+
+    Args:
+        weights: The weights of all places, as returned by `weights_by_load`; "" gives even ranges.
+        place: The place of the gateway, from 0.
+        places: Number of places.
+    """
     if not weights:
         return BackendRange(min(place, places - 1) / max(1, places), 1 / max(1, places))
     digits = [int(digit, 16) for digit in weights]
@@ -83,7 +89,7 @@
     """Return what one gateway may send into a zone that returns.
 
     Args:
-        decision: The decision that holds, in the state `returning`.
+        decision: The decision in force, in the state `returning`.
         remaining: Number of backends of the zones that are in use.
         cold_capacity_ratio: The capacity of a cold backend, as a ratio of a warm one's.
         backends: The gateway's range of the zone's backends.
