--- a/tests/support/driver_scene.py
+++ b/tests/support/driver_scene.py
@@ -35,7 +35,7 @@
         return actions
 
     def events_of(self, kind: type) -> list[api.Event]:
-        """Return the recorded events events_of one type."""
+        """Return the recorded events of one type."""
         return [event for event in self.events if type(event) is kind]
 
 
