--- a/switchline/counter/client.py
+++ b/switchline/counter/client.py
@@ -108,7 +108,7 @@
             if address == self.counter.address:
                 self.connection = connection
             else:
-                connection.drop()  # the address of the counter has changed meanwhile
+                connection.drop()  # the counter's address changed during the attempt
         except OSError as error:  # TimeoutError is a subclass
             self.counter.budget.handle_shortage(error)
             self._fail_unwritten(Outcome.CONNECT_FAILED)
--- a/switchline/fleet/facts.py
+++ b/switchline/fleet/facts.py
@@ -24,7 +24,7 @@
 from switchline.fleet.messages import MAX_NAME_CHARS, MAX_VALUE_CHARS, Entry, Incarnation
 
 MAX_ENTRIES = 4_096  # the most entries in the table
-MAX_ENTRIES_OF_ORIGIN = 64  # the most facts of one gateway, without overrides and decisions
+MAX_ENTRIES_OF_ORIGIN = 64  # the most entries of one gateway; overrides and decisions may exceed it
 MAX_DECISIONS = 256  # the most decisions of one kind (`VERSIONED_KINDS`)
 MAX_CLOCK_SKEW_MS = 300_000.0  # an override from further ahead of this gateway's wall clock is refused
 # Lifetime of decisions and of overrides that were taken back: longer than any network partition lasts.
--- a/switchline/fleet/membership/members.py
+++ b/switchline/fleet/membership/members.py
@@ -285,7 +285,7 @@
     def restart_suspicions(self, now_s: float) -> None:
         """Restart the timeouts of all suspicions after this process was stalled.
 
-        Messages that it missed meanwhile are no evidence against the other members.
+        Messages that it missed during the stall are no evidence against the other members.
         """
         self.health.worsen(STALL_PENALTY)
         for member in self.suspected.values():
--- a/switchline/fleet/versions/quarantine.py
+++ b/switchline/fleet/versions/quarantine.py
@@ -26,7 +26,7 @@
 # How long a gateway must be up to date before it leaves quarantine; doubled by each repeated quarantine.
 RECOVERY_S = 3.0
 MAX_RECOVERY_S = 60.0
-REPEAT_WINDOW_S = 600.0  # a quarantine that begins within this time of the last one is repeated
+REPEAT_WINDOW_S = 600.0  # a quarantine that begins within this time of the last one counts as repeated
 # A member grants nothing for this long after its start. Then all know that its earlier process has ended.
 GRANT_DELAY_S = 5.0
 NO_FLOORS = VersionFloors()
--- a/switchline/fleet_runtime/recovery/coordinator.py
+++ b/switchline/fleet_runtime/recovery/coordinator.py
@@ -43,11 +43,11 @@
 
 QUERY_TIMEOUT_S = 2.0  # a gateway that reaches no other one serves after this
 ENOUGH_EXCHANGES = 3  # complete states to wait for, or those of all other gateways if they are fewer
-# Delay after the last of these exchanges, in which a gateway that started slightly later publishes what its
-# disk holds.
+# Delay after the last of these exchanges, in which a gateway that started slightly later publishes what it
+# has read from its disk.
 SETTLE_DELAY_S = 0.3
 POLL_INTERVAL_S = 0.02
-REQUEST_INTERVAL_S = 0.15  # between two requests for exchanges
+REQUEST_INTERVAL_S = 0.15  # time between two requests for exchanges
 OUTAGE_MARGIN_S = 1.0  # an outage may have begun earlier than the downtimes say, by at most this
 
 
@@ -60,9 +60,9 @@
         state: StatePersistence,
         driver: Driver,
         discovery: Discovery,
-        index: int,
+        place: int,
     ) -> None:
-        """`index` is this gateway's place among all gateways."""
+        """`place` is this gateway's place among all gateways."""
         self.state = state
         self.driver = driver
         self.discovery = discovery
@@ -73,7 +73,7 @@
         self.stages = StageTracker(self.began_s)
         self.overrides = OverrideRecovery(overrides)
         self.backend_list = ListRecovery(state, driver, discovery, self.began_s)
-        self.spending = SpendingRecovery(driver, index)
+        self.spending = SpendingRecovery(driver, place)
         self.waited_ms = 0
         self._node: ProtocolEndpoint | None = None
 
@@ -176,7 +176,7 @@
         elif self.stages.stage is Stage.COMPLETE and self._started_lately() and not self.verdict.is_common:
             verdict = self._judge()
             if verdict.is_common:
-                self.verdict = verdict  # now others that started later are counted too
+                self.verdict = verdict  # counts also the gateways that started later
                 self._begin_warm_up()
 
     def _judge(self) -> OutageVerdict:
--- a/switchline/fleet_runtime/recovery/spending.py
+++ b/switchline/fleet_runtime/recovery/spending.py
@@ -21,7 +21,7 @@
 POLL_INTERVAL_S = 0.02
 REQUEST_INTERVAL_S = 0.15  # time between two rounds of requests
 REQUESTS_PER_ROUND = 2
-NEAREST_GATEWAYS = 6  # number that is asked; the gateways that serve a customer have neighbouring places
+NEAREST_GATEWAYS = 6  # number that is asked; gateways that serve the same customer have neighbouring places
 
 
 class SpendingRecovery:
--- a/switchline/fleet_runtime/version_watch.py
+++ b/switchline/fleet_runtime/version_watch.py
@@ -104,7 +104,7 @@
     def _set_stale_kind(self, kind: str) -> None:
         """Set which version is stale.
 
-        While one is, this gateway spends its even share of quotas instead of leases.
+        While any version is stale, this gateway spends its even share of quotas instead of leases.
         """
         if kind == self.stale_kind:
             return
--- a/switchline/policy/backends/recovery_ramp.py
+++ b/switchline/policy/backends/recovery_ramp.py
@@ -23,7 +23,7 @@
 
 
 class RecoveryRamp:
-    """Holds whether the fleet recovers, and the multiplier on the share of slow start meanwhile.
+    """Holds whether the fleet recovers, and the multiplier on the share of slow start during it.
 
     Attributes:
         end_ms: Time at which the recovery ends, in milliseconds.
--- a/switchline/state/store.py
+++ b/switchline/state/store.py
@@ -67,7 +67,7 @@
         self.committed_at_s = time.monotonic()
         self.commits = 0
         self._policy_serials: dict[int, int] = {}  # the policy's serial numbers by the store's
-        self._waiters: dict[int, asyncio.Future[bool]] = {}  # by the store's serial numbers
+        self._waiters: dict[int, asyncio.Future[bool]] = {}  # for commits, by the store's serial numbers
         self._pending = PendingRecords()
         self._watch_timer = self.loop.call_later(HEARTBEAT_S, self._watch)
         storage = StateStorage(folder, gateway, clock)
