--- a/testbed/play/play.py
+++ b/testbed/play/play.py
@@ -25,7 +25,7 @@
 from testbed.play.processes import Gateway
 from testbed.play.stage import Stage
 from testbed.scenario import Scenario
-from testbed.verdict.capacity_use import Bearing
+from testbed.verdict.capacity_use import CapacityUse
 from testbed.verdict.judge import Judge
 from testbed.verdict.records import Event, Records
 
@@ -65,7 +65,7 @@
     def __init__(self, scenario: Scenario, seed: int, out: Path) -> None:
         self.scenario, self.seed, self.out = scenario, seed, out
         self.judge = Judge(scenario.slack_s)
-        self.bearing = Bearing(scenario.load.work)
+        self.capacity_use = CapacityUse(scenario.load.work)
         self.records = Records(out, self.take)
         self.stage = Stage(scenario, seed, out, self.records)
         self.faults = Faults(self.stage, self.note_late)
@@ -78,7 +78,7 @@
 
     def take(self, event: Event) -> None:
         self.judge.feed(event)
-        self.bearing.feed(event)
+        self.capacity_use.feed(event)
 
     # ---- the start ----
 
@@ -167,8 +167,8 @@
         ends = zero + scenario.duration_s
         while loop.time() < ends and not self.over.is_set():
             self.progress(loop.time() - zero, "plays")
-            if self.records.failed is not None:
-                raise PlayError(f"the record can't be written: {self.records.failed.strerror}")
+            if self.records.write_error is not None:
+                raise PlayError(f"the record can't be written: {self.records.write_error.strerror}")
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(min(0.25, max(0.0, ends - loop.time()))):
                     await self.over.wait()
@@ -241,7 +241,7 @@
 
     def _result(self, wall_s: float, cpu_s: float) -> Result:
         self.judge.finish()
-        figures = self.judge.figures() | self.bearing.figures()
+        figures = self.judge.figures() | self.capacity_use.figures()
         expected, lates = self.scenario.expect, np.array(self.lates or [0.0]) * 1000
         late99, worst = float(np.percentile(lates, 99)), float(lates.max())
         why = [f"{rule}: {int(n)} breaches" for rule, n in rules_broken(figures)]
@@ -261,17 +261,17 @@
             "late worst ms": round(worst, 2),
             "CPU share": round(cpu_s / wall_s, 3),
             "memory MB": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, 1),
-            "events": self.records.events,
-            "record MB": round(self.records.bytes / 1e6, 2),
+            "events": self.records.event_count,
+            "record MB": round(self.records.size_bytes / 1e6, 2),
         }
-        told = self.judge.told_breaches()
+        breaches = self.judge.breach_records()
         result = Result(
-            self.scenario.name, self.seed, self.stage.table.digest, verdict, why, figures, told, lab
+            self.scenario.name, self.seed, self.stage.table.digest, verdict, why, figures, breaches, lab
         )
         self.records.add("result", **msgspec.to_builtins(result))
         self.records.close()
-        if self.records.failed is not None:
-            raise PlayError(f"the record can't be written: {self.records.failed.strerror}")
+        if self.records.write_error is not None:
+            raise PlayError(f"the record can't be written: {self.records.write_error.strerror}")
         (self.out / RESULT).write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=1))
         return result
 
--- a/testbed/verdict/capacity_use.py
+++ b/testbed/verdict/capacity_use.py
@@ -1,9 +1,9 @@
-"""How much of what the backends can bear is used after a power loss, second by second.
+"""Share of the usable backend capacity that is used after a power loss, in bins of half a second.
 
-What can be used in a second is the lesser of the capacity of the backends that operators let work go to and
-of the work that clients ask for: each request once, at its class's mean, as who is beyond a quota tries again
-and again, and nobody could serve that. The backends' capacity at each moment is the lab's own knowledge; a
-policy that knew all would use the whole of it.
+The usable capacity is the smaller of two values: the capacity of the backends that no operator has disabled,
+and the work that clients ask for. Each request counts once there, at the mean work of its class: a customer
+beyond its quota retries again and again, and no gateway could serve those retries. The test bed knows the
+capacity of its backends at each moment; a policy with the same knowledge would use all of it.
 """
 
 from __future__ import annotations
@@ -16,24 +16,35 @@
 from testbed.verdict.records import Event
 
 BIN_S = 0.5
-LATER_S = 3.0  # after the gateways' start: from then on the share is averaged
-LONGEST_S = 16.0  # the backends' slow start; after it, nothing of a recovery is left
-POINTS = 0.5, 0.9, 0.99
-WAITS = 4  # bins over which the work of tries is spread: answers come some time after their tries
+# The mean share is taken from this time after the gateways' start.
+MEAN_FROM_S = 3.0
+# Length of the backends' slow start: a recovery is over after it.
+RECOVERY_S = 16.0
+# For each of these shares, `figures` has the time until it is reached.
+SHARE_THRESHOLDS = 0.5, 0.9, 0.99
+# Work of requests is averaged over this many bins, as answers come some time after their requests.
+SMOOTHING_BINS = 4
 
 
-class Bearing:
-    """Takes a play's events in their order; `figures` is empty where no power was lost."""
+class CapacityUse:
+    """Takes the events of a play in their order; `figures` is empty if no power was lost."""
 
     def __init__(self, work: float) -> None:
+        """`work`: the scenario's factor on the mean work of each class."""
         self.work_ms = {name: ms * work for name, ms in settings.WORK_MS.items()}
-        self.lost_at = self.back_at = -1.0
-        self.lost: set[str] = set()  # gateways that have not begun again
-        self.struck = 0
-        self.out: set[str] = set()  # by hand
-        self.loads: list[tuple[float, float, float]] = []  # when, work done, what could be: ms a second
-        self.asked: list[tuple[float, float]] = []  # requests: when, work
-        self.refused: list[float] = []
+        # Times of the power loss and of the gateways' restart, in seconds; -1: none so far.
+        self.lost_at_s = self.restarted_at_s = -1.0
+        # Gateways without power that have not started again.
+        self.lost: set[str] = set()
+        self.lost_count = 0
+        # Backends that operators have disabled.
+        self.disabled: set[str] = set()
+        # Samples: time, work done and capacity, both in ms of work per second.
+        self.loads: list[tuple[float, float, float]] = []
+        # First tries: time and mean work in ms.
+        self.requests: list[tuple[float, float]] = []
+        # Times of refused tries.
+        self.refused_at_s: list[float] = []
 
     def feed(self, event: Event) -> None:
         if handler := getattr(self, "on_" + str(event["e"]), None):
@@ -41,62 +52,71 @@
 
     def on_op(self, event: Event) -> None:
         if event["how"] == "yes" and event["call"] == "backends/down":
-            self.out.add(event["id"])
+            self.disabled.add(event["id"])
         if event["how"] == "yes" and event["call"] == "backends/up":
-            self.out.discard(event["id"])
+            self.disabled.discard(event["id"])
 
     def on_life(self, event: Event) -> None:
         if event["what"] == "power":
-            self.lost_at, self.back_at = event["t"], -1.0
+            self.lost_at_s, self.restarted_at_s = event["t"], -1.0
             self.lost.add(event["g"])
-            self.struck = len(self.lost)
+            self.lost_count = len(self.lost)
         elif event["what"] == "start" and event["g"] in self.lost:
             self.lost.discard(event["g"])
-            if self.back_at < 0 and 2 * len(self.lost) <= self.struck:
-                self.back_at = event["t"]  # half of them: the lab itself may need seconds to start many
+            # Half of the gateways are enough: the test bed itself may need seconds to start many processes.
+            if self.restarted_at_s < 0 and 2 * len(self.lost) <= self.lost_count:
+                self.restarted_at_s = event["t"]
 
     def on_load(self, event: Event) -> None:
-        if self.back_at >= 0:
-            can = sum(of[1] for name, of in event["of"].items() if name not in self.out)
-            self.loads.append((event["t"], sum(of[0] for of in event["of"].values()), can))
+        if self.restarted_at_s >= 0:
+            capacity = sum(sample[1] for name, sample in event["of"].items() if name not in self.disabled)
+            self.loads.append((event["t"], sum(sample[0] for sample in event["of"].values()), capacity))
 
     def on_ask(self, event: Event) -> None:
-        if self.lost_at >= 0 and event["k"] == 0:
-            self.asked.append((event["t"], self.work_ms[event["cls"]]))
+        if self.lost_at_s >= 0 and event["k"] == 0:
+            self.requests.append((event["t"], self.work_ms[event["cls"]]))
 
     def on_ans(self, event: Event) -> None:
-        if self.back_at >= 0 and event["how"] == "refused":
-            self.refused.append(event["t"])
+        if self.restarted_at_s >= 0 and event["how"] == "refused":
+            self.refused_at_s.append(event["t"])
 
     def shares(self) -> Any:
-        """By bins from the gateways' start on: the share used, what could be, and tries refused; 3 rows."""
-        if self.back_at < 0 or not self.loads:
+        """An array of 3 rows, with a column for each bin from the gateways' restart.
+
+        The rows: share used (0 to 1), usable capacity (ms of work per second), and number of refused tries.
+        """
+        if self.restarted_at_s < 0 or not self.loads:
             return np.zeros((3, 0))
-        times, used, can = (np.array(column) for column in zip(*self.loads, strict=True))
-        edges = np.arange(self.back_at, min(times[-1], self.back_at + LONGEST_S) + 1e-6, BIN_S)
-        looks = np.maximum(1, np.histogram(times, edges)[0])
-        did = np.histogram(times, edges, weights=used)[0] / looks
-        could = np.histogram(times, edges, weights=can)[0] / looks
-        at, work = (np.array(column) for column in zip(*self.asked, strict=True)) if self.asked else ((), ())
-        asked = np.histogram(at, edges, weights=work)[0] / BIN_S
-        asked = np.convolve(asked, np.ones(WAITS) / WAITS)[: len(asked)]
-        bearable = np.minimum(could, asked)
-        share = np.minimum(1.0, did / np.maximum(bearable, 1e-9))
-        return np.vstack([share, bearable, np.histogram(self.refused, edges)[0]])
+        times, used, capacity = (np.array(column) for column in zip(*self.loads, strict=True))
+        edges = np.arange(self.restarted_at_s, min(times[-1], self.restarted_at_s + RECOVERY_S) + 1e-6, BIN_S)
+        samples = np.maximum(1, np.histogram(times, edges)[0])
+        mean_used = np.histogram(times, edges, weights=used)[0] / samples
+        mean_capacity = np.histogram(times, edges, weights=capacity)[0] / samples
+        at_s, work = (
+            (np.array(column) for column in zip(*self.requests, strict=True)) if self.requests else ((), ())
+        )
+        demand = np.histogram(at_s, edges, weights=work)[0] / BIN_S
+        demand = np.convolve(demand, np.ones(SMOOTHING_BINS) / SMOOTHING_BINS)[: len(demand)]
+        usable = np.minimum(mean_capacity, demand)
+        share = np.minimum(1.0, mean_used / np.maximum(usable, 1e-9))
+        return np.vstack([share, usable, np.histogram(self.refused_at_s, edges)[0]])
 
     def figures(self) -> dict[str, float]:
-        share, bearable, refused = self.shares()
+        """Seconds to each threshold (-1: never), the mean share, and tries refused despite free capacity."""
+        share, usable, refused = self.shares()
         if not len(share):
             return {}
-        found = {}
-        for point in POINTS:
-            reached = np.flatnonzero(share >= point)
-            after = float(reached[0] + 1) * BIN_S if len(reached) else -1.0
-            found[f"s to {point:g} of what is borne"] = after
-        later = slice(int(LATER_S / BIN_S), None)
-        whole = float(np.sum(bearable[later]))
-        if whole:
-            found["share borne from 3 s on"] = round(float(np.sum((share * bearable)[later])) / whole, 3)
-        room = (1 - share) * bearable * BIN_S / (sum(self.work_ms.values()) / len(self.work_ms))
-        found["refused though there was room"] = round(float(np.sum(np.minimum(refused, room))), 1)
-        return found
+        figures = {}
+        for threshold in SHARE_THRESHOLDS:
+            reached = np.flatnonzero(share >= threshold)
+            reached_after_s = float(reached[0] + 1) * BIN_S if len(reached) else -1.0
+            figures[f"s to {threshold:g} of what is borne"] = reached_after_s
+        averaged = slice(int(MEAN_FROM_S / BIN_S), None)
+        total = float(np.sum(usable[averaged]))
+        if total:
+            figures["share borne from 3 s on"] = round(float(np.sum((share * usable)[averaged])) / total, 3)
+        unused_requests = (1 - share) * usable * BIN_S / (sum(self.work_ms.values()) / len(self.work_ms))
+        figures["refused though there was room"] = round(
+            float(np.sum(np.minimum(refused, unused_requests))), 1
+        )
+        return figures
--- a/testbed/verdict/report.py
+++ b/testbed/verdict/report.py
@@ -22,7 +22,7 @@
 from matplotlib.axes import Axes  # noqa: E402
 
 from testbed.play.play import RESULT, Result  # noqa: E402
-from testbed.verdict.judge import DIGITS, FIRST_US, LAST_US  # noqa: E402
+from testbed.verdict.judge import LATENCY_DIGITS, MAX_LATENCY_US, MIN_LATENCY_US  # noqa: E402
 from testbed.verdict.records import Event, read  # noqa: E402
 
 STEP_S = 0.5
@@ -77,7 +77,7 @@
         self.loads: list[Event] = []
         self.lives: dict[str, list[tuple[float, str]]] = defaultdict(list)
         self.faults: list[Event] = []
-        self.latency = HdrHistogram(FIRST_US, LAST_US, DIGITS)
+        self.latency = HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, LATENCY_DIGITS)
         asked: dict[str, Event] = {}
         for event in events:
             match event["e"]:
@@ -90,7 +90,7 @@
                     self.answers[event["how"]].append(event["t"])
                     if event["how"] == "served" and event["id"] in asked:
                         took = int((event["t"] - asked[event["id"]]["t"]) * 1e6)
-                        self.latency.record_value(max(FIRST_US, min(LAST_US, took)))
+                        self.latency.record_value(max(MIN_LATENCY_US, min(MAX_LATENCY_US, took)))
                     if event["how"] == "refused" and event["id"] in asked:
                         self.refused[asked[event["id"]]["cls"]].append(event["t"])
                 case "load":
--- a/tests/testbed/test_testbed.py
+++ b/tests/testbed/test_testbed.py
@@ -28,7 +28,7 @@
 from testbed.stand_ins.backends import Machine, Rack
 from testbed.stand_ins.counters import MeteredCounter
 from testbed.stand_ins.single_gateway import in_loop
-from testbed.verdict.capacity_use import Bearing
+from testbed.verdict.capacity_use import CapacityUse
 from testbed.verdict.judge import Judge
 from testbed.verdict.records import FILE, RecordError, Records, read
 
@@ -596,24 +596,24 @@
 
 def test_bearing_counts_what_is_used_of_what_can_be_borne_after_a_power_loss() -> None:
     """Half of the capacity is used while clients ask for more than all of it, then all that they ask for."""
-    bearing = Bearing(1.0)
-    assert bearing.figures() == {}
+    capacity_use = CapacityUse(1.0)
+    assert capacity_use.figures() == {}
     for gateway in ("g0", "g1"):
-        bearing.feed({"t": 5.0, "e": "life", "g": gateway, "what": "power"})
-    bearing.feed({"t": 6.0, "e": "life", "g": "g0", "what": "start"})
-    bearing.feed({"t": 5.5, "e": "op", "g": "g0", "call": "backends/down", "id": "b9", "how": "yes"})
+        capacity_use.feed({"t": 5.0, "e": "life", "g": gateway, "what": "power"})
+    capacity_use.feed({"t": 6.0, "e": "life", "g": "g0", "what": "start"})
+    capacity_use.feed({"t": 5.5, "e": "op", "g": "g0", "call": "backends/down", "id": "b9", "how": "yes"})
     for tick in range(int(10 / 0.1)):
         at = 6.05 + tick / 10
         used, can = (1000.0, 2000.0) if tick < 50 else (2000.0, 9000.0)
-        bearing.feed({"t": at, "e": "load", "of": {"b0": [used, can, 0], "b9": [0.0, 5000.0, 0]}})
+        capacity_use.feed({"t": at, "e": "load", "of": {"b0": [used, can, 0], "b9": [0.0, 5000.0, 0]}})
         for _ in range(1 if tick % 2 else 2):  # 15 a second of 200 ms: 3 cores' work
-            bearing.feed({"t": at, "e": "ask", "cls": "kalkyl", "k": 0})
-        bearing.feed({"t": at, "e": "ask", "cls": "kalkyl", "k": 1})  # who tries again asks for no more
-        bearing.feed({"t": at, "e": "ans", "how": "refused"})
-    share, bearable, refused = bearing.shares()
-    assert share[4:10] == pytest.approx([0.5] * 6) and bearable[4:10] == pytest.approx([2000.0] * 6)
+            capacity_use.feed({"t": at, "e": "ask", "cls": "kalkyl", "k": 0})
+        capacity_use.feed({"t": at, "e": "ask", "cls": "kalkyl", "k": 1})  # who tries again asks for no more
+        capacity_use.feed({"t": at, "e": "ans", "how": "refused"})
+    share, usable, refused = capacity_use.shares()
+    assert share[4:10] == pytest.approx([0.5] * 6) and usable[4:10] == pytest.approx([2000.0] * 6)
     assert share[12:18] == pytest.approx([2 / 3] * 6, abs=0.02)
     assert sum(refused[:20]) == pytest.approx(100, abs=6)
-    found = bearing.figures()
+    found = capacity_use.figures()
     assert found["s to 0.5 of what is borne"] <= 2.5 and found["s to 0.9 of what is borne"] <= 2.0
     assert 0.5 < found["share borne from 3 s on"] < 0.7
