--- a/testbed/__main__.py
+++ b/testbed/__main__.py
@@ -19,7 +19,7 @@
 from testbed import scenario as given
 from testbed import soak as soaks
 from testbed.network.addresses import AddressError
-from testbed.play.play import BAD, VOID, PlayError, Result, play
+from testbed.play.play import BAD_INPUT, VOID, PlayError, Result, play
 from testbed.verdict.judge import Breach
 from testbed.verdict.records import RecordError
 from testbed.verdict.report import ReportError, compare, write_report
@@ -45,7 +45,7 @@
 )
 
 
-def fail(error: Exception, code: int = BAD) -> None:
+def fail(error: Exception, code: int = BAD_INPUT) -> None:
     click.echo(f"testbed: {error}", err=True)
     sys.exit(code)
 
@@ -102,7 +102,7 @@
         found = given.load(given.find(scenario))
         result = show_progress(found, seed, out, quiet=as_json)
     except PlayError as error:
-        return fail(error, VOID if "record" in str(error) or "lab failed" in str(error) else BAD)
+        return fail(error, VOID if "record" in str(error) or "lab failed" in str(error) else BAD_INPUT)
     except (given.ScenarioError, AddressError, RecordError, OSError) as error:
         return fail(error)
     if as_json:
--- a/testbed/play/play.py
+++ b/testbed/play/play.py
@@ -1,4 +1,4 @@
-"""One play: the fleet and its surroundings, the faults at their times, the judge, the result."""
+"""One play: starts gateways and stand-ins, sends the load, applies the faults, and judges what happened."""
 
 from __future__ import annotations
 
@@ -31,23 +31,30 @@
 
 log = structlog.get_logger()
 
-RESULT = "result.json"
-HELD, BROKEN, BAD, VOID = 0, 1, 2, 3  # verdicts, and exit codes
-CLOSE_S = 6.0  # for open requests at the end of the load, and for the gateways' end after it
-TICK_S = 0.02  # between two looks at the lab's own lateness
-LOOK_S = 0.5  # between two looks at backends
-COST_S = 2.0  # between two looks at what processes cost
-START_AT_ONCE = 16  # processes that are started side by side
-SPARE_FILES = 200
-YOUNG_ALONE = 20_000, 20, 1_000_000  # thresholds of the collector: none of the oldest in a play
+RESULT_FILE = "result.json"
+# Verdicts of a play, and exit codes of the command line.
+RULES_HELD, RULES_BROKEN, BAD_INPUT, VOID = 0, 1, 2, 3
+# Time for requests in flight to end after the load, and then for the gateways to exit.
+END_TIMEOUT_S = 6.0
+# Interval of the measurements of the test bed's own lateness.
+LATENESS_CHECK_S = 0.02
+# Interval of the samples of the backends' load and capacity.
+BACKEND_SAMPLE_S = 0.5
+# Interval of the samples of the processes' CPU time and memory.
+COST_SAMPLE_S = 2.0
+MAX_CONCURRENT_STARTS = 16
+# Descriptors for the test bed's own files and sockets, beside those of links and requests.
+SPARE_DESCRIPTORS = 200
+# Thresholds of the garbage collector in a play: the oldest generation is not collected.
+GC_THRESHOLDS = 20_000, 20, 1_000_000
 
 
 class PlayError(Exception):
-    """A play can't be begun, or be gone on with."""
+    """A play can't start or can't continue."""
 
 
 class Result(msgspec.Struct):
-    """What came of a play. `verdict`: 0 rules held, 1 broken or an expectation missed, 3 void."""
+    """Result of a play. `verdict`: 0 rules held, 1 a rule broken or an expectation missed, 3 void."""
 
     scenario: str
     seed: int
@@ -56,7 +63,8 @@
     why: list[str]
     figures: dict[str, float]
     breaches: list[dict[str, Any]]
-    lab: dict[str, float]  # its own lateness in milliseconds, its CPU and memory
+    # Lateness (ms), CPU share, memory (MB) and size of the record (MB) of the test bed itself.
+    lab: dict[str, float]
 
 
 class Play:
@@ -66,53 +74,59 @@
         self.scenario, self.seed, self.out = scenario, seed, out
         self.judge = Judge(scenario.slack_s)
         self.capacity_use = CapacityUse(scenario.load.work)
-        self.records = Records(out, self.take)
+        self.records = Records(out, self.observe)
         self.stage = Stage(scenario, seed, out, self.records)
-        self.faults = Faults(self.stage, self.note_late)
+        self.faults = Faults(self.stage, self.record_lateness)
         self.tasks: set[asyncio.Task[None]] = set()
-        self.failed: BaseException | None = None
-        self.over = asyncio.Event()
-        self.lates: list[float] = []  # seconds, of arrivals, faults and ticks
-        self.worst = 0.0  # since the last look
-        self.progress: Callable[[float, str], None] = lambda seconds, what: None
-
-    def take(self, event: Event) -> None:
+        self.failure: BaseException | None = None
+        self.ended = asyncio.Event()
+        # Lateness of each arrival, fault and lateness check.
+        self.lateness_s: list[float] = []
+        # Highest lateness since the last sample of the load.
+        self.worst_lateness_s = 0.0
+        # Called with the seconds since the start of the load and the current phase.
+        self.progress: Callable[[float, str], None] = lambda load_s, phase: None
+
+    def observe(self, event: Event) -> None:
         self.judge.feed(event)
         self.capacity_use.feed(event)
 
     # ---- the start ----
 
     def check_limits(self) -> None:
-        """Raise PlayError, before anything is started, where the descriptors can't be enough."""
+        """Raise the soft limit of descriptors as needed. Raises PlayError if the hard limit is too low."""
         scenario = self.scenario
-        pairs = scenario.fleet.gateways * (scenario.backends.count + 4)
-        vanish = max((len(scenario.pick("backends", names)) for names in scenario.vanishing), default=0)
-        cut = PLUGS * scenario.fleet.gateways * vanish  # each path to one that is gone is held shut so
-        need = int(pairs + cut + scenario.fleet.gateways * 16 + 6 * scenario.load.rate + SPARE_FILES)
+        link_count = scenario.fleet.gateways * (scenario.backends.count + 4)
+        max_vanished = max((len(scenario.pick("backends", names)) for names in scenario.vanishing), default=0)
+        # Each path to a vanished backend is blocked by PLUGS connections.
+        plugs = PLUGS * scenario.fleet.gateways * max_vanished
+        needed = int(
+            link_count + plugs + scenario.fleet.gateways * 16 + 6 * scenario.load.rate + SPARE_DESCRIPTORS
+        )
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-        if hard != resource.RLIM_INFINITY and hard < need:
-            raise PlayError(f"this play needs {need} descriptors, and `ulimit -n` allows {hard}")
-        if soft != resource.RLIM_INFINITY and soft < need:
-            resource.setrlimit(resource.RLIMIT_NOFILE, (need, hard))
+        if hard != resource.RLIM_INFINITY and hard < needed:
+            raise PlayError(f"this play needs {needed} descriptors, the hard limit (`ulimit -n`) is {hard}")
+        if soft != resource.RLIM_INFINITY and soft < needed:
+            resource.setrlimit(resource.RLIMIT_NOFILE, (needed, hard))
 
     async def _start_all(self) -> None:
-        gate = asyncio.Semaphore(START_AT_ONCE)
+        start_slots = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
 
-        async def one(gateway: Gateway) -> None:
-            async with gate:
+        async def start_one(gateway: Gateway) -> None:
+            async with start_slots:
                 gateway.prepare()
                 await self.stage.start_gateway(gateway)
                 while gateway.awaited and gateway.runs:
                     await asyncio.sleep(0.02)
 
         self.progress(0.0, "gateways start")
-        await asyncio.gather(*(one(gateway) for gateway in self.stage.gateways.values()))
+        await asyncio.gather(*(start_one(gateway) for gateway in self.stage.gateways.values()))
         await asyncio.sleep(self.scenario.fleet.settle_s)
 
     # ---- the play ----
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Do something beside the play; a fault of the lab's own ends the play."""
+        """Run `work` in a task of its own; an exception in it ends the play."""
 
         async def guarded() -> None:
             try:
@@ -121,18 +135,22 @@
                 raise
             except Exception as error:
                 log.exception("the lab failed")
-                self.failed = self.failed or error
-                self.over.set()
+                self.failure = self.failure or error
+                self.ended.set()
 
         task = asyncio.get_running_loop().create_task(guarded())
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def run(self) -> Result:
-        """Play it all; nothing of it is left when this returns or raises."""
+        """Run the play. No process, link or task of it is left when this returns or raises.
+
+        Raises PlayError, RecordError, AddressError or OSError if the play can't start or can't continue.
+        """
         self.check_limits()
-        shutil.rmtree(self.out / "gateways", ignore_errors=True)  # no gateway comes back from an earlier play
-        wall, cpu, usual = time.monotonic(), time.process_time(), gc.get_threshold()
+        # No gateway may restore state of an earlier play.
+        shutil.rmtree(self.out / "gateways", ignore_errors=True)
+        started_at_s, cpu_before_s, thresholds = time.monotonic(), time.process_time(), gc.get_threshold()
         try:
             await self.stage.join()
             self.records.add(
@@ -147,82 +165,86 @@
             )
             await self._start_all()
             self.records.begin()
-            # What a play keeps for its judge grows to its end: to look through it all for garbage makes the
-            # lab late by up to a quarter of a second. Young garbage is collected as usual.
-            gc.set_threshold(*YOUNG_ALONE)
-            await self._load()
+            # The judge's data grows until the end of a play. A collection of the oldest generation scans all
+            # of it and makes the test bed late by up to 0.25 s. Young generations are collected as usual.
+            gc.set_threshold(*GC_THRESHOLDS)
+            await self._run_load()
         finally:
-            gc.set_threshold(*usual)
-            await self._end()
-        return self._result(time.monotonic() - wall, time.process_time() - cpu)
+            gc.set_threshold(*thresholds)
+            await self._end_all()
+        return self._make_result(time.monotonic() - started_at_s, time.process_time() - cpu_before_s)
 
-    async def _load(self) -> None:
+    async def _run_load(self) -> None:
         loop = asyncio.get_running_loop()
-        zero, scenario = loop.time(), self.scenario
-        self.spawn(self._tick())
-        self.spawn(self._look())
+        load_started_at_s, scenario = loop.time(), self.scenario
+        self.spawn(self._measure_lateness())
+        self.spawn(self._sample_load())
         for number, fault in enumerate(scenario.faults):
-            self.spawn(self.faults.at(zero, number, fault))
-        self.spawn(self._arrivals(zero))
-        ends = zero + scenario.duration_s
-        while loop.time() < ends and not self.over.is_set():
-            self.progress(loop.time() - zero, "plays")
+            self.spawn(self.faults.at(load_started_at_s, number, fault))
+        self.spawn(self._send_arrivals(load_started_at_s))
+        ends_at_s = load_started_at_s + scenario.duration_s
+        while loop.time() < ends_at_s and not self.ended.is_set():
+            self.progress(loop.time() - load_started_at_s, "plays")
             if self.records.write_error is not None:
                 raise PlayError(f"the record can't be written: {self.records.write_error.strerror}")
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(min(0.25, max(0.0, ends - loop.time()))):
-                    await self.over.wait()
-        if self.failed is not None:
-            raise PlayError(f"the lab failed: {self.failed!r}") from self.failed
+                async with asyncio.timeout(min(0.25, max(0.0, ends_at_s - loop.time()))):
+                    await self.ended.wait()
+        if self.failure is not None:
+            raise PlayError(f"the lab failed: {self.failure!r}") from self.failure
         self.progress(scenario.duration_s, "requests end")
-        await self.stage.clients.finish(CLOSE_S)
+        await self.stage.clients.finish(END_TIMEOUT_S)
 
-    async def _arrivals(self, zero: float) -> None:
+    async def _send_arrivals(self, load_started_at_s: float) -> None:
         loop = asyncio.get_running_loop()
         for number, arrival in enumerate(self.stage.table.arrivals):
-            due = zero + arrival.at_s
-            if (wait := due - loop.time()) > 0:
-                await asyncio.sleep(wait)
-            self.note_late(loop.time() - due)
+            due_at_s = load_started_at_s + arrival.at_s
+            if (delay_s := due_at_s - loop.time()) > 0:
+                await asyncio.sleep(delay_s)
+            self.record_lateness(loop.time() - due_at_s)
             self.stage.clients.arrive(number, arrival)
 
-    def note_late(self, late_s: float) -> None:
-        self.lates.append(max(0.0, late_s))
-        self.worst = max(self.worst, late_s)
+    def record_lateness(self, late_s: float) -> None:
+        self.lateness_s.append(max(0.0, late_s))
+        self.worst_lateness_s = max(self.worst_lateness_s, late_s)
 
-    async def _tick(self) -> None:
+    async def _measure_lateness(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            due = loop.time() + TICK_S
-            await asyncio.sleep(TICK_S)
-            self.note_late(loop.time() - due)
+            due_at_s = loop.time() + LATENESS_CHECK_S
+            await asyncio.sleep(LATENESS_CHECK_S)
+            self.record_lateness(loop.time() - due_at_s)
 
-    async def _look(self) -> None:
+    async def _sample_load(self) -> None:
         loop = asyncio.get_running_loop()
-        used, costs_at = dict.fromkeys(self.stage.backends, 0.0), 0.0
+        used_ms, costs_sampled_at_s = dict.fromkeys(self.stage.backends, 0.0), 0.0
         while True:
-            now, of, over = loop.time(), {}, 0
+            now, samples, waited_long = loop.time(), {}, 0
             for name, backend in self.stage.backends.items():
                 machine = backend.machine
-                spent, used[name] = machine.used_ms - used[name], machine.used_ms
-                can = machine.capacity(now) if backend.alive and not backend.paused else 0.0
-                of[name] = [round(spent / LOOK_S, 1), round(can, 1), len(machine.queue)]
-                over, machine.waited_long = over + machine.waited_long, 0
-            self.records.add("load", of=of, over3=over, counter=dict(self.stage.counter.calls))
-            self.records.add("late", worst=round(self.worst, 4))
+                spent_ms, used_ms[name] = machine.used_ms - used_ms[name], machine.used_ms
+                capacity = machine.capacity(now) if backend.alive and not backend.paused else 0.0
+                samples[name] = [
+                    round(spent_ms / BACKEND_SAMPLE_S, 1),
+                    round(capacity, 1),
+                    len(machine.queue),
+                ]
+                waited_long, machine.waited_long = waited_long + machine.waited_long, 0
+            self.records.add("load", of=samples, over3=waited_long, counter=dict(self.stage.counter.calls))
+            self.records.add("late", worst=round(self.worst_lateness_s, 4))
             self.stage.counter.calls.clear()
-            self.worst = 0.0
-            if now - costs_at >= COST_S:
-                costs_at = now
+            self.worst_lateness_s = 0.0
+            if now - costs_sampled_at_s >= COST_SAMPLE_S:
+                costs_sampled_at_s = now
                 check_descriptors()
-                found = {name: g.cost() for name, g in self.stage.gateways.items()}
-                self.records.add("proc", of={n: c for n, c in found.items() if c}, lab=time.process_time())
-            await asyncio.sleep(LOOK_S)
+                costs = {name: g.cost() for name, g in self.stage.gateways.items()}
+                self.records.add("proc", of={n: c for n, c in costs.items() if c}, lab=time.process_time())
+            await asyncio.sleep(BACKEND_SAMPLE_S)
 
     # ---- the end ----
 
-    async def _end(self) -> None:
-        """End all that was started here, whatever the state it is in."""
+    async def _end_all(self) -> None:
+        """End all tasks and processes of the play, in whatever state they are."""
         for task in list(self.tasks):
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -233,32 +255,32 @@
                 gateway.stop(False)
         self.progress(self.scenario.duration_s, "gateways end")
         try:
-            await asyncio.gather(*(g.term(CLOSE_S) for g in self.stage.gateways.values() if g.runs))
+            await asyncio.gather(*(g.term(END_TIMEOUT_S) for g in self.stage.gateways.values() if g.runs))
         finally:
             for gateway in self.stage.gateways.values():
                 gateway.signal(signal.SIGKILL, "forced")
             await self.stage.close()
 
-    def _result(self, wall_s: float, cpu_s: float) -> Result:
+    def _make_result(self, wall_s: float, cpu_s: float) -> Result:
         self.judge.finish()
         figures = self.judge.figures() | self.capacity_use.figures()
-        expected, lates = self.scenario.expect, np.array(self.lates or [0.0]) * 1000
-        late99, worst = float(np.percentile(lates, 99)), float(lates.max())
-        why = [f"{rule}: {int(n)} breaches" for rule, n in rules_broken(figures)]
-        for name, least in expected.at_least.items():
-            if figures.get(name, 0.0) < least:
-                why.append(f"expected {name} of at least {least:g}, got {figures.get(name, 0.0):g}")
-        for name, most in expected.at_most.items():
-            if figures.get(name, 0.0) > most:
-                why.append(f"expected {name} of at most {most:g}, got {figures.get(name, 0.0):g}")
-        verdict = BROKEN if why else HELD
-        if late99 > self.scenario.late_ms or worst > self.scenario.stall_ms:
+        expected, late_ms = self.scenario.expect, np.array(self.lateness_s or [0.0]) * 1000
+        p99_late_ms, worst_late_ms = float(np.percentile(late_ms, 99)), float(late_ms.max())
+        why = [f"{rule}: {int(count)} breaches" for rule, count in rules_broken(figures)]
+        for name, minimum in expected.at_least.items():
+            if figures.get(name, 0.0) < minimum:
+                why.append(f"expected {name} of at least {minimum:g}, got {figures.get(name, 0.0):g}")
+        for name, maximum in expected.at_most.items():
+            if figures.get(name, 0.0) > maximum:
+                why.append(f"expected {name} of at most {maximum:g}, got {figures.get(name, 0.0):g}")
+        verdict = RULES_BROKEN if why else RULES_HELD
+        if p99_late_ms > self.scenario.late_ms or worst_late_ms > self.scenario.stall_ms:
             verdict = VOID
-            why.insert(0, f"the lab was late: p99 {late99:.0f} ms, worst {worst:.0f} ms")
+            why.insert(0, f"the test bed was late: p99 {p99_late_ms:.0f} ms, worst {worst_late_ms:.0f} ms")
         lab = {
-            "late p50 ms": round(float(np.percentile(lates, 50)), 2),
-            "late p99 ms": round(late99, 2),
-            "late worst ms": round(worst, 2),
+            "late p50 ms": round(float(np.percentile(late_ms, 50)), 2),
+            "late p99 ms": round(p99_late_ms, 2),
+            "late worst ms": round(worst_late_ms, 2),
             "CPU share": round(cpu_s / wall_s, 3),
             "memory MB": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, 1),
             "events": self.records.event_count,
@@ -272,39 +294,45 @@
         self.records.close()
         if self.records.write_error is not None:
             raise PlayError(f"the record can't be written: {self.records.write_error.strerror}")
-        (self.out / RESULT).write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=1))
+        (self.out / RESULT_FILE).write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=1))
         return result
 
 
 def check_descriptors() -> None:
-    """Raise OSError where the lab is about to run out of descriptors: links would break by its fault."""
+    """Raise OSError if few descriptors are left: links would break by the test bed's fault."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    held = len(os.listdir("/proc/self/fd"))
-    if soft != resource.RLIM_INFINITY and held > soft - SPARE_FILES // 4:
-        raise OSError(errno.EMFILE, f"the lab holds {held} descriptors of {soft}")
+    in_use = len(os.listdir("/proc/self/fd"))
+    if soft != resource.RLIM_INFINITY and in_use > soft - SPARE_DESCRIPTORS // 4:
+        raise OSError(errno.EMFILE, f"the test bed has {in_use} descriptors in use, the limit is {soft}")
 
 
 def rules_broken(figures: dict[str, float]) -> Iterator[tuple[str, float]]:
-    for name, number in figures.items():
-        if name.startswith("breach.") and number:
-            yield name.removeprefix("breach."), number
+    """Each broken rule and its number of breaches."""
+    for name, count in figures.items():
+        if name.startswith("breach.") and count:
+            yield name.removeprefix("breach."), count
 
 
 def play(
     scenario: Scenario, seed: int, out: Path, progress: Callable[[float, str], None] | None = None
 ) -> Result:
-    """Play a scenario; raises PlayError, RecordError, AddressError or OSError where that can't be done."""
+    """Play a scenario with a seed and write the record and the result to the folder `out`.
+
+    `progress` is called with the seconds since the start of the load and the current phase. Raises PlayError,
+    RecordError, AddressError or OSError if the play can't start or can't continue.
+    """
 
     async def main() -> Result:
         loop, task = asyncio.get_running_loop(), asyncio.current_task()
         assert task is not None
-        for number in (signal.SIGINT, signal.SIGTERM):  # also where the lab was started with them ignored
-            loop.add_signal_handler(number, task.cancel)
-        made = Play(scenario, seed, out)
+        # Set also if the test bed was started with these signals ignored.
+        for signal_number in (signal.SIGINT, signal.SIGTERM):
+            loop.add_signal_handler(signal_number, task.cancel)
+        new_play = Play(scenario, seed, out)
         if progress is not None:
-            made.progress = progress
+            new_play.progress = progress
         try:
-            return await made.run()
+            return await new_play.run()
         except asyncio.CancelledError as error:
             raise PlayError("interrupted") from error
 
--- a/testbed/soak.py
+++ b/testbed/soak.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from testbed.machine import SOCKET_ERRORS
-from testbed.play.play import BROKEN, Result, play
+from testbed.play.play import RULES_BROKEN, Result, play
 from testbed.scenario import Scenario, check
 
 DURATION_S = 30.0
@@ -166,7 +166,7 @@
         violated = violations(folder)
         result.figures[VIOLATED] = sum(violated.values())
         if violated:
-            result.verdict = max(result.verdict, BROKEN)
+            result.verdict = max(result.verdict, RULES_BROKEN)
             result.why.append(f"invariants: {json.dumps(violated)}")
         yield result
 
--- a/testbed/verdict/report.py
+++ b/testbed/verdict/report.py
@@ -1,4 +1,4 @@
-"""What a play looked like: one HTML page with plots, and tables of plays side by side."""
+"""The report of a play: one HTML page with plots, and a table that compares sets of plays."""
 
 from __future__ import annotations
 
@@ -21,124 +21,152 @@
 from hdrh.histogram import HdrHistogram  # noqa: E402
 from matplotlib.axes import Axes  # noqa: E402
 
-from testbed.play.play import RESULT, Result  # noqa: E402
+from testbed.play.play import RESULT_FILE, Result  # noqa: E402
 from testbed.verdict.judge import LATENCY_DIGITS, MAX_LATENCY_US, MIN_LATENCY_US  # noqa: E402
 from testbed.verdict.records import Event, read  # noqa: E402
 
-STEP_S = 0.5
-ENDS = ("served", "refused", "failed", "broken", "unreached", "silent")
-COLOURS = dict(zip(ENDS, ("#2a9d4a", "#e9a23b", "#c0392b", "#7d3c98", "#7f8c8d", "#111111"), strict=True))
-BANDS = {"starting": "#e9a23b", "up": "#2a9d4a", "stopped": "#7f8c8d", "ending": "#5b8ff9", "down": "#c0392b"}
-WIDTH_IN, ROW_IN = 11.0, 2.6
-MOST_BANDS = 60  # gateways, or backends, that have a row of their own
-POINTS = (50, 75, 90, 95, 99, 99.5, 99.9, 100)
+# Width of the bins of the plots over time.
+BIN_S = 0.5
+OUTCOMES = ("served", "refused", "failed", "broken", "unreached", "silent")
+OUTCOME_COLOURS = dict(
+    zip(OUTCOMES, ("#2a9d4a", "#e9a23b", "#c0392b", "#7d3c98", "#7f8c8d", "#111111"), strict=True)
+)
+STATE_COLOURS = {
+    "starting": "#e9a23b",
+    "up": "#2a9d4a",
+    "stopped": "#7f8c8d",
+    "ending": "#5b8ff9",
+    "down": "#c0392b",
+}
+# Sizes of plots in inches.
+WIDTH_IN, ROW_HEIGHT_IN = 11.0, 2.6
+# Gateways or backends that are drawn in a row of their own; the rest are left out.
+MAX_ROWS = 60
+# Percentiles of the latency that are drawn.
+PERCENTILES = (50, 75, 90, 95, 99, 99.5, 99.9, 100)
 
 
 class ReportError(Exception):
-    """A folder holds no play that can be shown."""
+    """A folder has no record or result of a play that can be shown."""
 
 
 def load_result(folder: Path) -> Result:
+    """Read the result of the play in a folder. Raises ReportError."""
     try:
-        return msgspec.json.decode((folder / RESULT).read_bytes(), type=Result)
+        return msgspec.json.decode((folder / RESULT_FILE).read_bytes(), type=Result)
     except (OSError, msgspec.MsgspecError) as error:
-        raise ReportError(f"{folder}: no result of a play: {error}") from error
+        raise ReportError(f"{folder}: no valid result of a play: {error}") from error
 
 
 def compare(named: dict[str, list[Path]]) -> dict[str, list[dict[str, float] | None]]:
-    """By figure: the least, the median and the most of each set of plays; None where none has it."""
+    """By figure: `min`, `median` and `max` of each set of plays.
+
+    The entry of a set is None if none of its plays has the figure. Raises ReportError.
+    """
     sets = [[load_result(folder) for folder in folders] for folders in named.values()]
     figures: dict[str, None] = {}
     for plays in sets:
-        for one in plays:
-            figures |= dict.fromkeys(one.figures) | {f"lab: {name}": None for name in one.lab}
+        for result in plays:
+            figures |= dict.fromkeys(result.figures) | {f"lab: {name}": None for name in result.lab}
     rows: dict[str, list[dict[str, float] | None]] = {}
     for name in sorted(figures):
         rows[name] = []
         for plays in sets:
-            found = [value for one in plays if (value := figure_of(one, name)) is not None]
-            row = {"min": min(found), "median": median(found), "max": max(found)} if found else None
+            values = [value for result in plays if (value := figure_value(result, name)) is not None]
+            row = {"min": min(values), "median": median(values), "max": max(values)} if values else None
             rows[name].append(row)
     return rows
 
 
-def figure_of(one: Result, name: str) -> float | None:
-    return one.lab.get(name.removeprefix("lab: ")) if name.startswith("lab: ") else one.figures.get(name)
+def figure_value(result: Result, name: str) -> float | None:
+    """A figure of a play, or with the prefix "lab: " one of the test bed itself; None if it is not there."""
+    return (
+        result.lab.get(name.removeprefix("lab: ")) if name.startswith("lab: ") else result.figures.get(name)
+    )
 
 
-class Story:
-    """The events of a play, sorted by what they are drawn for."""
+class PlayEvents:
+    """The events of a play, grouped by the plot that shows them. Times: seconds from the start of the load.
+
+    Raises ReportError if the record has no `play` event.
+    """
 
     def __init__(self, events: list[Event]) -> None:
         self.play: Event = {}
-        self.answers: dict[str, list[float]] = defaultdict(list)
-        self.offered: list[float] = []
-        self.refused: dict[str, list[float]] = defaultdict(list)
-        self.loads: list[Event] = []
-        self.lives: dict[str, list[tuple[float, str]]] = defaultdict(list)
-        self.faults: list[Event] = []
+        # By outcome.
+        self.answers_at_s: dict[str, list[float]] = defaultdict(list)
+        self.offered_at_s: list[float] = []
+        # By class.
+        self.refused_at_s: dict[str, list[float]] = defaultdict(list)
+        self.load_events: list[Event] = []
+        # By gateway: time and kind of each `life` event.
+        self.life_events: dict[str, list[tuple[float, str]]] = defaultdict(list)
+        self.fault_events: list[Event] = []
         self.latency = HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, LATENCY_DIGITS)
-        asked: dict[str, Event] = {}
+        ask_events: dict[str, Event] = {}
         for event in events:
             match event["e"]:
                 case "play":
                     self.play = event
                 case "ask":
-                    asked[event["id"]] = event
-                    self.offered.append(event["t"])
+                    ask_events[event["id"]] = event
+                    self.offered_at_s.append(event["t"])
                 case "ans":
-                    self.answers[event["how"]].append(event["t"])
-                    if event["how"] == "served" and event["id"] in asked:
-                        took = int((event["t"] - asked[event["id"]]["t"]) * 1e6)
-                        self.latency.record_value(max(MIN_LATENCY_US, min(MAX_LATENCY_US, took)))
-                    if event["how"] == "refused" and event["id"] in asked:
-                        self.refused[asked[event["id"]]["cls"]].append(event["t"])
+                    self.answers_at_s[event["how"]].append(event["t"])
+                    if event["how"] == "served" and event["id"] in ask_events:
+                        latency_us = int((event["t"] - ask_events[event["id"]]["t"]) * 1e6)
+                        self.latency.record_value(max(MIN_LATENCY_US, min(MAX_LATENCY_US, latency_us)))
+                    if event["how"] == "refused" and event["id"] in ask_events:
+                        self.refused_at_s[ask_events[event["id"]]["cls"]].append(event["t"])
                 case "load":
-                    self.loads.append(event)
+                    self.load_events.append(event)
                 case "life":
-                    self.lives[event["g"]].append((event["t"], event["what"]))
+                    self.life_events[event["g"]].append((event["t"], event["what"]))
                 case "fault":
-                    self.faults.append(event)
+                    self.fault_events.append(event)
         if not self.play:
-            raise ReportError("the record does not begin with a play")
-        self.until = float(self.play["duration_s"])
+            raise ReportError("the record has no play event: expected it at the beginning")
+        self.duration_s = float(self.play["duration_s"])
 
 
 def write_report(folder: Path, page: Path) -> Path:
-    """Draw the play of a folder; a play that was interrupted is drawn as far as it goes."""
-    story = Story(list(read(folder)))
+    """Write the HTML report of the play in a folder to `page`, and return `page`.
+
+    A play that was interrupted is drawn up to its last event. Raises ReportError or RecordError.
+    """
+    events = PlayEvents(list(read(folder)))
     try:
         result = load_result(folder)
     except ReportError:
         result = None
-    pictures = [
-        ("Requests each half second: offered, and how they ended", picture(draw_ends, story)),
-        ("Refused each half second, by class", picture(draw_refused, story)),
-        ("Load against capacity, by zone", picture(draw_zones, story)),
-        ("Load against capacity, by backend", picture(draw_backends, story)),
-        ("Gateways: their lives and states", picture(draw_lives, story)),
-        ("Latency of what was served", picture(draw_latency, story)),
+    plots = [
+        ("Requests each half second: offered, and how they ended", plot_as_png(draw_outcomes, events)),
+        ("Refused each half second, by class", plot_as_png(draw_refused, events)),
+        ("Load against capacity, by zone", plot_as_png(draw_zones, events)),
+        ("Load against capacity, by backend", plot_as_png(draw_backends, events)),
+        ("Gateways: their lives and states", plot_as_png(draw_lives, events)),
+        ("Latency of what was served", plot_as_png(draw_latency, events)),
     ]
-    name = f"{story.play['scenario']} seed {story.play['seed']}"
+    name = f"{events.play['scenario']} seed {events.play['seed']}"
     parts = [
         "<!doctype html><meta charset='utf-8'>",
         f"<title>{html.escape(name)}</title>",
         "<style>body{font:15px sans-serif;max-width:1200px;margin:2em auto}"
         "td,th{padding:2px 12px;text-align:left}img{max-width:100%}</style>",
-        f"<h1>{html.escape(name)}</h1><p>digest {html.escape(str(story.play['digest']))}</p>",
+        f"<h1>{html.escape(name)}</h1><p>digest {html.escape(str(events.play['digest']))}</p>",
     ]
     if result is not None:
         parts.append(f"<p>verdict {result.verdict}</p><ul>")
         parts += [f"<li>{html.escape(line)}</li>" for line in result.why]
         parts.append("</ul>")
     parts += [
-        f"<h2>{title}</h2><img alt='{title}' src='data:image/png;base64,{data}'>" for title, data in pictures
+        f"<h2>{title}</h2><img alt='{title}' src='data:image/png;base64,{data}'>" for title, data in plots
     ]
     if result is not None:
         rows = [(n, f"{v:g}") for n, v in (result.figures | result.lab).items()]
         parts.append("<h2>Figures</h2>" + html_table(rows))
-        found = [(f"{b['at']:.3f} s", b["rule"], b["what"], b["request"]) for b in result.breaches]
-        parts.append("<h2>Breaches</h2>" + html_table(found))
+        breaches = [(f"{b['at']:.3f} s", b["rule"], b["what"], b["request"]) for b in result.breaches]
+        parts.append("<h2>Breaches</h2>" + html_table(breaches))
     page.write_text("\n".join(parts))
     return page
 
@@ -148,88 +176,100 @@
     return f"<table>{''.join(cells)}</table>"
 
 
-def picture(draw: Any, story: Story) -> str:
-    """One plot as base64 of a PNG."""
-    figure = draw(story)
-    held = io.BytesIO()
-    figure.savefig(held, format="png", dpi=90, bbox_inches="tight")
+def plot_as_png(draw: Any, events: PlayEvents) -> str:
+    """Draw one plot and return it as a PNG in base64."""
+    figure = draw(events)
+    image = io.BytesIO()
+    figure.savefig(image, format="png", dpi=90, bbox_inches="tight")
     plt.close(figure)
-    return base64.b64encode(held.getvalue()).decode()
+    return base64.b64encode(image.getvalue()).decode()
 
 
-def edges(story: Story) -> Any:
-    return np.arange(0.0, story.until + STEP_S, STEP_S)
+def bin_edges(events: PlayEvents) -> Any:
+    """Edges of the bins over the time of the play, in seconds."""
+    return np.arange(0.0, events.duration_s + BIN_S, BIN_S)
 
 
-def mark_faults(axes: Axes, story: Story) -> None:
-    for fault in story.faults:
+def mark_faults(axes: Axes, events: PlayEvents) -> None:
+    """Mark the beginning of each fault with a line, and set the time axis to the duration of the play."""
+    for fault in events.fault_events:
         if fault["begins"]:
             axes.axvline(fault["t"], color="#c0392b", lw=0.8, ls=":")
             text = f"{fault['kind']} {fault['what']}".strip()
             axes.text(fault["t"], 1.0, text, transform=axes.get_xaxis_transform(), fontsize=7, rotation=30)
-    axes.set_xlim(0, story.until)
+    axes.set_xlim(0, events.duration_s)
 
 
-def draw_ends(story: Story) -> Any:
-    figure, axes = plt.subplots(figsize=(WIDTH_IN, ROW_IN * 1.4))
-    steps = edges(story)
-    offered, _ = np.histogram(story.offered, steps)
-    axes.step(steps[:-1], offered, where="post", color="#1f4e9c", lw=1.2, label="offered")
-    floor = np.zeros(len(steps) - 1)
-    for how in ENDS:
-        counts, _ = np.histogram(story.answers.get(how, []), steps)
+def draw_outcomes(events: PlayEvents) -> Any:
+    figure, axes = plt.subplots(figsize=(WIDTH_IN, ROW_HEIGHT_IN * 1.4))
+    edges = bin_edges(events)
+    offered, _ = np.histogram(events.offered_at_s, edges)
+    axes.step(edges[:-1], offered, where="post", color="#1f4e9c", lw=1.2, label="offered")
+    bar_bottom = np.zeros(len(edges) - 1)
+    for how in OUTCOMES:
+        counts, _ = np.histogram(events.answers_at_s.get(how, []), edges)
         if counts.any():
-            axes.bar(steps[:-1], counts, STEP_S, bottom=floor, align="edge", color=COLOURS[how], label=how)
-            floor = floor + counts
-    mark_faults(axes, story)
+            axes.bar(
+                edges[:-1],
+                counts,
+                BIN_S,
+                bottom=bar_bottom,
+                align="edge",
+                color=OUTCOME_COLOURS[how],
+                label=how,
+            )
+            bar_bottom = bar_bottom + counts
+    mark_faults(axes, events)
     axes.legend(fontsize=8, loc="upper right")
     axes.set_xlabel("s")
     return figure
 
 
-def draw_refused(story: Story) -> Any:
-    figure, axes = plt.subplots(figsize=(WIDTH_IN, ROW_IN))
-    for name, times in sorted(story.refused.items()):
-        counts, _ = np.histogram(times, edges(story))
-        axes.step(edges(story)[:-1], counts, where="post", label=name)
-    mark_faults(axes, story)
-    if story.refused:
+def draw_refused(events: PlayEvents) -> Any:
+    figure, axes = plt.subplots(figsize=(WIDTH_IN, ROW_HEIGHT_IN))
+    for name, times in sorted(events.refused_at_s.items()):
+        counts, _ = np.histogram(times, bin_edges(events))
+        axes.step(bin_edges(events)[:-1], counts, where="post", label=name)
+    mark_faults(axes, events)
+    if events.refused_at_s:
         axes.legend(fontsize=8)
     return figure
 
 
-def loads(story: Story, names: list[str]) -> tuple[Any, Any, Any]:
-    """Times, and the work done and the capacity of these backends together, in cores."""
-    times = np.array([event["t"] for event in story.loads])
-    used = np.array([sum(event["of"][n][0] for n in names) for event in story.loads]) / 1000
-    can = np.array([sum(event["of"][n][1] for n in names) for event in story.loads]) / 1000
-    return times, used, can
+def work_and_capacity(events: PlayEvents, names: list[str]) -> tuple[Any, Any, Any]:
+    """Times in seconds, and the work done and the capacity of all these backends together, both in cores."""
+    times = np.array([event["t"] for event in events.load_events])
+    used = np.array([sum(event["of"][n][0] for n in names) for event in events.load_events]) / 1000
+    capacity = np.array([sum(event["of"][n][1] for n in names) for event in events.load_events]) / 1000
+    return times, used, capacity
 
 
-def draw_groups(story: Story, groups: dict[str, list[str]]) -> Any:
-    height = ROW_IN * 0.55 * len(groups) + 1
+def draw_groups(events: PlayEvents, groups: dict[str, list[str]]) -> Any:
+    """Draw work and capacity over time, with one plot for each group of backends."""
+    height = ROW_HEIGHT_IN * 0.55 * len(groups) + 1
     figure, rows = plt.subplots(len(groups), figsize=(WIDTH_IN, height), sharex=True, squeeze=False)
     for axes, (title, names) in zip(rows[:, 0], groups.items(), strict=True):
-        times, used, can = loads(story, names)
-        axes.fill_between(times, can, color="#dfe7f3", step="post")
+        times, used, capacity = work_and_capacity(events, names)
+        axes.fill_between(times, capacity, color="#dfe7f3", step="post")
         axes.step(times, used, where="post", color="#1f4e9c", lw=1)
         axes.set_ylabel(title, fontsize=8)
-        mark_faults(axes, story)
+        mark_faults(axes, events)
     return figure
 
 
-def draw_zones(story: Story) -> Any:
+def draw_zones(events: PlayEvents) -> Any:
     groups: dict[str, list[str]] = defaultdict(list)
-    for name, zone, _ in story.play["backends"]:
+    for name, zone, _ in events.play["backends"]:
         groups[f"zone {zone}"].append(name)
-    return draw_groups(story, groups)
+    return draw_groups(events, groups)
 
 
-def draw_backends(story: Story) -> Any:
-    return draw_groups(story, {name: [name] for name, _, _ in story.play["backends"][:MOST_BANDS]})
+def draw_backends(events: PlayEvents) -> Any:
+    return draw_groups(events, {name: [name] for name, _, _ in events.play["backends"][:MAX_ROWS]})
 
 
-STATES = {
+# State of a gateway after each kind of `life` event.
+STATE_AFTER_EVENT = {
     "start": "starting",
     "ready": "up",
     "stop": "stopped",
@@ -241,28 +281,35 @@
 }
 
 
-def draw_lives(story: Story) -> Any:
-    names = list(story.play["gateways"])[:MOST_BANDS]
+def draw_lives(events: PlayEvents) -> Any:
+    names = list(events.play["gateways"])[:MAX_ROWS]
     figure, axes = plt.subplots(figsize=(WIDTH_IN, 0.22 * len(names) + 1.2))
     for row, name in enumerate(names):
-        changes = [(t, STATES[what]) for t, what in story.lives.get(name, []) if what in STATES]
-        # What came before the load began is drawn as the state at its beginning.
-        before = [state for t, state in changes if t <= 0]
-        spans = [(0.0, before[-1] if before else "up"), *((t, s) for t, s in changes if 0 < t <= story.until)]
-        for (begins, state), (ends, _) in zip(spans, [*spans[1:], (story.until, "")], strict=True):
-            axes.broken_barh([(begins, ends - begins)], (row - 0.4, 0.8), facecolors=BANDS[state])
+        changes = [
+            (t, STATE_AFTER_EVENT[what])
+            for t, what in events.life_events.get(name, [])
+            if what in STATE_AFTER_EVENT
+        ]
+        # The last state before the load is drawn as the state at its beginning.
+        earlier = [state for t, state in changes if t <= 0]
+        spans = [
+            (0.0, earlier[-1] if earlier else "up"),
+            *((t, s) for t, s in changes if 0 < t <= events.duration_s),
+        ]
+        for (begins, state), (ends, _) in zip(spans, [*spans[1:], (events.duration_s, "")], strict=True):
+            axes.broken_barh([(begins, ends - begins)], (row - 0.4, 0.8), facecolors=STATE_COLOURS[state])
     axes.set_yticks(range(len(names)), names, fontsize=7)
-    for state, colour in BANDS.items():
+    for state, colour in STATE_COLOURS.items():
         axes.bar([0], [0], color=colour, label=state)
-    axes.legend(fontsize=7, loc="upper right", ncols=len(BANDS))
-    mark_faults(axes, story)
+    axes.legend(fontsize=7, loc="upper right", ncols=len(STATE_COLOURS))
+    mark_faults(axes, events)
     return figure
 
 
-def draw_latency(story: Story) -> Any:
-    figure, axes = plt.subplots(figsize=(WIDTH_IN * 0.6, ROW_IN))
-    values = [story.latency.get_value_at_percentile(point) / 1000 for point in POINTS]
-    axes.plot(range(len(POINTS)), values, marker="o", color="#1f4e9c")
-    axes.set_xticks(range(len(POINTS)), [f"{point:g}%" for point in POINTS])
+def draw_latency(events: PlayEvents) -> Any:
+    figure, axes = plt.subplots(figsize=(WIDTH_IN * 0.6, ROW_HEIGHT_IN))
+    values = [events.latency.get_value_at_percentile(percentile) / 1000 for percentile in PERCENTILES]
+    axes.plot(range(len(PERCENTILES)), values, marker="o", color="#1f4e9c")
+    axes.set_xticks(range(len(PERCENTILES)), [f"{percentile:g}%" for percentile in PERCENTILES])
     axes.set_ylabel("ms")
     return figure
