--- a/testbed/play/faults.py
+++ b/testbed/play/faults.py
@@ -1,4 +1,4 @@
-"""Faults: what a scenario has happen, when, to whom, and how it ends."""
+"""Faults: applies the faults of a scenario at their times, and ends them."""
 
 from __future__ import annotations
 
@@ -9,172 +9,180 @@
 from collections.abc import Callable
 from typing import Any
 
-from testbed import scenario as given
+from testbed import scenario as scenarios
 from testbed.network.links import Ills
 from testbed.play.processes import Gateway
 from testbed.play.stage import Stage
 from testbed.scenario import AnyFault
 
-CALL_S = 1.0  # for an operator's call
-STATE_COPY = "copy-{}"
+OPERATOR_CALL_TIMEOUT_S = 1.0
+# Name of the copy of a state folder, by the number of the fault.
+STATE_COPY_NAME = "copy-{}"
 
 
 class Faults:
-    """Brings about the faults of one stage."""
+    """Applies the faults of one play.
 
-    def __init__(self, stage: Stage, late: Callable[[float], None]) -> None:
-        self.stage, self.records, self.late = stage, stage.records, late
+    `record_lateness` is called with the seconds by which each fault began late.
+    """
+
+    def __init__(self, stage: Stage, record_lateness: Callable[[float], None]) -> None:
+        self.stage, self.records, self.record_lateness = stage, stage.records, record_lateness
         self.handlers: dict[type, Any] = {
-            given.Kill: self.kill,
-            given.Term: self.term,
-            given.Upgrade: self.upgrade,
-            given.Stop: self.stop,
-            given.Hup: self.hup,
-            given.Clock: self.clock,
-            given.Calls: self.machine,
-            given.DiskFails: self.machine,
-            given.Power: self.power,
-            given.Link: self.link,
-            given.BackendDoes: self.backend,
-            given.AgentDoes: self.agent,
-            given.CounterDoes: self.counter,
-            given.Operators: self.operators,
-            given.View: self.view,
+            scenarios.Kill: self.kill,
+            scenarios.Term: self.term,
+            scenarios.Upgrade: self.upgrade,
+            scenarios.Stop: self.stop,
+            scenarios.Hup: self.hup,
+            scenarios.Clock: self.clock,
+            scenarios.Calls: self.machine_fault,
+            scenarios.DiskFails: self.machine_fault,
+            scenarios.Power: self.power,
+            scenarios.Link: self.link,
+            scenarios.BackendDoes: self.backend,
+            scenarios.AgentDoes: self.agent,
+            scenarios.CounterDoes: self.counter,
+            scenarios.Operators: self.operators,
+            scenarios.View: self.view,
         }
 
-    async def at(self, zero: float, number: int, fault: AnyFault) -> None:
-        """Wait for a fault's time, and bring it about."""
+    async def run_at(self, load_started_at_s: float, number: int, fault: AnyFault) -> None:
+        """Wait for the time of a fault, apply it and wait for its end. `number`: index in the scenario."""
         loop = asyncio.get_running_loop()
-        if isinstance(fault, given.Power) and "old" in fault.disks.values():
-            await asyncio.sleep(max(0.0, zero + fault.old_from_s - loop.time()))
+        if isinstance(fault, scenarios.Power) and "old" in fault.disks.values():
+            await asyncio.sleep(max(0.0, load_started_at_s + fault.old_from_s - loop.time()))
             for name, disk in fault.disks.items():
                 if disk == "old":
-                    self.stage.gateways[name].copy_state(STATE_COPY.format(number))
-        due = zero + fault.at_s
-        await asyncio.sleep(max(0.0, due - loop.time()))
-        self.late(loop.time() - due)
+                    self.stage.gateways[name].copy_state(STATE_COPY_NAME.format(number))
+        due_at_s = load_started_at_s + fault.at_s
+        await asyncio.sleep(max(0.0, due_at_s - loop.time()))
+        self.record_lateness(loop.time() - due_at_s)
         kind = str(fault.__struct_config__.tag)
         keys = "gateways", "backends", "between", "and_"
-        whom = [name for key in keys for name in getattr(fault, key, [])]
+        targets = [name for key in keys for name in getattr(fault, key, [])]
         what = getattr(fault, "what", "") or getattr(fault, "call", "")
-        self.records.add("fault", n=number, kind=kind, what=what, whom=whom, begins=True)
+        self.records.add("fault", n=number, kind=kind, what=what, whom=targets, begins=True)
         await self.handlers[type(fault)](number, fault)
-        self.records.add("fault", n=number, kind=kind, what=what, whom=whom, begins=False)
+        self.records.add("fault", n=number, kind=kind, what=what, whom=targets, begins=False)
 
     def gateways(self, names: list[str]) -> list[Gateway]:
         return [self.stage.gateways[name] for name in self.stage.scenario.pick("gateways", names)]
 
     # ---- processes ----
 
-    async def bring_back(self, gateways: list[Gateway], spacing_s: float) -> None:
+    async def start_again(self, gateways: list[Gateway], spacing_s: float) -> None:
+        """Start gateways one after another, with `spacing_s` between two starts."""
         for gateway in gateways:
-            if not gateway.runs:  # another fault may have brought it back
+            if not gateway.runs:  # another fault may have started it again
                 await self.stage.start_gateway(gateway)
             await asyncio.sleep(spacing_s)
 
-    async def kill(self, number: int, fault: given.Kill) -> None:
-        struck = [self.stage.gateways[name] for name in self.stage.table.lots[number]]
-        for gateway in struck:
-            gateway.expected = True
+    async def kill(self, number: int, fault: scenarios.Kill) -> None:
+        affected = [self.stage.gateways[name] for name in self.stage.table.lots[number]]
+        for gateway in affected:
+            gateway.end_expected = True
             gateway.signal(signal.SIGKILL, "kill")
-        for gateway in struck:
-            await gateway.gone()
+        for gateway in affected:
+            await gateway.wait_ended()
             agent = self.stage.agents[gateway.name]
-            self.stage.known[gateway.name] = agent.seq, dict(agent.hosts)
+            self.stage.known_lists[gateway.name] = agent.seq, dict(agent.hosts)
         if fault.back_s is not None:
             await asyncio.sleep(fault.back_s)
-            await self.bring_back(struck, fault.spacing_s)
+            await self.start_again(affected, fault.spacing_s)
 
-    async def term(self, number: int, fault: given.Term) -> None:
-        struck = self.gateways(fault.gateways)
-        await asyncio.gather(*(gateway.term(fault.patience_s) for gateway in struck))
+    async def term(self, number: int, fault: scenarios.Term) -> None:
+        affected = self.gateways(fault.gateways)
+        await asyncio.gather(*(gateway.term(fault.patience_s) for gateway in affected))
         if fault.back_s is not None:
             await asyncio.sleep(fault.back_s)
-            await self.bring_back(struck, 0.0)
+            await self.start_again(affected, 0.0)
 
-    async def upgrade(self, number: int, fault: given.Upgrade) -> None:
-        struck = self.gateways(fault.gateways)
-        await asyncio.gather(*(gateway.upgrade() for gateway in struck))
+    async def upgrade(self, number: int, fault: scenarios.Upgrade) -> None:
+        affected = self.gateways(fault.gateways)
+        await asyncio.gather(*(gateway.upgrade() for gateway in affected))
         if fault.undone_s is not None:
             await asyncio.sleep(fault.undone_s)
-            await asyncio.gather(*(gateway.undo() for gateway in struck))
+            await asyncio.gather(*(gateway.undo_upgrade() for gateway in affected))
 
-    async def stop(self, number: int, fault: given.Stop) -> None:
+    async def stop(self, number: int, fault: scenarios.Stop) -> None:
         loop, chance = asyncio.get_running_loop(), random.Random(f"{self.stage.seed} {number}")
-        named, due = self.gateways(fault.gateways), loop.time()
-        ends = due + fault.until_s - fault.at_s
+        candidates, due_at_s = self.gateways(fault.gateways), loop.time()
+        ends_at_s = due_at_s + fault.until_s - fault.at_s
         while True:
-            struck = chance.sample(named, max(1, round(fault.part * len(named))))
-            for gateway in struck:
-                gateway.stop(True)
+            affected = chance.sample(candidates, max(1, round(fault.part * len(candidates))))
+            for gateway in affected:
+                gateway.set_stopped(True)
             await asyncio.sleep(fault.for_s)
-            for gateway in struck:
-                gateway.stop(False)
-            due += max(fault.every_s, fault.for_s)
-            if due + fault.for_s > ends:
+            for gateway in affected:
+                gateway.set_stopped(False)
+            due_at_s += max(fault.every_s, fault.for_s)
+            if due_at_s + fault.for_s > ends_at_s:
                 return
-            await asyncio.sleep(max(0.0, due - loop.time()))
+            await asyncio.sleep(max(0.0, due_at_s - loop.time()))
 
-    async def hup(self, number: int, fault: given.Hup) -> None:
+    async def hup(self, number: int, fault: scenarios.Hup) -> None:
         for gateway in self.gateways(fault.gateways):
-            gateway.hup(fault.change, fault.remove, fault.restore, fault.text)
+            gateway.reconfigure(fault.change, fault.remove, fault.restore, fault.text)
 
-    async def clock(self, number: int, fault: given.Clock) -> None:
+    async def clock(self, number: int, fault: scenarios.Clock) -> None:
         for gateway in self.gateways(fault.gateways):
-            gateway.clock_s += fault.step_s
+            gateway.clock_offset_s += fault.step_s
             gateway.write_machine_faults()
-            self.records.add("clock", g=gateway.name, offset_s=gateway.clock_s)
+            self.records.add("clock", g=gateway.name, offset_s=gateway.clock_offset_s)
 
-    async def machine(self, number: int, fault: given.Calls | given.DiskFails) -> None:
-        """Have something wrong with the machines of some gateways for a while."""
-        struck, faults = self.gateways(fault.gateways), fault.machine_faults()
-        for gateway in struck:
+    async def machine_fault(self, number: int, fault: scenarios.Calls | scenarios.DiskFails) -> None:
+        """Make the machines of some gateways faulty for `for_s`."""
+        affected, faults = self.gateways(fault.gateways), fault.machine_faults()
+        for gateway in affected:
             gateway.machine_faults[number] = faults
             gateway.write_machine_faults()
         await asyncio.sleep(fault.for_s)
-        for gateway in struck:
+        for gateway in affected:
             del gateway.machine_faults[number]
             gateway.write_machine_faults()
 
-    async def power(self, number: int, fault: given.Power) -> None:
-        """Killed at once; the machines vanish without a word, and come back with what their disks hold."""
+    async def power(self, number: int, fault: scenarios.Power) -> None:
+        """Kill gateways, make backends vanish, and restart both.
+
+        Gateways restart with the state that their disks have after the power loss.
+        """
         stage = self.stage
-        struck = [stage.gateways[name] for name in stage.table.lots[number]]
+        affected = [stage.gateways[name] for name in stage.table.lots[number]]
         machines = stage.scenario.pick("backends", fault.backends) if fault.backends else []
-        for gateway in struck:
-            gateway.expected = True
+        for gateway in affected:
+            gateway.end_expected = True
             gateway.signal(signal.SIGKILL, "power")
             if fault.discovery_late_s:
                 stage.agents[gateway.name].hush(True)
         for name in machines:
             self.vanish(name)
-        for gateway in struck:
-            await gateway.gone()
+        for gateway in affected:
+            await gateway.wait_ended()
             disk = fault.disks.get(gateway.name, "kept")
-            gateway.power_off(disk, STATE_COPY.format(number), fault.cut_bytes)
+            gateway.power_off(disk, STATE_COPY_NAME.format(number), fault.cut_bytes)
 
-        async def machines_back() -> None:
+        async def restart_machines() -> None:
             await asyncio.sleep(fault.backends_back_s)
             for name in machines:
-                self.return_cold(name, told=True)
+                self.restart_cold(name, told=True)
 
-        async def gateways_back() -> None:
+        async def restart_gateways() -> None:
             await asyncio.sleep(fault.back_s)
-            await self.bring_back(struck, fault.spacing_s)
+            await self.start_again(affected, fault.spacing_s)
 
-        async def discovery_back() -> None:
+        async def restore_discovery() -> None:
             await asyncio.sleep(fault.back_s + fault.discovery_late_s)
-            for gateway in struck:
+            for gateway in affected:
                 stage.agents[gateway.name].hush(False)
 
-        await asyncio.gather(machines_back(), gateways_back(), discovery_back())
+        await asyncio.gather(restart_machines(), restart_gateways(), restore_discovery())
 
     # ---- links ----
 
-    async def link(self, number: int, fault: given.Link) -> None:
+    async def link(self, number: int, fault: scenarios.Link) -> None:
         stage = self.stage
         some, others = stage.scenario.ends(fault.between), stage.scenario.ends(fault.and_)
-        struck = list(stage.paths.between(some, others))
+        paths = list(stage.paths.between(some, others))
         ills = Ills(
             fault.delay_ms / 1000,
             fault.jitter_ms / 1000,
@@ -184,21 +192,21 @@
             fault.cut or fault.stall,
         )
         key = ("fault", number)
-        until = round(self.records.now() + fault.for_s, 3)
-        for path, forward in struck:
-            ways = [path.there if forward else path.back]
+        ends_at_s = round(self.records.now() + fault.for_s, 3)
+        for path, forward in paths:
+            directions = [path.there if forward else path.back]
             if not fault.one_way:
-                ways = [path.there, path.back]
-            for way in ways:
-                way.put(number, ills)
+                directions = [path.there, path.back]
+            for direction in directions:
+                direction.put(number, ills)
             if fault.cut or fault.refuse:
                 path.close(key, "cut" if fault.cut else "refuse")
             if fault.reset or fault.refuse:
                 path.reset()
             if path.opener == "clients":
-                self.records.add("cut", g=path.other, until=until)
+                self.records.add("cut", g=path.other, until=ends_at_s)
         await asyncio.sleep(fault.for_s)
-        for path, _ in struck:
+        for path, _ in paths:
             path.open(key)
             path.there.put(number, None)
             path.back.put(number, None)
@@ -209,20 +217,22 @@
         return [path for path, _ in self.stage.paths.between(self.stage.gateways, [name])]
 
     def vanish(self, name: str) -> None:
-        """A machine is gone: nothing is said, open connections stay silent, new ones never come up."""
+        """Make a backend's machine unreachable: connections stay silent, new ones are never established."""
         for path in self.paths_to(name):
             path.there.put(-1, Ills(held=True))
             path.back.put(-1, Ills(held=True))
             path.close("gone", "cut")
         self.stage.backends[name].die()
 
-    def end_process(self, name: str) -> None:
+    def end_backend_process(self, name: str) -> None:
+        """End a backend's process: open connections are reset and new ones refused."""
         for path in self.paths_to(name):
             path.close("dead", "refuse")
             path.reset()
         self.stage.backends[name].die()
 
-    def return_cold(self, name: str, told: bool) -> None:
+    def restart_cold(self, name: str, told: bool) -> None:
+        """Start a backend again, cold. If `told`, discovery gets its new time of birth."""
         for path in self.paths_to(name):
             path.reset()
             path.there.put(-1, None)
@@ -233,13 +243,13 @@
         if told:
             self.stage.catalog.change(name, health="up", born_ms=self.stage.catalog.now_ms())
 
-    async def backend(self, number: int, fault: given.BackendDoes) -> None:
+    async def backend(self, number: int, fault: scenarios.BackendDoes) -> None:
         names, catalog = self.stage.scenario.pick("backends", fault.backends), self.stage.catalog
         for name in names:
             model = self.stage.backends[name]
             match fault.what:
                 case "die" | "restart":
-                    self.end_process(name)
+                    self.end_backend_process(name)
                 case "gone":
                     self.vanish(name)
                 case "pause":
@@ -249,7 +259,7 @@
                 case "drain" | "remove":
                     catalog.change(name, health="draining" if fault.what == "drain" else "removed")
                 case "add":
-                    self.return_cold(name, fault.told)
+                    self.restart_cold(name, fault.told)
         if fault.for_s is None and fault.what != "restart":
             return
         await asyncio.sleep(fault.for_s or 0.0)
@@ -257,20 +267,20 @@
             model = self.stage.backends[name]
             match fault.what:
                 case "die" | "restart" | "gone":
-                    self.return_cold(name, fault.told)
+                    self.restart_cold(name, fault.told)
                 case "pause":
                     model.pause(False)
                 case "slow":
                     model.machine.factor = 1.0
                 case "drain" | "remove":
-                    self.end_process(name)
-                    self.return_cold(name, fault.told)
+                    self.end_backend_process(name)
+                    self.restart_cold(name, fault.told)
 
     # ---- discovery, counter, operators ----
 
-    async def agent(self, number: int, fault: given.AgentDoes) -> None:
+    async def agent(self, number: int, fault: scenarios.AgentDoes) -> None:
         agents = [self.stage.agents[gateway.name] for gateway in self.gateways(fault.gateways)]
-        before = [agent.late_s for agent in agents]
+        previous_late_s = [agent.late_s for agent in agents]
         for agent in agents:
             match fault.what:
                 case "late":
@@ -284,7 +294,7 @@
                 case "broken":
                     agent.break_off()
         await asyncio.sleep(fault.for_s)
-        for agent, late_s in zip(agents, before, strict=True):
+        for agent, late_s in zip(agents, previous_late_s, strict=True):
             match fault.what:
                 case "late":
                     agent.late_s = late_s
@@ -295,7 +305,7 @@
                 case "empty":
                     agent.void(False)
 
-    async def counter(self, number: int, fault: given.CounterDoes) -> None:
+    async def counter(self, number: int, fault: scenarios.CounterDoes) -> None:
         counter = self.stage.counter
         paths = [path for path, _ in self.stage.paths.between(self.stage.gateways, ["counter"])]
         match fault.what:
@@ -323,55 +333,65 @@
                 for path in paths:
                     path.open(number)
 
-    async def operators(self, number: int, fault: given.Operators) -> None:
-        called = (self.call(g, fault.call, fault.id, fault.fleet) for g in self.gateways(fault.gateways))
-        await asyncio.gather(*called)
+    async def operators(self, number: int, fault: scenarios.Operators) -> None:
+        calls = (
+            self.operator_call(g, fault.call, fault.id, fault.fleet) for g in self.gateways(fault.gateways)
+        )
+        await asyncio.gather(*calls)
 
-    async def view(self, number: int, fault: given.View) -> None:
-        """Record what gateways say of the fleet."""
+    async def view(self, number: int, fault: scenarios.View) -> None:
+        """Record the answers of gateways to `GET /ops/fleet`, every `every_s` for `for_s`."""
         loop = asyncio.get_running_loop()
-        ends = loop.time() + fault.for_s
+        ends_at_s = loop.time() + fault.for_s
         while True:
-            await asyncio.gather(*(self.look(gateway) for gateway in self.gateways(fault.gateways)))
-            if loop.time() + fault.every_s > ends:
+            await asyncio.gather(*(self.record_view(gateway) for gateway in self.gateways(fault.gateways)))
+            if loop.time() + fault.every_s > ends_at_s:
                 return
             await asyncio.sleep(fault.every_s)
 
-    async def look(self, gateway: Gateway) -> None:
+    async def record_view(self, gateway: Gateway) -> None:
         if gateway.stopped:
             return
-        status, body = await self.http(gateway, "GET", "fleet", b"")
+        status, body = await self.operator_request(gateway, "GET", "fleet", b"")
         if status != 200:
             self.records.add("view", g=gateway.name, status=status)
             return
-        said = json.loads(body)
-        states = {name: row["state"] for name, row in said["members"].items()}
-        facts = [[f["kind"], f["name"], f["origin"], f["value"]] for f in said["facts"]]
+        answer = json.loads(body)
+        states = {name: row["state"] for name, row in answer["members"].items()}
+        facts = [[f["kind"], f["name"], f["origin"], f["value"]] for f in answer["facts"]]
         keys = "minority", "quiet", "dropped", "counts", "recovery", "zones"
-        more = {key: said[key] for key in keys if key in said}
-        self.records.add("view", g=gateway.name, status=status, members=states, facts=facts, **more)
+        optional = {key: answer[key] for key in keys if key in answer}
+        self.records.add("view", g=gateway.name, status=status, members=states, facts=facts, **optional)
 
-    async def http(self, gateway: Gateway, method: str, call: str, body: bytes) -> tuple[int, bytes]:
-        """A call to an operator address: its status, 0 for none, and what came with it."""
+    async def operator_request(
+        self, gateway: Gateway, method: str, call: str, body: bytes
+    ) -> tuple[int, bytes]:
+        """Send a request to a gateway's operator address.
+
+        Returns the HTTP status and the body of the answer; status 0 if there is none in time.
+        """
         try:
-            async with asyncio.timeout(CALL_S):
+            async with asyncio.timeout(OPERATOR_CALL_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*gateway.operator)
                 head = f"{method} /ops/{call} HTTP/1.1\r\nHost: lab\r\nContent-Length: {len(body)}\r\n\r\n"
                 writer.write(head.encode() + body)
                 answer = await reader.read()
                 writer.close()
-            head_of, _, rest = answer.partition(b"\r\n\r\n")
-            return int(head_of.split()[1]), rest
+            answer_head, _, answer_body = answer.partition(b"\r\n\r\n")
+            return int(answer_head.split()[1]), answer_body
         except (OSError, ValueError, IndexError):
             return 0, b""
 
-    async def call(self, gateway: Gateway, call: str, named: str, fleet: bool = False) -> str:
-        """Call one gateway's operator address; gives yes, no or none."""
-        of_all = {"fleet": True} if fleet else {}
-        self.records.add("op", g=gateway.name, call=call, id=named, how="called", **of_all)
-        body = json.dumps({"id": named} | of_all).encode() if named else b""
-        status, said = await self.http(gateway, "POST", call, body)
+    async def operator_call(self, gateway: Gateway, call: str, target: str, fleet: bool = False) -> str:
+        """Make an operators' call at one gateway and record it; returns "yes", "no" or "none" (no answer).
+
+        `target`: the backend or zone, empty for a drain. `fleet`: the call is for all gateways.
+        """
+        fleet_key = {"fleet": True} if fleet else {}
+        self.records.add("op", g=gateway.name, call=call, id=target, how="called", **fleet_key)
+        body = json.dumps({"id": target} | fleet_key).encode() if target else b""
+        status, answer = await self.operator_request(gateway, "POST", call, body)
         how = "none" if not status else "yes" if status // 100 == 2 else "no"
-        more = of_all | {"text": said.decode(errors="replace")} if fleet else {}
-        self.records.add("op", g=gateway.name, call=call, id=named, how=how, status=status, **more)
+        more = fleet_key | {"text": answer.decode(errors="replace")} if fleet else {}
+        self.records.add("op", g=gateway.name, call=call, id=target, how=how, status=status, **more)
         return how
--- a/testbed/play/play.py
+++ b/testbed/play/play.py
@@ -116,7 +116,7 @@
             async with start_slots:
                 gateway.prepare()
                 await self.stage.start_gateway(gateway)
-                while gateway.awaited and gateway.runs:
+                while gateway.awaits_ready and gateway.runs:
                     await asyncio.sleep(0.02)
 
         self.progress(0.0, "gateways start")
@@ -152,7 +152,7 @@
         shutil.rmtree(self.out / "gateways", ignore_errors=True)
         started_at_s, cpu_before_s, thresholds = time.monotonic(), time.process_time(), gc.get_threshold()
         try:
-            await self.stage.join()
+            await self.stage.connect_all()
             self.records.add(
                 "play",
                 scenario=self.scenario.name,
@@ -161,7 +161,7 @@
                 duration_s=self.scenario.duration_s,
                 gateways=list(self.stage.gateways),
                 zones={name: gateway.zone for name, gateway in self.stage.gateways.items()},
-                backends=[[n, b.zone, self.stage.racks[n]] for n, b in self.stage.backends.items()],
+                backends=[[n, b.zone, self.stage.rack_by_backend[n]] for n, b in self.stage.backends.items()],
             )
             await self._start_all()
             self.records.begin()
@@ -180,7 +180,7 @@
         self.spawn(self._measure_lateness())
         self.spawn(self._sample_load())
         for number, fault in enumerate(scenario.faults):
-            self.spawn(self.faults.at(load_started_at_s, number, fault))
+            self.spawn(self.faults.run_at(load_started_at_s, number, fault))
         self.spawn(self._send_arrivals(load_started_at_s))
         ends_at_s = load_started_at_s + scenario.duration_s
         while loop.time() < ends_at_s and not self.ended.is_set():
@@ -237,7 +237,7 @@
             if now - costs_sampled_at_s >= COST_SAMPLE_S:
                 costs_sampled_at_s = now
                 check_descriptors()
-                costs = {name: g.cost() for name, g in self.stage.gateways.items()}
+                costs = {name: g.resource_usage() for name, g in self.stage.gateways.items()}
                 self.records.add("proc", of={n: c for n, c in costs.items() if c}, lab=time.process_time())
             await asyncio.sleep(BACKEND_SAMPLE_S)
 
@@ -252,7 +252,7 @@
             self.stage.front.close()
         for gateway in self.stage.gateways.values():
             if gateway.stopped:
-                gateway.stop(False)
+                gateway.set_stopped(False)
         self.progress(self.scenario.duration_s, "gateways end")
         try:
             await asyncio.gather(*(g.term(END_TIMEOUT_S) for g in self.stage.gateways.values() if g.runs))
--- a/tests/testbed/test_fleet_plays.py
+++ b/tests/testbed/test_fleet_plays.py
@@ -142,7 +142,7 @@
         noise = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         noise.bind((gateway.host, 0))  # as if from a member
         for number in range(20):
-            noise.sendto(bytes([1]) + b"x" * number * 70, self.gateways["g0"].line_at)
+            noise.sendto(bytes([1]) + b"x" * number * 70, self.gateways["g0"].fleet_advertise)
         noise.close()
         return before(self, gateway)
 
--- a/tests/testbed/test_testbed.py
+++ b/tests/testbed/test_testbed.py
@@ -292,7 +292,7 @@
 
     def __init__(self) -> None:
         self.events_of: list[dict[str, Any]] = []
-        self.zero = time.monotonic()
+        self.load_started_at_s = time.monotonic()
 
     def add(self, event_name: str, /, **given: Any) -> None:
         self.events_of.append({"e": event_name, **given})
