--- a/testbed/fixture.py
+++ b/testbed/fixture.py
@@ -10,7 +10,7 @@
 import pytest
 
 from testbed.play.play import Result, play
-from testbed.scenario import Scenario, check
+from testbed.scenario import Scenario, check_fault
 from testbed.verdict.records import Event, read
 
 MOST_GATEWAYS, MOST_S = 8, 20.0
@@ -43,7 +43,7 @@
         scenario = msgspec.convert({"name": "test", "about": "a test", **PATIENT, **given}, Scenario)
         assert scenario.fleet.gateways <= MOST_GATEWAYS and scenario.duration_s <= MOST_S
         for fault in scenario.faults:
-            check(scenario, fault)
+            check_fault(scenario, fault)
         folder = tmp_path / "play"
         return Played(play(scenario, seed, folder), folder)
 
--- a/testbed/play/faults.py
+++ b/testbed/play/faults.py
@@ -36,13 +36,13 @@
             scenarios.Hup: self.hup,
             scenarios.Clock: self.clock,
             scenarios.Calls: self.machine_fault,
-            scenarios.DiskFails: self.machine_fault,
+            scenarios.DiskFault: self.machine_fault,
             scenarios.Power: self.power,
             scenarios.Link: self.link,
-            scenarios.BackendDoes: self.backend,
-            scenarios.AgentDoes: self.agent,
-            scenarios.CounterDoes: self.counter,
-            scenarios.Operators: self.operators,
+            scenarios.BackendFault: self.backend,
+            scenarios.AgentFault: self.agent,
+            scenarios.CounterFault: self.counter,
+            scenarios.OperatorCall: self.operators,
             scenarios.View: self.view,
         }
 
@@ -66,7 +66,7 @@
         self.records.add("fault", n=number, kind=kind, what=what, whom=targets, begins=False)
 
     def gateways(self, names: list[str]) -> list[Gateway]:
-        return [self.stage.gateways[name] for name in self.stage.scenario.pick("gateways", names)]
+        return [self.stage.gateways[name] for name in self.stage.scenario.select("gateways", names)]
 
     # ---- processes ----
 
@@ -78,7 +78,7 @@
             await asyncio.sleep(spacing_s)
 
     async def kill(self, number: int, fault: scenarios.Kill) -> None:
-        affected = [self.stage.gateways[name] for name in self.stage.table.lots[number]]
+        affected = [self.stage.gateways[name] for name in self.stage.timetable.targets[number]]
         for gateway in affected:
             gateway.end_expected = True
             gateway.signal(signal.SIGKILL, "kill")
@@ -130,7 +130,7 @@
             gateway.write_machine_faults()
             self.records.add("clock", g=gateway.name, offset_s=gateway.clock_offset_s)
 
-    async def machine_fault(self, number: int, fault: scenarios.Calls | scenarios.DiskFails) -> None:
+    async def machine_fault(self, number: int, fault: scenarios.Calls | scenarios.DiskFault) -> None:
         """Make the machines of some gateways faulty for `for_s`."""
         affected, faults = self.gateways(fault.gateways), fault.machine_faults()
         for gateway in affected:
@@ -147,8 +147,8 @@
         Gateways restart with the state that their disks have after the power loss.
         """
         stage = self.stage
-        affected = [stage.gateways[name] for name in stage.table.lots[number]]
-        machines = stage.scenario.pick("backends", fault.backends) if fault.backends else []
+        affected = [stage.gateways[name] for name in stage.timetable.targets[number]]
+        machines = stage.scenario.select("backends", fault.backends) if fault.backends else []
         for gateway in affected:
             gateway.end_expected = True
             gateway.signal(signal.SIGKILL, "power")
@@ -181,7 +181,7 @@
 
     async def link(self, number: int, fault: scenarios.Link) -> None:
         stage = self.stage
-        some, others = stage.scenario.ends(fault.between), stage.scenario.ends(fault.and_)
+        some, others = stage.scenario.link_ends(fault.between), stage.scenario.link_ends(fault.and_)
         paths = list(stage.paths.between(some, others))
         ills = Ills(
             fault.delay_ms / 1000,
@@ -243,8 +243,8 @@
         if told:
             self.stage.catalog.change(name, health="up", born_ms=self.stage.catalog.now_ms())
 
-    async def backend(self, number: int, fault: scenarios.BackendDoes) -> None:
-        names, catalog = self.stage.scenario.pick("backends", fault.backends), self.stage.catalog
+    async def backend(self, number: int, fault: scenarios.BackendFault) -> None:
+        names, catalog = self.stage.scenario.select("backends", fault.backends), self.stage.catalog
         for name in names:
             model = self.stage.backends[name]
             match fault.what:
@@ -278,7 +278,7 @@
 
     # ---- discovery, counter, operators ----
 
-    async def agent(self, number: int, fault: scenarios.AgentDoes) -> None:
+    async def agent(self, number: int, fault: scenarios.AgentFault) -> None:
         agents = [self.stage.agents[gateway.name] for gateway in self.gateways(fault.gateways)]
         previous_late_s = [agent.late_s for agent in agents]
         for agent in agents:
@@ -305,7 +305,7 @@
                 case "empty":
                     agent.void(False)
 
-    async def counter(self, number: int, fault: scenarios.CounterDoes) -> None:
+    async def counter(self, number: int, fault: scenarios.CounterFault) -> None:
         counter = self.stage.counter
         paths = [path for path, _ in self.stage.paths.between(self.stage.gateways, ["counter"])]
         match fault.what:
@@ -333,7 +333,7 @@
                 for path in paths:
                     path.open(number)
 
-    async def operators(self, number: int, fault: scenarios.Operators) -> None:
+    async def operators(self, number: int, fault: scenarios.OperatorCall) -> None:
         calls = (
             self.operator_call(g, fault.call, fault.id, fault.fleet) for g in self.gateways(fault.gateways)
         )
--- a/testbed/play/play.py
+++ b/testbed/play/play.py
@@ -97,7 +97,9 @@
         """Raise the soft limit of descriptors as needed. Raises PlayError if the hard limit is too low."""
         scenario = self.scenario
         link_count = scenario.fleet.gateways * (scenario.backends.count + 4)
-        max_vanished = max((len(scenario.pick("backends", names)) for names in scenario.vanishing), default=0)
+        max_vanished = max(
+            (len(scenario.select("backends", names)) for names in scenario.vanishing_backends), default=0
+        )
         # Each path to a vanished backend is blocked by PLUGS connections.
         plugs = PLUGS * scenario.fleet.gateways * max_vanished
         needed = int(
@@ -157,7 +159,7 @@
                 "play",
                 scenario=self.scenario.name,
                 seed=self.seed,
-                digest=self.stage.table.digest,
+                digest=self.stage.timetable.digest,
                 duration_s=self.scenario.duration_s,
                 gateways=list(self.stage.gateways),
                 zones={name: gateway.zone for name, gateway in self.stage.gateways.items()},
@@ -197,7 +199,7 @@
 
     async def _send_arrivals(self, load_started_at_s: float) -> None:
         loop = asyncio.get_running_loop()
-        for number, arrival in enumerate(self.stage.table.arrivals):
+        for number, arrival in enumerate(self.stage.timetable.arrivals):
             due_at_s = load_started_at_s + arrival.at_s
             if (delay_s := due_at_s - loop.time()) > 0:
                 await asyncio.sleep(delay_s)
@@ -288,7 +290,7 @@
         }
         breaches = self.judge.breach_records()
         result = Result(
-            self.scenario.name, self.seed, self.stage.table.digest, verdict, why, figures, breaches, lab
+            self.scenario.name, self.seed, self.stage.timetable.digest, verdict, why, figures, breaches, lab
         )
         self.records.add("result", **msgspec.to_builtins(result))
         self.records.close()
--- a/testbed/play/stage.py
+++ b/testbed/play/stage.py
@@ -36,7 +36,7 @@
 
     def __init__(self, scenario: Scenario, seed: int, out: Path, records: Records) -> None:
         self.scenario, self.seed, self.records = scenario, seed, records
-        self.table = scenarios.timetable(scenario, seed)
+        self.timetable = scenarios.timetable(scenario, seed)
         self.random = random.Random(seed)
         self.secret = out / "secret"
         self.secret.write_text(f"the line's secret of seed {seed}\n")
@@ -54,16 +54,18 @@
         self.agents: dict[str, Agent] = {}
         # By gateway and backend: the address of the link between them.
         self.dial_addresses: dict[tuple[str, str], str] = {}
-        upgraded = scenario.upgraded
+        upgraded = scenario.upgraded_gateways
         for index, name in enumerate(scenario.gateway_names):
             gateway = Gateway(name, index, scenario.zone_of(index), out, self.net, records)
             gateway.alterations = scenario.fleet.altered.get(name, [])
             gateway.clock_offset_s = scenario.fleet.clock_s.get(name, 0.0)
-            gateway.has_faulty_machine = name in scenario.on_faulty_machines or bool(gateway.clock_offset_s)
+            gateway.has_faulty_machine = name in scenario.gateways_on_faulty_machines or bool(
+                gateway.clock_offset_s
+            )
             gateway.seed = seed
             for number, fault in enumerate(scenario.faults):
                 if isinstance(fault, scenarios.Calls) and fault.from_start:
-                    if name in scenario.pick("gateways", fault.gateways):
+                    if name in scenario.select("gateways", fault.gateways):
                         gateway.machine_faults[number] = fault.machine_faults()
             if name in upgraded:
                 gateway.listening_socket = socket.create_server(gateway.listen, backlog=LISTEN_BACKLOG)
--- a/testbed/scenario.py
+++ b/testbed/scenario.py
@@ -1,7 +1,8 @@
-"""Scenarios: TOML files, checked whole before anything starts, and the timetable that a seed makes of one.
+"""Scenarios: TOML files that are checked in full before a play starts, and their timetables.
 
-A scenario names the fleet, its load and faults at times. All that chance decides beforehand (who asks what of
-whom and when) is drawn here from the seed, so two plays of one seed have the same timetable and one digest.
+A scenario defines the fleet, its load and faults with their times. All random choices before a play (which
+customer sends which request to which gateway, and when) are drawn here from the seed, so two plays of one
+seed have the same timetable and the same digest.
 """
 
 from __future__ import annotations
@@ -18,151 +19,180 @@
 from testbed import settings
 from testbed.machine import DISK_ERRORS, LOOP_ERRORS, SOCKET_ERRORS, MachineFaults, failing
 
-FOLDER = Path(__file__).parent / "scenarios"
-MOST_GATEWAYS, MOST_BACKENDS, MOST_RATE, MOST_S = 400, 400, 2_000.0, 3_600.0
-BACK_OFF_MS, TRIES = (200.0, 400.0), 3  # of a client: waits before its second and third try, and tries
+SCENARIO_FOLDER = Path(__file__).parent / "scenarios"
+MAX_GATEWAYS, MAX_BACKENDS, MAX_RATE_PER_S, MAX_DURATION_S = 400, 400, 2_000.0, 3_600.0
+# A client's delays before its second and third try, and the number of its tries.
+RETRY_BACKOFF_MS, MAX_TRIES = (200.0, 400.0), 3
 
-Second = Annotated[float, msgspec.Meta(ge=0, le=MOST_S)]
-Part = Annotated[float, msgspec.Meta(ge=0, le=1)]
+Seconds = Annotated[float, msgspec.Meta(ge=0, le=MAX_DURATION_S)]
+Ratio = Annotated[float, msgspec.Meta(ge=0, le=1)]
 Positive = Annotated[float, msgspec.Meta(gt=0, le=1e6)]
 Names = Annotated[list[str], msgspec.Meta(min_length=1)]
-Disk = Annotated[str, msgspec.Meta(pattern="^(kept|lost|old|cut)$")]
+DiskState = Annotated[str, msgspec.Meta(pattern="^(kept|lost|old|cut)$")]
 
 
 class ScenarioError(Exception):
-    """A scenario can't be played; says the file, the key and what was expected."""
+    """A scenario can't be played. The message names the file, the key and what was expected."""
 
 
 class Strict(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """Unknown keys are mistakes."""
+    """Base of all tables of a scenario: an unknown key is an error."""
 
 
 class Fleet(Strict):
-    gateways: Annotated[int, msgspec.Meta(ge=1, le=MOST_GATEWAYS)]
+    gateways: Annotated[int, msgspec.Meta(ge=1, le=MAX_GATEWAYS)]
     zones: Names = msgspec.field(default_factory=lambda: ["a"])
-    state: bool = False  # each gateway has a folder for its state
-    audit: bool = False  # and one for its audit
-    line: bool = False  # the gateways have a line between them
-    shut_out_s: float | None = None  # of that line's table; None: its default
-    seeds: Annotated[int, msgspec.Meta(ge=0, le=64)] = 3  # the first gateways, of the line
+    # Each gateway has a folder for its state.
+    state: bool = False
+    # Each gateway has a folder for its audit.
+    audit: bool = False
+    # The gateways exchange gossip.
+    line: bool = False
+    # Key `shut_out_s` of the gateways' `fleet` table; None: the gateways' default.
+    shut_out_s: float | None = None
+    # Number of gateways, the first ones, that are listed as seeds of the gossip.
+    seeds: Annotated[int, msgspec.Meta(ge=0, le=64)] = 3
     memory_mb: Annotated[int, msgspec.Meta(ge=16, le=1024)] = 192
     sockets: Annotated[int, msgspec.Meta(ge=128, le=65_536)] = 1024
-    cross_price: Part = 0.0
-    ready_s: Second = 60.0  # for all gateways to be ready before the load begins
-    settle_s: Second = 0.0  # after that
+    cross_price: Ratio = 0.0
+    # Time for each gateway to be ready after its start.
+    ready_s: Seconds = 60.0
+    # Time between readiness of all gateways and the start of the load.
+    settle_s: Seconds = 0.0
     regions: dict[str, list[str]] = {}
-    extra: dict[str, Any] = {}  # further tables of each gateway's configuration
-    altered: dict[str, list[str]] = {}  # gateway: what is altered in its program (testbed/launch.py)
-    clock_s: dict[str, float] = {}  # gateway: how far its wall clock is off at its start
+    # Further tables of each gateway's configuration.
+    extra: dict[str, Any] = {}
+    # By gateway: alterations of its program (testbed/launch.py).
+    altered: dict[str, list[str]] = {}
+    # By gateway: offset of its wall clock at its start.
+    clock_s: dict[str, float] = {}
 
 
 class Backends(Strict):
-    count: Annotated[int, msgspec.Meta(ge=1, le=MOST_BACKENDS)]
+    count: Annotated[int, msgspec.Meta(ge=1, le=MAX_BACKENDS)]
     cores: Annotated[int, msgspec.Meta(ge=1, le=64)] = 4
     speed: Positive = 1.0
     queue: Annotated[int, msgspec.Meta(ge=0, le=10_000)] = 64
     connections: Annotated[int, msgspec.Meta(ge=1, le=100_000)] = 2_000
-    racks: Annotated[int, msgspec.Meta(ge=1, le=100)] = 2  # of each zone
-    start_capacity: Part = 0.19
-    breaks: dict[str, str] = {}  # backend: the rule that it is told to break (repeats, value)
-    warm_s: Second = 16.0
+    # Number of racks in each zone.
+    racks: Annotated[int, msgspec.Meta(ge=1, le=100)] = 2
+    start_capacity: Ratio = 0.19
+    # By backend: the rule that it breaks on purpose (repeats, value).
+    breaks: dict[str, str] = {}
+    warm_s: Seconds = 16.0
 
 
-class CounterGiven(Strict):
+class CounterSettings(Strict):
     per_s: Positive = 500.0
     call_ms: Annotated[float, msgspec.Meta(ge=0, le=1000)] = 1.0
     queue: Annotated[int, msgspec.Meta(ge=1, le=100_000)] = 200
 
 
 class Load(Strict):
-    rate: Annotated[float, msgspec.Meta(ge=0, le=MOST_RATE)]  # first tries a second, of all clients
+    # First tries per second of all clients.
+    rate: Annotated[float, msgspec.Meta(ge=0, le=MAX_RATE_PER_S)]
     customers: Annotated[int, msgspec.Meta(ge=1, le=100_000)] = 60
-    spread: Annotated[int, msgspec.Meta(ge=1, le=64)] = 3  # gateways of a customer's set
-    work: Positive = 1.0  # times the classes' usual work
+    # Number of gateways that one customer uses.
+    spread: Annotated[int, msgspec.Meta(ge=1, le=64)] = 3
+    # Factor on the classes' mean work.
+    work: Positive = 1.0
     retries: bool = True
-    notice_s: Second = 2.0  # the front notices a death so late
+    # Time until the front of the gateways notices that one has ended.
+    notice_s: Seconds = 2.0
     ping_s: Annotated[float, msgspec.Meta(ge=0.02, le=60)] = 0.2
 
 
 class Fault(Strict, tag_field="kind"):
-    at_s: Second
+    at_s: Seconds
 
 
 class Kill(Fault, tag="kill"):
-    """SIGKILL; each starts again after `back_s`, if that is given, `spacing_s` one after another."""
+    """Kills gateways with SIGKILL. If `back_s` is given, they start again after it, `spacing_s` apart."""
 
     gateways: Names
-    part: Part = 1.0  # of those named, by the seed's lot
-    back_s: Second | None = None
-    spacing_s: Second = 0.0
+    # Share of the named gateways that is killed; the seed decides which.
+    part: Ratio = 1.0
+    back_s: Seconds | None = None
+    spacing_s: Seconds = 0.0
     order: Annotated[str, msgspec.Meta(pattern="^(given|reversed|chance)$")] = "given"
 
 
 class Term(Fault, tag="term"):
     gateways: Names
-    back_s: Second | None = None
-    patience_s: Second = 5.0  # then SIGKILL
+    back_s: Seconds | None = None
+    # Time from SIGTERM to SIGKILL.
+    patience_s: Seconds = 5.0
 
 
 class Upgrade(Fault, tag="upgrade"):
-    """A new process beside the one that runs, on the platform's socket; it takes over, and the old one ends.
+    """Starts a new process beside the running one, on the same listening socket; it takes over.
 
-    `undone_s`: the new one is killed so long after its start, an upgrade half done.
+    `undone_s`: the new process is killed this long after its start, before the upgrade is complete.
     """
 
     gateways: Names
-    undone_s: Second | None = None
+    undone_s: Seconds | None = None
 
 
 class Stop(Fault, tag="stop"):
-    """SIGSTOP, and SIGCONT after `for_s`; with `until_s` again every `every_s`, each time by a new lot."""
+    """Sends SIGSTOP, and SIGCONT after `for_s`.
+
+    Up to `until_s`, this is repeated every `every_s`, each time with newly drawn gateways.
+    """
 
     gateways: Names
-    for_s: Second
-    part: Part = 1.0  # of those named, at least one
+    for_s: Seconds
+    # Share of the named gateways that is stopped; at least one gateway.
+    part: Ratio = 1.0
     every_s: Annotated[float, msgspec.Meta(ge=0.1, le=600)] = 5.0
-    until_s: Second = 0.0
+    until_s: Seconds = 0.0
 
 
 class Hup(Fault, tag="hup"):
-    """A new configuration file, with these top-level keys changed or removed, and SIGHUP."""
+    """Writes a configuration file with top-level keys changed or removed, and sends SIGHUP."""
 
     gateways: Names
     change: dict[str, Any] = {}
     remove: list[str] = []
-    restore: list[str] = []  # keys that were changed or removed before: as the platform gave them
-    text: str | None = None  # in place of a whole file: what it holds
+    # Keys that an earlier fault changed or removed, and that get their original values again.
+    restore: list[str] = []
+    # Content of the whole file, in place of a valid configuration.
+    text: str | None = None
 
 
 class Clock(Fault, tag="clock"):
-    """Steps the wall clock of gateways, of the process that runs and of those after it."""
+    """Steps the wall clock of gateways, for the running process and later ones."""
 
     gateways: Names
     step_s: Annotated[float, msgspec.Meta(ge=-1e6, le=1e6)]
 
 
 class Calls(Fault, tag="calls"):
-    """System calls of gateways fail by chance, and some reads and writes move one byte alone."""
+    """System calls of gateways fail at random, and some reads and writes transfer only one byte."""
 
     gateways: Names
-    for_s: Second
-    chance: Part
-    errors: dict[str, list[str]] = {}  # by call; none: all that testbed/machine.py lists
-    short: Part = 0.0
-    from_start: bool = False  # it strikes also before the load begins
+    for_s: Seconds
+    chance: Ratio
+    # Names of errors by system call; empty: all of SOCKET_ERRORS in testbed/machine.py.
+    errors: dict[str, list[str]] = {}
+    # Probability that a read or write transfers only one byte.
+    short: Ratio = 0.0
+    # The fault is active also before the load begins.
+    from_start: bool = False
 
     def machine_faults(self) -> MachineFaults:
         errors = {call: tuple(names) for call, names in self.errors.items()} or SOCKET_ERRORS
         return MachineFaults(calls=failing(errors, self.chance), short_chance=self.short)
 
 
-class DiskFails(Fault, tag="disk"):
-    """Calls on files in the folder of the state fail by chance."""
+class DiskFault(Fault, tag="disk"):
+    """System calls on files in the state folder fail at random."""
 
     gateways: Names
-    for_s: Second
-    chance: Part
-    errors: dict[str, list[str]] = {}  # likewise
+    for_s: Seconds
+    chance: Ratio
+    # Names of errors by system call; empty: all of DISK_ERRORS in testbed/machine.py.
+    errors: dict[str, list[str]] = {}
 
     def machine_faults(self) -> MachineFaults:
         errors = {call: tuple(names) for call, names in self.errors.items()} or DISK_ERRORS
@@ -170,81 +200,100 @@
 
 
 class Power(Fault, tag="power"):
-    """Gateways and backends lose power: killed at once, $TMPDIR emptied, state folders as `disks` says."""
+    """Gateways and backends lose power.
+
+    They are killed, $TMPDIR is emptied, and the state folders are as `disks` says.
+    """
 
     gateways: list[str] = []
     backends: list[str] = []
-    back_s: Second = 1.0  # gateways
-    backends_back_s: Second = 1.0
-    spacing_s: Second = 0.0
+    # Time until the gateways start again.
+    back_s: Seconds = 1.0
+    backends_back_s: Seconds = 1.0
+    spacing_s: Seconds = 0.0
     order: Annotated[str, msgspec.Meta(pattern="^(given|reversed|chance)$")] = "given"
-    disks: dict[str, Disk] = {}  # those not named: kept
-    old_from_s: Second = 0.0  # `old`: the copy is of this moment
-    cut_bytes: Annotated[int, msgspec.Meta(ge=1, le=1_000_000)] = 512  # `cut`: so much of the last file's end
-    discovery_late_s: Second = 0.0  # agents are silent for so long from the gateways' return on
+    # By gateway: state of its disk afterwards; `kept` for a gateway that is not named.
+    disks: dict[str, DiskState] = {}
+    # Time of the copy that a disk in state `old` is restored from.
+    old_from_s: Seconds = 0.0
+    # Bytes that a disk in state `cut` loses at the end of the file that was written last.
+    cut_bytes: Annotated[int, msgspec.Meta(ge=1, le=1_000_000)] = 512
+    # Time from the gateways' restart during which their agents stay silent.
+    discovery_late_s: Seconds = 0.0
 
 
 class Link(Fault, tag="link"):
-    """What happens on the paths between two groups, for a while."""
+    """Disturbs the paths between two groups for `for_s`."""
 
     between: Names
     and_: Names = msgspec.field(name="and")
-    for_s: Second
-    one_way: bool = False  # only what goes from `between` to `and`
+    for_s: Seconds
+    # Only the direction from `between` to `and` is affected.
+    one_way: bool = False
     delay_ms: Annotated[float, msgspec.Meta(ge=0, le=60_000)] = 0.0
     jitter_ms: Annotated[float, msgspec.Meta(ge=0, le=60_000)] = 0.0
-    loss: Part = 0.0
-    duplicate: Part = 0.0
-    reorder: Part = 0.0
-    cut: bool = False  # nothing is said: open connections are silent, new ones never come up
-    stall: bool = False  # connections come up, and stay silent
+    loss: Ratio = 0.0
+    duplicate: Ratio = 0.0
+    reorder: Ratio = 0.0
+    # Open connections stay silent, and new ones are never established.
+    cut: bool = False
+    # New connections are established, but all stay silent.
+    stall: bool = False
+    # Open connections are reset, and new ones are refused.
     refuse: bool = False
-    reset: bool = False  # open connections, at the beginning
+    # Open connections are reset at the beginning of the fault.
+    reset: bool = False
 
 
-class BackendDoes(Fault, tag="backend"):
-    """`die`: its process ends (refused from then on); `restart`: it dies and is back cold at once."""
+class BackendFault(Fault, tag="backend"):
+    """`die`: the process ends and connections are refused; `restart`: it ends and starts cold at once."""
 
     backends: Names
     what: Annotated[str, msgspec.Meta(pattern="^(die|restart|pause|slow|gone|drain|remove|add)$")]
-    for_s: Second | None = None  # then back, cold where it died or was gone
-    factor: Positive = 1.0  # of its speed, for `slow`
-    told: bool = True  # discovery learns of it
+    # Time until the fault ends; a backend that had ended or vanished then starts cold.
+    for_s: Seconds | None = None
+    # Factor on the speed, for `slow`.
+    factor: Positive = 1.0
+    # Discovery is notified of the restart.
+    told: bool = True
 
 
-class AgentDoes(Fault, tag="agent"):
+class AgentFault(Fault, tag="agent"):
     gateways: Names
     what: Annotated[str, msgspec.Meta(pattern="^(late|silent|old|empty|broken)$")]
-    for_s: Second
-    late_s: Second = 1.0
+    for_s: Seconds
+    late_s: Seconds = 1.0
 
 
-class CounterDoes(Fault, tag="counter"):
+class CounterFault(Fault, tag="counter"):
     what: Annotated[str, msgspec.Meta(pattern="^(silent|empty|slow|busy|refuse)$")]
-    for_s: Second = 0.0
+    for_s: Seconds = 0.0
     factor: Positive = 4.0
 
 
-CALLS = "^((backends|zones)/(down|up)|drain/(start|stop)|fleet/(spare|unspare|floor|unfloor))$"
+OPERATOR_CALL_PATTERN = (
+    "^((backends|zones)/(down|up)|drain/(start|stop)|fleet/(spare|unspare|floor|unfloor))$"
+)
 
 
-class Operators(Fault, tag="operators"):
-    """Calls gateways' operator addresses: a backend or a zone out or back by hand, a drain."""
+class OperatorCall(Fault, tag="operators"):
+    """Makes operators' calls at gateways: disable or enable a backend or zone, drain, and others."""
 
     gateways: Names
     call: Annotated[
         str,
-        msgspec.Meta(pattern=CALLS),
+        msgspec.Meta(pattern=OPERATOR_CALL_PATTERN),
     ]
     id: str = ""
-    fleet: bool = False  # for all gateways: those named are called, and each tells the rest
+    # The call is for all gateways: only the named ones are called, and they publish it to the rest.
+    fleet: bool = False
 
 
 class View(Fault, tag="view"):
-    """No fault: asks gateways what they know of the fleet (`GET /ops/fleet`), every `every_s` for `for_s`."""
+    """Not a fault: records the answers to `GET /ops/fleet` of gateways, every `every_s` for `for_s`."""
 
     gateways: Names
-    for_s: Second = 0.0
+    for_s: Seconds = 0.0
     every_s: Annotated[float, msgspec.Meta(ge=0.05, le=60)] = 0.25
 
 
@@ -256,40 +305,45 @@
     | Hup
     | Clock
     | Calls
-    | DiskFails
+    | DiskFault
     | Power
     | Link
-    | BackendDoes
-    | AgentDoes
-    | CounterDoes
-    | Operators
+    | BackendFault
+    | AgentFault
+    | CounterFault
+    | OperatorCall
     | View
 )
 
 
 class Expect(Strict):
-    """What must hold of a play beside the rules; figures by the names of the result."""
+    """Requirements on a play beside the rules: bounds of figures, by their names in the result."""
 
     at_least: dict[str, float] = {}
     at_most: dict[str, float] = {}
-    # Rules that the program as it is breaks here: named, they are still told and still exit 1.
+    # Rules that the program breaks in this scenario: their breaches are still reported and still exit with 1.
     breaks: list[str] = []
 
 
 class Scenario(Strict):
     name: Annotated[str, msgspec.Meta(pattern="^[a-z0-9][a-z0-9-]{0,40}$")]
     about: str
-    duration_s: Annotated[float, msgspec.Meta(gt=0, le=MOST_S)]  # of the load
+    # Duration of the load.
+    duration_s: Annotated[float, msgspec.Meta(gt=0, le=MAX_DURATION_S)]
     fleet: Fleet
     backends: Backends
     load: Load
-    counter: CounterGiven = msgspec.field(default_factory=CounterGiven)
-    agent_late_s: Second = 0.05  # what discovery has to tell reaches an agent after so long
+    counter: CounterSettings = msgspec.field(default_factory=CounterSettings)
+    # Delay of discovery's changes on the way to an agent.
+    agent_late_s: Seconds = 0.05
     faults: list[AnyFault] = []
     expect: Expect = msgspec.field(default_factory=Expect)
-    slack_s: Second = 0.05  # by which sockets lengthen every limit
-    late_ms: Positive = 50.0  # the lab's own lateness at the 99th percentile over which the play is void
-    stall_ms: Positive = 1000.0  # likewise, its worst
+    # Tolerance that the judge adds to every time limit, for the delay of sockets.
+    slack_s: Seconds = 0.05
+    # The play is void if the 99th percentile of the test bed's own lateness is higher.
+    late_ms: Positive = 50.0
+    # The play is void if the test bed's highest lateness is higher.
+    stall_ms: Positive = 1000.0
 
     @property
     def gateway_names(self) -> list[str]:
@@ -300,90 +354,100 @@
         return [f"b{i}" for i in range(self.backends.count)]
 
     def zone_of(self, index: int) -> str:
-        """Of a gateway or backend: zones take turns."""
+        """Zone of the gateway or backend with this index: zones are assigned in turn."""
         return self.fleet.zones[index % len(self.fleet.zones)]
 
-    def pick(self, kind: str, given: list[str]) -> list[str]:
-        """The gateways or backends that names, zones and `*` mean, in their order; raises ScenarioError."""
+    def select(self, kind: str, words: list[str]) -> list[str]:
+        """The gateways or backends that names, zone:NAME and `*` select, in their order.
+
+        Raises ScenarioError for an unknown word.
+        """
         names = self.gateway_names if kind == "gateways" else self.backend_names
-        found: dict[str, None] = {}
-        for word in given:
+        selected: dict[str, None] = {}
+        for word in words:
             if word == "*":
-                found |= dict.fromkeys(names)
+                selected |= dict.fromkeys(names)
             elif word.startswith("zone:") and word[5:] in self.fleet.zones:
-                found |= {n: None for i, n in enumerate(names) if self.zone_of(i) == word[5:]}
+                selected |= {n: None for i, n in enumerate(names) if self.zone_of(i) == word[5:]}
             elif word in names:
-                found[word] = None
+                selected[word] = None
             else:
                 last = names[-1]
                 raise ScenarioError(f"{kind}: expected {names[0]} to {last}, zone:NAME or *, got {word!r}")
-        return list(found)
+        return list(selected)
 
     @property
-    def vanishing(self) -> list[list[str]]:
-        """By fault: the words for backends that vanish without a word."""
-        power = [fault.backends for fault in self.faults if isinstance(fault, Power)]
-        does = (fault for fault in self.faults if isinstance(fault, BackendDoes))
-        return power + [fault.backends for fault in does if fault.what == "gone"]
-
-    def named_by(self, *kinds: type[Clock | Calls | DiskFails | Upgrade]) -> set[str]:
-        """The gateways that faults of some kinds name."""
-        found: set[str] = set()
+    def vanishing_backends(self) -> list[list[str]]:
+        """By fault: the words that select backends which vanish."""
+        by_power_loss = [fault.backends for fault in self.faults if isinstance(fault, Power)]
+        backend_faults = (fault for fault in self.faults if isinstance(fault, BackendFault))
+        return by_power_loss + [fault.backends for fault in backend_faults if fault.what == "gone"]
+
+    def gateways_named_by(self, *kinds: type[Clock | Calls | DiskFault | Upgrade]) -> set[str]:
+        """The gateways that are named by faults of some kinds."""
+        names: set[str] = set()
         for fault in self.faults:
             if isinstance(fault, kinds):
-                found.update(self.pick("gateways", fault.gateways))
-        return found
+                names.update(self.select("gateways", fault.gateways))
+        return names
 
     @property
-    def on_faulty_machines(self) -> set[str]:
-        """The gateways whose system calls, disks or clocks go wrong in the play."""
-        return self.named_by(Clock, Calls, DiskFails)
+    def gateways_on_faulty_machines(self) -> set[str]:
+        """The gateways whose system calls, disks or clocks are faulty in the play."""
+        return self.gateways_named_by(Clock, Calls, DiskFault)
 
     @property
-    def upgraded(self) -> set[str]:
-        """The gateways of which a new process takes over in the play."""
-        return self.named_by(Upgrade)
+    def upgraded_gateways(self) -> set[str]:
+        """The gateways that are upgraded in the play."""
+        return self.gateways_named_by(Upgrade)
 
-    def ends(self, words: list[str]) -> set[str]:
-        """The ends of links that words mean, such as `gateways`, b2, zone:a, counter, agents, clients."""
-        found: set[str] = set()
+    def link_ends(self, words: list[str]) -> set[str]:
+        """The ends of links that words select: gateways, backends, b2, zone:a, counter, agents, clients.
+
+        Raises ScenarioError for an unknown word.
+        """
+        names: set[str] = set()
         for word in words:
             if word in ("counter", "agents", "clients"):
-                found.add(word)
+                names.add(word)
             elif word == "gateways":
-                found |= set(self.gateway_names)
+                names |= set(self.gateway_names)
             elif word == "backends":
-                found |= set(self.backend_names)
+                names |= set(self.backend_names)
             elif word.startswith("zone:"):
-                found |= {*self.pick("gateways", [word]), *self.pick("backends", [word])}
+                names |= {*self.select("gateways", [word]), *self.select("backends", [word])}
             elif word in self.gateway_names or word in self.backend_names:
-                found.add(word)
+                names.add(word)
             else:
-                known = "gateways, backends, counter, agents, clients, a name or zone:NAME"
-                raise ScenarioError(f"expected {known}, got {word!r}")
-        return found
+                expected = "gateways, backends, counter, agents, clients, a name or zone:NAME"
+                raise ScenarioError(f"expected {expected}, got {word!r}")
+        return names
 
 
 class Arrival(msgspec.Struct, frozen=True, array_like=True):
-    """One first try: when (seconds from the start of the load), of whom, what and by which gateway."""
+    """The first try of one request. `at_s`: seconds from the start of the load."""
 
     at_s: float
     customer: int
-    kind: int  # index of its class
+    class_index: int
     units: int
-    turn: int  # which gateway of the customer's set
-    wait_ms: int
+    # Index of the gateway among those of the customer.
+    gateway_turn: int
+    deadline_ms: int
     work_ms: float
 
 
 class Timetable(msgspec.Struct, frozen=True):
+    """All random choices of a play, and a digest of the scenario, the seed and these choices."""
+
     arrivals: list[Arrival]
-    lots: dict[int, list[str]]  # by the fault's number: whom it strikes, in order
+    # By number of a kill or power fault: its gateways, in the order of their restart.
+    targets: dict[int, list[str]]
     digest: str
 
 
 def load(path: Path) -> Scenario:
-    """Read and check a scenario; raises ScenarioError that names file, key and what was expected."""
+    """Read and check a scenario. Raises ScenarioError with the file, the key and what was expected."""
     try:
         raw = tomllib.loads(path.read_text())
     except OSError as error:
@@ -391,37 +455,37 @@
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise ScenarioError(f"{path}: not TOML: {error}") from error
     try:
-        found = msgspec.convert(raw, Scenario)
+        scenario = msgspec.convert(raw, Scenario)
     except msgspec.ValidationError as error:
         raise ScenarioError(f"{path}: {error}") from error
-    for number, fault in enumerate(found.faults):
+    for number, fault in enumerate(scenario.faults):
         try:
-            check(found, fault)
+            check_fault(scenario, fault)
         except ScenarioError as error:
             raise ScenarioError(f"{path}: $.faults[{number}].{error}") from error
-    for table, names in (("altered", found.fleet.altered), ("clock_s", found.fleet.clock_s)):
-        if unknown := sorted(set(names) - set(found.gateway_names)):
+    for table, names in (("altered", scenario.fleet.altered), ("clock_s", scenario.fleet.clock_s)):
+        if unknown := sorted(set(names) - set(scenario.gateway_names)):
             raise ScenarioError(f"{path}: $.fleet.{table}: no gateway {unknown[0]!r}")
-    return found
+    return scenario
 
 
-def check(scenario: Scenario, fault: AnyFault) -> None:
-    """Whether a fault can be played: whom it names, and that it begins and ends within the play."""
+def check_fault(scenario: Scenario, fault: AnyFault) -> None:
+    """Check the names in a fault, and that it begins and ends within the play. Raises ScenarioError."""
     last = f"duration_s ({scenario.duration_s:g})"
     if fault.at_s > scenario.duration_s:
         raise ScenarioError(f"at_s: expected at most {last}, got {fault.at_s:g}")
-    ends = getattr(fault, "for_s", None)
-    if ends is not None and fault.at_s + ends > scenario.duration_s:
-        raise ScenarioError(f"for_s: expected an end before {last}, got {fault.at_s + ends:g}")
+    for_s = getattr(fault, "for_s", None)
+    if for_s is not None and fault.at_s + for_s > scenario.duration_s:
+        raise ScenarioError(f"for_s: expected an end before {last}, got {fault.at_s + for_s:g}")
     if isinstance(fault, Stop) and fault.until_s > scenario.duration_s:
         raise ScenarioError(f"until_s: expected at most {last}, got {fault.until_s:g}")
     for kind in ("gateways", "backends"):
-        if given := getattr(fault, kind, None):
-            scenario.pick(kind, given)
+        if words := getattr(fault, kind, None):
+            scenario.select(kind, words)
     if isinstance(fault, Link):
         for key, words in (("between", fault.between), ("and", fault.and_)):
             try:
-                scenario.ends(words)
+                scenario.link_ends(words)
             except ScenarioError as error:
                 raise ScenarioError(f"{key}: {error}") from error
     if isinstance(fault, Power):
@@ -432,14 +496,14 @@
             raise ScenarioError(f"old_from_s: expected at most {at}, got {fault.old_from_s:g}")
         if fault.disks and not scenario.fleet.state:
             raise ScenarioError("disks: expected fleet.state = true")
-    if isinstance(fault, Calls | DiskFails):
-        all_ = DISK_ERRORS if isinstance(fault, DiskFails) else SOCKET_ERRORS | LOOP_ERRORS
+    if isinstance(fault, Calls | DiskFault):
+        known_errors = DISK_ERRORS if isinstance(fault, DiskFault) else SOCKET_ERRORS | LOOP_ERRORS
         for call, names in fault.errors.items():
-            if call not in all_:
-                raise ScenarioError(f"errors: expected a call of {', '.join(all_)}, got {call!r}")
+            if call not in known_errors:
+                raise ScenarioError(f"errors: expected a call of {', '.join(known_errors)}, got {call!r}")
             if unknown := [name for name in names if not hasattr(errno, name)]:
                 raise ScenarioError(f"errors.{call}: expected names of errors, got {unknown[0]!r}")
-    if isinstance(fault, Operators):
+    if isinstance(fault, OperatorCall):
         if fault.call.startswith("backends/") and fault.id not in scenario.backend_names:
             raise ScenarioError(f"id: expected a backend's name, got {fault.id!r}")
         if fault.call.startswith("zones/") and fault.id not in scenario.fleet.zones:
@@ -447,7 +511,7 @@
 
 
 def customers(scenario: Scenario, seed: int) -> list[tuple[str, int, int]]:
-    """Each customer's plan, and the first gateway and the size of its set."""
+    """By customer: its plan, the index of its first gateway, and the number of its gateways."""
     chance = np.random.default_rng([seed, 1])
     names, shares = list(settings.PLAN_SHARES), list(settings.PLAN_SHARES.values())
     plans = chance.choice(len(names), size=scenario.load.customers, p=shares)
@@ -457,61 +521,64 @@
 
 
 def timetable(scenario: Scenario, seed: int) -> Timetable:
-    """All that the seed decides before the play. Equal for equal scenarios and seeds, on any machine."""
+    """Draw all random choices of a play. Equal for equal scenarios and seeds, on any machine."""
     chance = np.random.default_rng([seed, 2])
-    number = int(chance.poisson(scenario.load.rate * scenario.duration_s)) if scenario.load.rate else 0
-    times = np.sort(chance.uniform(0, scenario.duration_s, size=number))
+    count = int(chance.poisson(scenario.load.rate * scenario.duration_s)) if scenario.load.rate else 0
+    times = np.sort(chance.uniform(0, scenario.duration_s, size=count))
     rates = {plan["name"]: float(plan["rate"]) for plan in settings.PLANS}
     weights = np.array([rates[plan] for plan, _, _ in customers(scenario, seed)])
-    weights = weights * chance.lognormal(0.0, 0.7, size=len(weights))  # few ask for much, most for little
-    whose = chance.choice(len(weights), size=number, p=weights / weights.sum())
-    shares = list(settings.SHARES.values())
-    kinds = chance.choice(len(shares), size=number, p=shares)
-    units = 1 + chance.binomial(settings.UNITS_TOP - 1, 0.2, size=number)
-    turns = chance.integers(0, max(1, scenario.load.spread), size=number)
-    waits = chance.uniform(0.5, 1.0, size=number)
-    sizes = chance.gamma(4.0, 0.25, size=number)
+    weights = weights * chance.lognormal(0.0, 0.7, size=len(weights))  # a few customers send most requests
+    customer_indices = chance.choice(len(weights), size=count, p=weights / weights.sum())
+    shares = list(settings.CLASS_SHARES.values())
+    class_indices = chance.choice(len(shares), size=count, p=shares)
+    units = 1 + chance.binomial(settings.MAX_UNITS - 1, 0.2, size=count)
+    turns = chance.integers(0, max(1, scenario.load.spread), size=count)
+    deadline_factors = chance.uniform(0.5, 1.0, size=count)
+    work_factors = chance.gamma(4.0, 0.25, size=count)
     arrivals = []
-    for row in zip(times, whose, kinds, units, turns, waits, sizes, strict=True):
-        at, customer, kind, unit, turn, wait, size = row
-        given = settings.CLASSES[kind]
-        work = settings.WORK_MS[given["name"]] * scenario.load.work * size
+    for row in zip(
+        times, customer_indices, class_indices, units, turns, deadline_factors, work_factors, strict=True
+    ):
+        at_s, customer, class_index, unit_count, turn, deadline_factor, work_factor = row
+        request_class = settings.CLASSES[class_index]
+        work_ms = settings.WORK_MS[request_class["name"]] * scenario.load.work * work_factor
         arrivals.append(
             Arrival(
-                round(float(at), 6),
+                round(float(at_s), 6),
                 int(customer),
-                int(kind),
-                int(unit),
+                int(class_index),
+                int(unit_count),
                 int(turn),
-                int(given["deadline"] * wait),
-                round(float(work), 3),
+                int(request_class["deadline"] * deadline_factor),
+                round(float(work_ms), 3),
             )
         )
-    lots = {}
-    for place, fault in enumerate(scenario.faults):
+    targets = {}
+    for number, fault in enumerate(scenario.faults):
         if isinstance(fault, Kill | Power):
-            struck = scenario.pick("gateways", fault.gateways) if fault.gateways else []
+            affected = scenario.select("gateways", fault.gateways) if fault.gateways else []
             if isinstance(fault, Kill) and fault.part < 1:
-                struck = sorted(
-                    chance.choice(struck, size=round(len(struck) * fault.part), replace=False).tolist(),
+                affected = sorted(
+                    chance.choice(affected, size=round(len(affected) * fault.part), replace=False).tolist(),
                     key=scenario.gateway_names.index,
                 )
             if fault.order == "reversed":
-                struck.reverse()
+                affected.reverse()
             elif fault.order == "chance":
-                struck = [struck[i] for i in chance.permutation(len(struck))]
-            lots[place] = struck
-    parts = msgspec.json.encode([msgspec.to_builtins(scenario), seed, arrivals, sorted(lots.items())])
-    return Timetable(arrivals, lots, hashlib.blake2b(parts, digest_size=16).hexdigest())
+                affected = [affected[i] for i in chance.permutation(len(affected))]
+            targets[number] = affected
+    content = msgspec.json.encode([msgspec.to_builtins(scenario), seed, arrivals, sorted(targets.items())])
+    return Timetable(arrivals, targets, hashlib.blake2b(content, digest_size=16).hexdigest())
 
 
 def shipped() -> list[Path]:
-    return sorted(FOLDER.glob("*.toml"))
+    """Paths of the scenarios that come with the test bed."""
+    return sorted(SCENARIO_FOLDER.glob("*.toml"))
 
 
 def find(name: str) -> Path:
-    """A shipped scenario's name, or the path of a file; raises ScenarioError."""
-    path = FOLDER / f"{name}.toml"
+    """Path of the scenario with the name of a shipped one or the path of a file. Raises ScenarioError."""
+    path = SCENARIO_FOLDER / f"{name}.toml"
     if path in shipped():
         return path
     if Path(name).is_file():
--- a/testbed/soak.py
+++ b/testbed/soak.py
@@ -16,7 +16,7 @@
 
 from testbed.machine import SOCKET_ERRORS
 from testbed.play.play import RULES_BROKEN, Result, play
-from testbed.scenario import Scenario, check
+from testbed.scenario import Scenario, check_fault
 
 DURATION_S = 30.0
 QUIET_S = 4.0  # at both ends of a play without a fault that begins
@@ -151,7 +151,7 @@
         Scenario,
     )
     for fault in scenario.faults:
-        check(scenario, fault)
+        check_fault(scenario, fault)
     return scenario
 
 
--- a/testbed/stand_ins/clients.py
+++ b/testbed/stand_ins/clients.py
@@ -17,7 +17,7 @@
 from testbed import settings
 from testbed.network.links import DirectJoint, DirectLink
 from testbed.network.sockets import encode
-from testbed.scenario import BACK_OFF_MS, TRIES, Arrival, Scenario
+from testbed.scenario import MAX_TRIES, RETRY_BACKOFF_MS, Arrival, Scenario
 from testbed.verdict.records import Records
 
 CONNECT_S = 1.0  # that a client waits for a connection
@@ -188,20 +188,20 @@
     async def serve(self, number: int, arrival: Arrival) -> None:
         """One client's request, with its retries."""
         loop, chance = asyncio.get_running_loop(), random.Random(f"{self.seed}:{number}")
-        kind = settings.CLASSES[arrival.kind]
+        kind = settings.CLASSES[arrival.class_index]
         ends = loop.time() + kind["deadline"] / 1000
         first = self.identify(number, 0)
-        for attempt in range(TRIES):
+        for attempt in range(MAX_TRIES):
             left_ms = int((ends - loop.time()) * 1000)
-            wait_ms = min(arrival.wait_ms, left_ms)
+            wait_ms = min(arrival.deadline_ms, left_ms)
             if wait_ms < 50:
                 return
             request = self.identify(number, attempt)
             how, rest_ms = await self.ask(request, first, arrival, attempt, wait_ms)
             may = how in ("refused", "unreached") or (kind["effect"] == "pure" and how != "served")
-            if not (may and self.scenario.load.retries) or attempt == TRIES - 1:
+            if not (may and self.scenario.load.retries) or attempt == MAX_TRIES - 1:
                 return
-            back_off = max(rest_ms, BACK_OFF_MS[attempt]) * chance.uniform(1.0, 1.5)
+            back_off = max(rest_ms, RETRY_BACKOFF_MS[attempt]) * chance.uniform(1.0, 1.5)
             await asyncio.sleep(back_off / 1000)
 
     async def ask(
@@ -210,8 +210,8 @@
         """One try; gives how it ended and for how long the client is to stay away."""
         plan, start, spread = self.customers[arrival.customer]
         members = [self.names[(start + step) % len(self.names)] for step in range(spread)]
-        gateway = self.front.choose(members, arrival.turn + attempt)
-        kind = settings.CLASSES[arrival.kind]
+        gateway = self.front.choose(members, arrival.gateway_turn + attempt)
+        kind = settings.CLASSES[arrival.class_index]
         customer = f"{arrival.customer + 1:016x}"
         items = [f"c={kind['name']}", f"t={plan}", f"d={wait_ms}"]
         if kind["effect"] == "token":
--- a/testbed/stand_ins/counters.py
+++ b/testbed/stand_ins/counters.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from testbed.network.sockets import Ends, Reply, Script, Server, ends_of, reset
-from testbed.scenario import CounterGiven
+from testbed.scenario import CounterSettings
 from testbed.verdict.records import Records
 
 
@@ -45,7 +45,7 @@
 class MeteredCounter(Counter):
     """Takes so many calls a second, one after another; crowded, it turns calls away."""
 
-    def __init__(self, given: CounterGiven, records: Records, of: Callable[[Ends], str]) -> None:
+    def __init__(self, given: CounterSettings, records: Records, of: Callable[[Ends], str]) -> None:
         super().__init__()
         self.given, self.records, self.of = given, records, of
         self.free_at = 0.0  # when it has done all that waits
--- a/tests/testbed/test_testbed.py
+++ b/tests/testbed/test_testbed.py
@@ -23,7 +23,7 @@
 from testbed.network.links import Path as LinkPath
 from testbed.network.sockets import Peer, Server, until
 from testbed.play.play import Play, PlayError
-from testbed.scenario import Backends, CounterGiven, ScenarioError
+from testbed.scenario import Backends, CounterSettings, ScenarioError
 from testbed.stand_ins.agents import Agent, Catalog, host
 from testbed.stand_ins.backends import Machine, Rack
 from testbed.stand_ins.counters import MeteredCounter
@@ -93,8 +93,8 @@
     )
     one = scenario.load(scenario.find("calm"))
     one.faults.append(kill)
-    struck = scenario.timetable(one, 5).lots[0]
-    assert len(struck) == 4 == len(set(struck)) and struck == scenario.timetable(one, 5).lots[0]
+    affected = scenario.timetable(one, 5).targets[0]
+    assert len(affected) == 4 == len(set(affected)) and affected == scenario.timetable(one, 5).targets[0]
 
 
 # ---- links ----
@@ -321,7 +321,7 @@
 
 def test_the_counter_takes_its_calls_a_second_turns_away_the_rest_and_comes_back_empty() -> None:
     async def scenario() -> None:
-        counter = MeteredCounter(CounterGiven(per_s=10.0, queue=3), NoRecords(), lambda source: "g0")
+        counter = MeteredCounter(CounterSettings(per_s=10.0, queue=3), NoRecords(), lambda source: "g0")
         answers = [counter.call([b"tally", b"n", b"2", b"4000"])[1] for _ in range(6)]
         assert answers[:3] == [b"ok 2\r\n", b"ok 4\r\n", b"ok 6\r\n"] and answers[-1] == b"busy\r\n"
         assert counter.call([b"ping"])[1] == b"pong\r\n" and counter.call([b"tally"])[1] == b"error\r\n"
