--- a/testbed/soak.py
+++ b/testbed/soak.py
@@ -15,8 +15,8 @@
 import msgspec
 
 from testbed.machine import SOCKET_ERRORS
-from testbed.play.play import BROKEN, Result, play
-from testbed.scenario import Scenario, check
+from testbed.play.play import RULES_BROKEN, Result, play
+from testbed.scenario import Scenario, check_fault
 
 DURATION_S = 30.0
 QUIET_S = 4.0  # at both ends of a play without a fault that begins
@@ -151,7 +151,7 @@
         Scenario,
     )
     for fault in scenario.faults:
-        check(scenario, fault)
+        check_fault(scenario, fault)
     return scenario
 
 
@@ -166,7 +166,7 @@
         violated = violations(folder)
         result.figures[VIOLATED] = sum(violated.values())
         if violated:
-            result.verdict = max(result.verdict, BROKEN)
+            result.verdict = max(result.verdict, RULES_BROKEN)
             result.why.append(f"invariants: {json.dumps(violated)}")
         yield result
 
