--- a/measure/lab.py
+++ b/measure/lab.py
@@ -25,7 +25,7 @@
 
 
 class Echo(Server):
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while data := await reader.read(4096):
             writer.write(data)
 
--- a/testbed/network/sockets.py
+++ b/testbed/network/sockets.py
@@ -69,7 +69,7 @@
 
 
 class Server:
-    """Listens on a port of its own and hands every connection to `talk`."""
+    """Listens on a port of its own and hands every connection to `serve_connection`."""
 
     def __init__(self) -> None:
         self.open: set[asyncio.StreamWriter] = set()
@@ -89,7 +89,7 @@
         self.open.add(writer)
         self.accepted += 1
         try:
-            await self.talk(reader, writer)
+            await self.serve_connection(reader, writer)
         except (ConnectionError, asyncio.CancelledError):
             pass
         finally:
@@ -97,7 +97,7 @@
             self.tasks.discard(task)
             writer.close()
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         raise NotImplementedError
 
     def hang_up(self) -> None:
--- a/testbed/play/faults.py
+++ b/testbed/play/faults.py
@@ -145,7 +145,7 @@
             gateway.expected = True
             gateway.signal(signal.SIGKILL, "power")
             if fault.discovery_late_s:
-                stage.agents[gateway.name].hush(True)
+                stage.agents[gateway.name].set_silent(True)
         for name in machines:
             self.vanish(name)
         for gateway in struck:
@@ -165,7 +165,7 @@
         async def discovery_back() -> None:
             await asyncio.sleep(fault.back_s + fault.discovery_late_s)
             for gateway in struck:
-                stage.agents[gateway.name].hush(False)
+                stage.agents[gateway.name].set_silent(False)
 
         await asyncio.gather(machines_back(), gateways_back(), discovery_back())
 
@@ -270,30 +270,30 @@
 
     async def agent(self, number: int, fault: given.AgentDoes) -> None:
         agents = [self.stage.agents[gateway.name] for gateway in self.gateways(fault.gateways)]
-        before = [agent.late_s for agent in agents]
+        before = [agent.delay_s for agent in agents]
         for agent in agents:
             match fault.what:
                 case "late":
-                    agent.late_s = fault.late_s
+                    agent.delay_s = fault.late_s
                 case "silent":
-                    agent.hush(True)
+                    agent.set_silent(True)
                 case "old":
-                    agent.stick(True)
+                    agent.set_stuck(True)
                 case "empty":
-                    agent.void(True)
+                    agent.set_empty(True)
                 case "broken":
-                    agent.break_off()
+                    agent.reset_watches()
         await asyncio.sleep(fault.for_s)
         for agent, late_s in zip(agents, before, strict=True):
             match fault.what:
                 case "late":
-                    agent.late_s = late_s
+                    agent.delay_s = late_s
                 case "silent":
-                    agent.hush(False)
+                    agent.set_silent(False)
                 case "old":
-                    agent.stick(False)
+                    agent.set_stuck(False)
                 case "empty":
-                    agent.void(False)
+                    agent.set_empty(False)
 
     async def counter(self, number: int, fault: given.CounterDoes) -> None:
         counter = self.stage.counter
--- a/testbed/play/stage.py
+++ b/testbed/play/stage.py
@@ -84,7 +84,7 @@
                 {"host": name, "site": zone, "class": "m2", "block": block, "health": "up", "share": 1.0}
                 | {"born_ms": 0}
             )
-        self.catalog.begin(hosts)
+        self.catalog.set_hosts(hosts)
         return made
 
     def work_of(self, request: str) -> float:
--- a/testbed/stand_ins/backends.py
+++ b/testbed/stand_ins/backends.py
@@ -28,7 +28,7 @@
     async def serve(self, command: list[bytes]) -> Reply:
         return b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         peer = Peer(reader, writer)
         while (command := await peer.receive()) is not None:
             self.got.append(command)
@@ -160,7 +160,7 @@
         await super().start(host, port)
         self.loop = asyncio.get_running_loop()
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         peer, ends = Peer(reader, writer), ends_of(writer)
         if len(self.open) > self.machine.given.connections or not self.alive:
             return
--- a/testbed/stand_ins/counters.py
+++ b/testbed/stand_ins/counters.py
@@ -20,7 +20,7 @@
         self.totals: dict[bytes, float] = {}
         self.got: list[list[bytes]] = []
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
             assert line.endswith(b"\r\n")
             words = line.split()
@@ -54,7 +54,7 @@
         self.lives: dict[bytes, float] = {}
         self.calls: Counts[str] = Counts()  # since the last look, by how they ended
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         gateway = self.of(ends_of(writer))
         self.held[gateway] += 1
         answers: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue()
--- a/tests/backends/test_backends.py
+++ b/tests/backends/test_backends.py
@@ -98,7 +98,7 @@
     """
 
     class NonReadingServer(Server):
-        async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             may_abort = self.may_abort = asyncio.Event()
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             await may_abort.wait()
@@ -320,7 +320,9 @@
         class IdleResettingBackend(Backend):
             """Resets an idle connection when the next request arrives, without closing it before."""
 
-            async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            async def serve_connection(
+                self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+            ) -> None:
                 peer, fresh = Peer(reader, writer), True
                 while (command := await peer.receive()) is not None:
                     if not fresh and b"idle" in command[2]:
@@ -362,9 +364,11 @@
         may_read = asyncio.Event()
 
         class DelayedBackend(Backend):
-            async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            async def serve_connection(
+                self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+            ) -> None:
                 await may_read.wait()
-                await super().talk(reader, writer)
+                await super().serve_connection(reader, writer)
 
         server = DelayedBackend()
         async with running_pool(server) as pool:
@@ -421,7 +425,9 @@
         send_second_answer = asyncio.Event()
 
         class DoubleAnsweringBackend(Backend):
-            async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            async def serve_connection(
+                self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+            ) -> None:
                 peer = Peer(reader, writer)
                 while (command := await peer.receive()) is not None:
                     self.got.append(command)
--- a/tests/counter/test_counter.py
+++ b/tests/counter/test_counter.py
@@ -215,7 +215,7 @@
     class Dropping(Service):
         """Resets a call of 2 on a connection that has had another call before."""
 
-        async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             fresh = True
             while line := await reader.readline():
                 if not fresh and b" 2.0" in line:
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -30,7 +30,7 @@
         async with DiscoveryFixture() as watch:
             await watch.wait_for_watches(1)
             assert watch.service.requests == ["/catalog/members?stream=1&index=41"]
-            watch.service.say(b"")
+            watch.service.send_line(b"")
             watch.service.change(42, host("h0", 1, "draining"))
             watch.service.change(43, host("h1", 1), whole=True)
             await until(lambda: len(watch.reported) == 2)
@@ -45,7 +45,7 @@
 def test_without_a_known_list_the_whole_one_is_read_first() -> None:
     async def scenario() -> None:
         async with DiscoveryFixture(version=None) as watch:
-            watch.service.whole = {"seq": 7, "whole": True, "hosts": [host("h0", 1)]}
+            watch.service.full_list = {"seq": 7, "whole": True, "hosts": [host("h0", 1)]}
             await watch.wait_for_watches(1)
             assert watch.service.requests[0] == "/catalog/members"
             assert watch.service.requests[1] == "/catalog/members?stream=1&index=7"
@@ -102,7 +102,7 @@
                 record_report(scope, members)
 
             watch.client.listener = faulty
-            watch.service.whole = {"seq": 43, "whole": True, "hosts": [host("h1", 1)]}
+            watch.service.full_list = {"seq": 43, "whole": True, "hosts": [host("h1", 1)]}
             watch.service.change(42, host("h0", 1))
             await watch.wait_for_watches(2)
             assert watch.reported == [(ListScope.FULL, [(host_number("h1"), BackendState.READY)])]
@@ -158,8 +158,10 @@
 
     async def scenario() -> None:
         class Telling(Discovery):
-            async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-                talking = asyncio.create_task(super().talk(reader, writer))
+            async def serve_connection(
+                self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+            ) -> None:
+                talking = asyncio.create_task(super().serve_connection(reader, writer))
                 await until(lambda: self.watches)
                 await asyncio.sleep(0.1)  # clients would be taken by then
                 self.change(42, host("h0", gone.port, "removed"), host("h9", there.port))
@@ -238,7 +240,7 @@
         self.scripts = list(scripts)
         self.closed = 0  # calls that the gateway closed
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         head = await reader.readuntil(b"\r\n\r\n")
         self.requests.append(head.split()[1].decode())
         script = self.scripts.pop(0) if len(self.scripts) > 1 else self.scripts[0]
@@ -377,7 +379,7 @@
     async def scenario() -> None:
         async with DiscoveryFixture() as watch:
             await watch.wait_for_watches(1)
-            watch.service.whole = {"seq": 3, "whole": True, "hosts": [host("h1", 1)]}
+            watch.service.full_list = {"seq": 3, "whole": True, "hosts": [host("h1", 1)]}
             watch.service.change(2, host("h0", 1))
             await watch.wait_for_watches(2)
             assert watch.reported == [(ListScope.FULL, [(host_number("h1"), BackendState.READY)])]
--- a/tests/net/test_streams.py
+++ b/tests/net/test_streams.py
@@ -136,7 +136,9 @@
         first, others = asyncio.Event(), asyncio.Event()
 
         class TwoAnswersBackend(Backend):
-            async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            async def serve_connection(
+                self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+            ) -> None:
                 peer = Peer(reader, writer)
                 command = await peer.receive()
                 self.got.append(command)
@@ -190,7 +192,7 @@
         super().__init__()
         self.break_after_bytes, self.breaks = break_after_bytes, 0
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         received_bytes = 0
         while received_bytes < self.break_after_bytes:
             if not (data := await reader.read(self.break_after_bytes - received_bytes)):
@@ -268,7 +270,9 @@
 def test_buffer_of_a_value_that_the_backend_does_not_read_stays_small() -> None:
     async def scenario() -> None:
         class NonReadingBackend(Backend):
-            async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            async def serve_connection(
+                self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+            ) -> None:
                 writer.transport.pause_reading()  # type: ignore[attr-defined]
                 await asyncio.Event().wait()
 
--- a/tests/service/test_wall_clock.py
+++ b/tests/service/test_wall_clock.py
@@ -104,7 +104,7 @@
         async with DiscoveryFixture() as watch:
             await until(lambda: watch.service.watches)
             assert watch.client.valid_until_ms == -math.inf
-            watch.service.say(b"")
+            watch.service.send_line(b"")
             await until(lambda: watch.client.valid_until_ms > 0)
             confirmed_until_ms = watch.client.valid_until_ms
             watch.service.change(42, host("h9", 1))
--- a/tests/support/cutting_backend.py
+++ b/tests/support/cutting_backend.py
@@ -22,7 +22,7 @@
         self.pieces = [reply[start:end] for start, end in zip([0, *cuts], [*cuts, len(reply)], strict=True)]
         self.breaks_off, self.next_piece = breaks_off, asyncio.Semaphore(0)
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         peer = Peer(reader, writer)
         while (command := await peer.receive()) is not None:
             self.got.append(command)
--- a/tests/testbed/test_testbed.py
+++ b/tests/testbed/test_testbed.py
@@ -101,7 +101,7 @@
 
 
 class Echo(Server):
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while data := await reader.read(4096):
             writer.write(data)
 
@@ -348,7 +348,7 @@
     async def scenario() -> None:
         records = NoRecords()
         catalog = Catalog(records)
-        catalog.begin([host("b0", 1), host("b1", 2)])
+        catalog.set_hosts([host("b0", 1), host("b1", 2)])
         agent = Agent("g0", catalog, records, 0.0, lambda name: "127.0.0.1:1")
         await agent.start()
 
@@ -368,17 +368,17 @@
         catalog.change("b0", health="draining")
         first = await change(reader)
         assert first["seq"] == 2 and first["hosts"][0]["health"] == "draining" and not first["whole"]
-        agent.stick(True)
+        agent.set_stuck(True)
         catalog.change("b1", health="removed")
-        await until(lambda: agent.held)
+        await until(lambda: agent.delayed_changes)
         assert agent.seq == 2
-        agent.stick(False)
+        agent.set_stuck(False)
         assert (await change(reader))["seq"] == 3
-        agent.void(True)
+        agent.set_empty(True)
         assert (await change(reader))["hosts"] == []
-        agent.void(False)
+        agent.set_empty(False)
         assert [one["host"] for one in (await change(reader))["hosts"]] == ["b0"]
-        agent.break_off()
+        agent.reset_watches()
         with pytest.raises(ConnectionError):
             await reader.readexactly(100_000)
         again, writer = await lines("/catalog/members?stream=1&index=1")
