--- a/switchline/backends/pool.py
+++ b/switchline/backends/pool.py
@@ -207,6 +207,7 @@
             self._connect(endpoint, attempt)
 
     def _connect(self, endpoint: Endpoint, attempt: Attempt) -> None:
+        """Start a handshake for an attempt. After a local failure it waits for a retry, else it fails."""
         try:
             connection = Connection(self, endpoint)
         except OSError as error:
--- a/switchline/config.py
+++ b/switchline/config.py
@@ -44,8 +44,10 @@
 STATE_VARIABLE = "LB_STATE"
 OPERATOR_VARIABLE = "LB_OPERATOR"  # each process of an upgrade has an operators' address of its own
 
+# Keys of the file's `fleet` table.
 FLEET_KEYS = {"name", "listen", "advertise", "seeds", "secret", "shut_out_s"}
-# Keys of the file, and below those of its `settings`, whose values may differ between gateways of one fleet.
+# Keys of the file whose values may differ between gateways of one fleet. `OWN_SETTINGS`: such keys of its
+# `settings` table.
 OWN_KEYS = {
     "name",
     "listen",
--- a/switchline/net/accept.py
+++ b/switchline/net/accept.py
@@ -161,7 +161,11 @@
         return True
 
     def _may_continue_after(self, error: OSError) -> bool:
-        """Whether the next connection may be accepted immediately after an error."""
+        """Whether the next connection may be accepted immediately after an error.
+
+        After a shortage of descriptors, idle connections are closed and accepting pauses, unless the reserved
+        descriptor may be used and was closed to make room for the next connection.
+        """
         if error.errno in SINGLE_CONNECTION_ERRORS:
             return True
         # The most likely cause of any other error is that no descriptor is left.
--- a/switchline/net/idle.py
+++ b/switchline/net/idle.py
@@ -12,9 +12,11 @@
 DECAY_INTERVAL_MS = 1_000.0
 # Counts decay to 1/e, about a third, in this time, so that longer idle times are tried again.
 EVIDENCE_DECAY_MS = 20_000.0
+# A bucket sets the limit if it has at least `MIN_RESETS`, after decay, and its reset ratio (resets divided by
+# uses) exceeds both `MIN_RESET_RATIO` and `MIN_EXCESS_RATIO` times that of all shorter idle times.
 MIN_RESETS = 3.0
 MIN_RESET_RATIO = 0.2
-MIN_EXCESS_RATIO = 3.0  # reset ratio of a bucket relative to that of all shorter idle times
+MIN_EXCESS_RATIO = 3.0
 
 
 class IdleTimes:
@@ -65,6 +67,7 @@
         self.limit_ms = self._evaluate_limit_ms()
 
     def _evaluate_limit_ms(self) -> float:
+        """Return the shortest idle time of the first bucket with too many resets, else `max_idle_ms`."""
         shorter_uses = 0.0
         shorter_resets = 0.0
         for start_ms, uses, resets in zip(self._bucket_starts_ms, self._uses, self._resets, strict=True):
--- a/switchline/operators/fleet_calls.py
+++ b/switchline/operators/fleet_calls.py
@@ -142,6 +142,7 @@
         return self._summary(key, called_at_ms)
 
     def _summary(self, key: CallKey, called_at_ms: float) -> Reply:
+        """Return the reply to a call: how many gateways have acknowledged it, and the names of the others."""
         others = self._other_members()
         lacking = [member for member in others if not self._has_acknowledged(member, key, called_at_ms)]
         total = 1 + len(others)
@@ -155,6 +156,7 @@
         return Reply(200, f"yes: {text}\n")
 
     def _apply_call(self, entry: Entry) -> None:
+        """Apply a call of another gateway unless a newer change is in force; acknowledge it in both cases."""
         overrides = self.overrides[entry.kind]
         active = entry.value == VALUE_ACTIVE
         is_newer = entry.at_ms > overrides.last_changed_ms(entry.name)
--- a/switchline/operators/metrics.py
+++ b/switchline/operators/metrics.py
@@ -91,7 +91,7 @@
 
 
 def zone_lines(zones: Mapping[str, Mapping[str, int]]) -> Iterator[str]:
-    """Yield the lines of the zones' metrics."""
+    """Yield the lines of the zones' metrics; `g` marks a gauge, `c` a counter."""
     for zone, metrics in zones.items():
         for name, value in metrics.items():
             kind = "g" if name in ZONE_GAUGES else "c"
--- a/switchline/operators/overrides.py
+++ b/switchline/operators/overrides.py
@@ -205,6 +205,7 @@
         self._apply(times)
 
     def _apply(self, times: OverrideTimes) -> None:
+        """Take over what the file has, and notify the owner of each override that was set or cleared."""
         previous = self._times
         self._times = times
         for name, at_ms in times.active.items():
--- a/switchline/requests/arrivals.py
+++ b/switchline/requests/arrivals.py
@@ -56,6 +56,7 @@
         )
 
     def _check(self, event: api.RequestArrived, command: Command) -> None:
+        """Raise MalformedCommandError if the values are out of range or do not match the request's class."""
         request_class = self.classes.get(event.request_class)
         if request_class is None or event.plan not in self._plans:
             raise MalformedCommandError("unknown class or plan")
--- a/switchline/requests/attempts.py
+++ b/switchline/requests/attempts.py
@@ -71,6 +71,7 @@
         self.backends.send(attempt)
 
     def _ignore(self, request_id: str, backend: int, request: Request | None) -> None:
+        """Notify the policy that an attempt was not started, and whether its request has ended."""
         number = request.attempts_made if request is not None else 0
         body_discarded = request is not None and request.body_discarded
         finished = request is None
--- a/switchline/service/calls/overrides.py
+++ b/switchline/service/calls/overrides.py
@@ -93,6 +93,7 @@
         return overrides.active if overrides is not None else {}
 
     def _on_changed(self, kind: OverrideKind, name: str, is_set: bool, changed_at_ms: float) -> None:
+        """Apply a changed override to the policy, and record it in the audit and on disk."""
         if kind is OverrideKind.BACKEND:
             self.parts.driver.override_backend(name, is_set, changed_at_ms)
         elif kind is OverrideKind.ZONE:
@@ -129,6 +130,7 @@
     async def _call_fleet(
         self, reply: Reply | DeferredReply, kind: OverrideKind, is_set: bool, name: str
     ) -> Reply:
+        """Publish a call to the other gateways once this gateway's own reply is yes."""
         local_reply = reply if isinstance(reply, Reply) else await reply
         if local_reply is not YES or self.fleet.calls is None:
             return local_reply
@@ -137,6 +139,7 @@
         return await self.fleet.calls.propagate(FLEET_WIDE[kind.value], name, is_set)
 
     def _call_here(self, kind: OverrideKind, is_set: bool, name: str) -> Reply | DeferredReply:
+        """Set or clear an override at this gateway; 404 for a kind or a name that it does not know."""
         overrides = self.overrides.get(kind)
         if overrides is None:
             return Reply(404, "no such path\n")
@@ -147,6 +150,7 @@
         return self._set(overrides, is_set, name)
 
     def _is_known(self, kind: OverrideKind, name: str) -> bool:
+        """Whether an override of this kind can apply to the name."""
         match kind:
             case OverrideKind.BACKEND:
                 return self.parts.driver.knows_backend(name)
--- a/switchline/service/driver.py
+++ b/switchline/service/driver.py
@@ -45,7 +45,10 @@
 
 
 class KnownNames(Generic[Name]):
-    """Remembers the names on endpoint lists; those listed least recently are dropped first."""
+    """Remembers the names on endpoint lists; those listed least recently are dropped first.
+
+    Operators may disable a backend or zone although it has left the list; an unknown name is rejected.
+    """
 
     def __init__(self) -> None:
         self._names: dict[Name, None] = {}  # the most recently listed name is last
--- a/switchline/service/service.py
+++ b/switchline/service/service.py
@@ -136,7 +136,7 @@
         """Wait for a newer list: backends may have been added or removed since the last known one."""
         discovery = self.parts.discovery
         if discovery.first_delay_s > FIRST_LIST_TIMEOUT_S:
-            return
+            return  # discovery is not called before the timeout
         try:
             async with asyncio.timeout(FIRST_LIST_TIMEOUT_S):
                 await discovery.first_list_accepted.wait()
