--- a/testbed/play/faults.py
+++ b/testbed/play/faults.py
@@ -78,6 +78,7 @@
             await asyncio.sleep(spacing_s)
 
     async def kill(self, number: int, fault: scenarios.Kill) -> None:
+        """Kill gateways; each starts again with the endpoint list that its agent had when it ended."""
         affected = [self.stage.gateways[name] for name in self.stage.timetable.targets[number]]
         for gateway in affected:
             gateway.end_expected = True
@@ -105,6 +106,7 @@
             await asyncio.gather(*(gateway.undo_upgrade() for gateway in affected))
 
     async def stop(self, number: int, fault: scenarios.Stop) -> None:
+        """Stop gateways for `for_s`, and newly drawn ones every `every_s`, up to `until_s`."""
         loop, chance = asyncio.get_running_loop(), random.Random(f"{self.stage.seed} {number}")
         candidates, due_at_s = self.gateways(fault.gateways), loop.time()
         ends_at_s = due_at_s + fault.until_s - fault.at_s
@@ -180,6 +182,10 @@
     # ---- links ----
 
     async def link(self, number: int, fault: scenarios.Link) -> None:
+        """Disturb the paths between two groups for `for_s`.
+
+        The record has a `cut` event for each gateway whose link to its clients is disturbed.
+        """
         stage = self.stage
         some, others = stage.scenario.link_ends(fault.between), stage.scenario.link_ends(fault.and_)
         paths = list(stage.paths.between(some, others))
@@ -232,7 +238,10 @@
         self.stage.backends[name].die()
 
     def restart_cold(self, name: str, told: bool) -> None:
-        """Start a backend again, cold. If `told`, discovery gets its new time of birth."""
+        """Start a backend cold and undo what `vanish` and `end_backend_process` did to its links.
+
+        If `told`, discovery is notified that the backend is up, with the time of its start.
+        """
         for path in self.paths_to(name):
             path.reset()
             path.there.put(-1, None)
@@ -244,6 +253,7 @@
             self.stage.catalog.change(name, health="up", born_ms=self.stage.catalog.now_ms())
 
     async def backend(self, number: int, fault: scenarios.BackendFault) -> None:
+        """Apply a fault to backends and end it after `for_s`, if given; a `restart` ends at once."""
         names, catalog = self.stage.scenario.select("backends", fault.backends), self.stage.catalog
         for name in names:
             model = self.stage.backends[name]
@@ -279,6 +289,7 @@
     # ---- discovery, counter, operators ----
 
     async def agent(self, number: int, fault: scenarios.AgentFault) -> None:
+        """Make the discovery agents of some gateways faulty for `for_s`; `broken` happens once."""
         agents = [self.stage.agents[gateway.name] for gateway in self.gateways(fault.gateways)]
         previous_late_s = [agent.delay_s for agent in agents]
         for agent in agents:
@@ -306,6 +317,7 @@
                     agent.set_empty(False)
 
     async def counter(self, number: int, fault: scenarios.CounterFault) -> None:
+        """Make the counter, or the links of all gateways to it, faulty for `for_s`; `empty` happens once."""
         counter = self.stage.counter
         paths = [path for path, _ in self.stage.paths.between(self.stage.gateways, ["counter"])]
         match fault.what:
@@ -350,6 +362,7 @@
             await asyncio.sleep(fault.every_s)
 
     async def record_view(self, gateway: Gateway) -> None:
+        """Record the answer of one gateway to `GET /ops/fleet`; a stopped gateway is not asked."""
         if gateway.stopped:
             return
         status, body = await self.operator_request(gateway, "GET", "fleet", b"")
--- a/testbed/play/play.py
+++ b/testbed/play/play.py
@@ -112,6 +112,7 @@
             resource.setrlimit(resource.RLIMIT_NOFILE, (needed, hard))
 
     async def _start_all(self) -> None:
+        """Start the gateways, a few at a time, wait until they are ready, and then for `settle_s`."""
         start_slots = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
 
         async def start_one(gateway: Gateway) -> None:
@@ -177,6 +178,10 @@
         return self._make_result(time.monotonic() - started_at_s, time.process_time() - cpu_before_s)
 
     async def _run_load(self) -> None:
+        """Send the load and apply the faults for `duration_s`; then wait up to `END_TIMEOUT_S` for requests.
+
+        Raises PlayError if the record can't be written or a task of the test bed has failed.
+        """
         loop = asyncio.get_running_loop()
         load_started_at_s, scenario = loop.time(), self.scenario
         self.spawn(self._measure_lateness())
@@ -198,6 +203,7 @@
         await self.stage.clients.finish(END_TIMEOUT_S)
 
     async def _send_arrivals(self, load_started_at_s: float) -> None:
+        """Make the clients send each first try of the timetable at its time."""
         loop = asyncio.get_running_loop()
         for number, arrival in enumerate(self.stage.timetable.arrivals):
             due_at_s = load_started_at_s + arrival.at_s
@@ -207,10 +213,12 @@
             self.stage.clients.arrive(number, arrival)
 
     def record_lateness(self, late_s: float) -> None:
+        """Note by how many seconds the test bed itself was late; a play that was too late is void."""
         self.lateness_s.append(max(0.0, late_s))
         self.worst_lateness_s = max(self.worst_lateness_s, late_s)
 
     async def _measure_lateness(self) -> None:
+        """Record periodically how much later than due the event loop wakes a task."""
         loop = asyncio.get_running_loop()
         while True:
             due_at_s = loop.time() + LATENESS_CHECK_S
@@ -218,6 +226,14 @@
             self.record_lateness(loop.time() - due_at_s)
 
     async def _sample_load(self) -> None:
+        """Record samples periodically.
+
+        `load`: `of`, by backend, has the work done and the capacity, both in ms of work per second, and the
+        number of queued attempts; `over3` is the number of attempts that ran after more than 3 s in a queue;
+        `counter` has the number of calls by outcome. `late`: the test bed's highest lateness since the last
+        sample, in seconds. `proc`: `of` has CPU seconds and resident kilobytes by gateway, `lab` the CPU
+        seconds of the test bed.
+        """
         loop = asyncio.get_running_loop()
         used_ms, costs_sampled_at_s = dict.fromkeys(self.stage.backends, 0.0), 0.0
         while True:
@@ -264,6 +280,7 @@
             await self.stage.close()
 
     def _make_result(self, wall_s: float, cpu_s: float) -> Result:
+        """Judge the play and write its result, as the last event of the record and to a file of its own."""
         self.judge.finish()
         figures = self.judge.figures() | self.capacity_use.figures()
         expected, late_ms = self.scenario.expect, np.array(self.lateness_s or [0.0]) * 1000
--- a/testbed/play/processes.py
+++ b/testbed/play/processes.py
@@ -37,7 +37,7 @@
     """One gateway through all its processes: its addresses, its files, its current process.
 
     A life is one process of the gateway; lives are numbered from 1. `config` returns the configuration of the
-    next life. Who ends a process sets `end_expected` first: any other end is recorded as a crash.
+    next life. Code that ends a process sets `end_expected` first: any other end is recorded as a crash.
     """
 
     def __init__(self, name: str, index: int, zone: str, folder: Path, net: Net, records: Records) -> None:
@@ -132,6 +132,7 @@
         self.operator = self.host, (NEXT if self.operator[1] == OPERATOR else OPERATOR)
 
     async def _spawn(self) -> asyncio.subprocess.Process:
+        """Start a process. Records `beside` if the previous one still runs (an upgrade), else `start`."""
         self.write_config()
         variables = {
             "LB_CONFIG": str(self.folder / "config.json"),
--- a/testbed/scenario.py
+++ b/testbed/scenario.py
@@ -54,6 +54,7 @@
     seeds: Annotated[int, msgspec.Meta(ge=0, le=64)] = 3
     memory_mb: Annotated[int, msgspec.Meta(ge=16, le=1024)] = 192
     sockets: Annotated[int, msgspec.Meta(ge=128, le=65_536)] = 1024
+    # Value of `prices.crossZone` in the gateways' settings.
     cross_price: Ratio = 0.0
     # Time for each gateway to be ready after its start.
     ready_s: Seconds = 60.0
@@ -71,11 +72,13 @@
 class Backends(Strict):
     count: Annotated[int, msgspec.Meta(ge=1, le=MAX_BACKENDS)]
     cores: Annotated[int, msgspec.Meta(ge=1, le=64)] = 4
+    # Milliseconds of work that one core does in a millisecond.
     speed: Positive = 1.0
     queue: Annotated[int, msgspec.Meta(ge=0, le=10_000)] = 64
     connections: Annotated[int, msgspec.Meta(ge=1, le=100_000)] = 2_000
     # Number of racks in each zone.
     racks: Annotated[int, msgspec.Meta(ge=1, le=100)] = 2
+    # Share of its capacity that a backend has at a cold start; it rises to 1 within `warm_s`.
     start_capacity: Ratio = 0.19
     # By backend: the rule that it breaks on purpose (repeats, value).
     breaks: dict[str, str] = {}
@@ -83,8 +86,11 @@
 
 
 class CounterSettings(Strict):
+    # Calls that the counter handles in a second, one after another.
     per_s: Positive = 500.0
+    # Delay of an answer after its call was handled.
     call_ms: Annotated[float, msgspec.Meta(ge=0, le=1000)] = 1.0
+    # Calls that may wait; further ones are rejected.
     queue: Annotated[int, msgspec.Meta(ge=1, le=100_000)] = 200
 
 
@@ -118,6 +124,8 @@
 
 
 class Term(Fault, tag="term"):
+    """Ends gateways with SIGTERM. If `back_s` is given, they start again after it."""
+
     gateways: Names
     back_s: Seconds | None = None
     # Time from SIGTERM to SIGKILL.
@@ -246,7 +254,12 @@
 
 
 class BackendFault(Fault, tag="backend"):
-    """`die`: the process ends and connections are refused; `restart`: it ends and starts cold at once."""
+    """Makes backends faulty, or changes their entries in discovery.
+
+    `die`: the process ends and connections are refused; `restart`: it ends and starts cold at once; `pause`:
+    it stops working; `slow`: its speed changes by `factor`; `gone`: its machine becomes unreachable; `drain`
+    and `remove`: discovery lists it so, and at the end of the fault it starts cold; `add`: it starts cold.
+    """
 
     backends: Names
     what: Annotated[str, msgspec.Meta(pattern="^(die|restart|pause|slow|gone|drain|remove|add)$")]
@@ -259,6 +272,13 @@
 
 
 class AgentFault(Fault, tag="agent"):
+    """Makes the discovery agents of gateways faulty for `for_s`.
+
+    `late`: changes reach the agent after `late_s`; `silent`: it accepts requests and sends nothing; `old`: it
+    receives no changes until the fault ends; `empty`: it sends an empty list; `broken`: the connections of
+    its watches are reset once.
+    """
+
     gateways: Names
     what: Annotated[str, msgspec.Meta(pattern="^(late|silent|old|empty|broken)$")]
     for_s: Seconds
@@ -266,6 +286,13 @@
 
 
 class CounterFault(Fault, tag="counter"):
+    """Makes the counter faulty for `for_s`.
+
+    `silent`: it neither answers calls nor counts their units; `empty`: it loses all sums at once; `slow`:
+    each call takes `factor` times as long; `busy`: it rejects all calls; `refuse`: connections to it are
+    reset and refused.
+    """
+
     what: Annotated[str, msgspec.Meta(pattern="^(silent|empty|slow|busy|refuse)$")]
     for_s: Seconds = 0.0
     factor: Positive = 4.0
--- a/testbed/verdict/capacity_use.py
+++ b/testbed/verdict/capacity_use.py
@@ -57,6 +57,7 @@
             self.disabled.discard(event["id"])
 
     def on_life(self, event: Event) -> None:
+        """Note the power loss, and the restart once half of the gateways without power have started."""
         if event["what"] == "power":
             self.lost_at_s, self.restarted_at_s = event["t"], -1.0
             self.lost.add(event["g"])
--- a/testbed/verdict/judge.py
+++ b/testbed/verdict/judge.py
@@ -1,4 +1,4 @@
-"""The judge: checks the rules of PROTOCOL against what clients, links and stand-ins recorded.
+"""The judge: checks the platform's rules against what clients, links and stand-ins recorded.
 
 Its only input is the events of a play, in their order; it queries no gateway. A request without an answer is
 a breach unless its gateway was killed, stopped or cut off from clients while it had the request.
@@ -151,6 +151,11 @@
             self.zone_by_backend[name], self.rack_by_backend[name] = zone, rack
 
     def on_life(self, event: Event) -> None:
+        """Note when a gateway is down or upgraded, and check how its processes start and end.
+
+        A gateway is down from its kill, power loss, stop or exit until it is ready or continued. An upgrade
+        lasts from `beside`, the start of the new process, to `handed` or `undone`, the end of one of the two.
+        """
         gateway, now, what = event["g"], event["t"], event["what"]
         if what == "start":
             self.received_hosts[gateway].clear()  # a new process knows only what it receives from now on
@@ -187,6 +192,10 @@
         self.excused_periods[event["g"]].append((event["t"], event["until"]))
 
     def on_told(self, event: Event) -> None:
+        """Note what a gateway received from discovery: the whole endpoint list, or the changes up to `seq`.
+
+        The time of a change of health stays when the same health is received again.
+        """
         known, now = self.received_hosts[event["g"]], event["t"]
         if event["whole"]:
             for name in known.keys() - event["hosts"].keys():
@@ -203,12 +212,18 @@
                 self.majority_at_s[seq] = now
 
     def on_list(self, event: Event) -> None:
+        """Note from which time and sequence number of discovery's list a backend is not `up`."""
         if event["health"] == "up":
             self.withdrawn_backends.pop(event["b"], None)
         else:
             self.withdrawn_backends.setdefault(event["b"], (event["t"], event["seq"]))
 
     def on_op(self, event: Event) -> None:
+        """Note from when a backend or zone is disabled by operators, and for which gateways.
+
+        `call` is the path of the call, like `backends/down`. `how` is "called" when the call is made, and
+        then "yes", "no" or "none" for its answer.
+        """
         gateway, call, now = event["g"], event["call"], event["t"]
         kind, _, way = call.partition("/")
         if way == "down":
@@ -234,6 +249,10 @@
         return [event["g"]] if "..." in missing else [name for name in self.gateways if name not in missing]
 
     def on_back(self, event: Event) -> None:
+        """Check that a backend did not fail cold under work of gateways that had received its cold start.
+
+        `parts`: by gateway, the ms of work that the backend received in the last 3 s.
+        """
         if event["what"] != "fell":
             return
         self.counts["backends fallen"] += 1
@@ -251,6 +270,7 @@
         self.counts["tries"] += 1
 
     def on_ans(self, event: Event) -> None:
+        """Check an answer: the only one to its try, in time, and with a value made for its request."""
         client_try = self.tries.get(event["id"])
         if client_try is None:
             return
@@ -326,6 +346,7 @@
     # ---- attempts at backends ----
 
     def on_got(self, event: Event) -> None:
+        """Check an attempt that a backend has received; `ago` is the time in seconds since it was sent."""
         self.counts["attempts"] += 1
         now, sent = event["t"], event["t"] - event["ago"]
         gateway, name = event["g"], event["b"]
@@ -468,7 +489,7 @@
                 and not forwarded
                 and self.ended_during_upgrade(gateway, client_try, at)
             ):
-                # The platform's page allows it in an upgrade.
+                # In an upgrade, the platform permits closing a connection whose request was not forwarded.
                 self.counts["tries turned back by upgrades"] += 1
                 continue
             if not self.is_excused(gateway, client_try, at):
--- a/testbed/verdict/report.py
+++ b/testbed/verdict/report.py
@@ -201,6 +201,7 @@
 
 
 def draw_outcomes(events: PlayEvents) -> Any:
+    """Draw the tries that clients sent, and the answers by outcome, in each bin."""
     figure, axes = plt.subplots(figsize=(WIDTH_IN, ROW_HEIGHT_IN * 1.4))
     edges = bin_edges(events)
     offered, _ = np.histogram(events.offered_at_s, edges)
@@ -226,6 +227,7 @@
 
 
 def draw_refused(events: PlayEvents) -> Any:
+    """Draw the refused tries of each class in each bin."""
     figure, axes = plt.subplots(figsize=(WIDTH_IN, ROW_HEIGHT_IN))
     for name, times in sorted(events.refused_at_s.items()):
         counts, _ = np.histogram(times, bin_edges(events))
@@ -282,6 +284,7 @@
 
 
 def draw_lives(events: PlayEvents) -> Any:
+    """Draw the state of each gateway over time, as a row of coloured spans."""
     names = list(events.play["gateways"])[:MAX_ROWS]
     figure, axes = plt.subplots(figsize=(WIDTH_IN, 0.22 * len(names) + 1.2))
     for row, name in enumerate(names):
@@ -307,6 +310,7 @@
 
 
 def draw_latency(events: PlayEvents) -> Any:
+    """Draw percentiles of the latency of served tries, in milliseconds."""
     figure, axes = plt.subplots(figsize=(WIDTH_IN * 0.6, ROW_HEIGHT_IN))
     values = [events.latency.get_value_at_percentile(percentile) / 1000 for percentile in PERCENTILES]
     axes.plot(range(len(PERCENTILES)), values, marker="o", color="#1f4e9c")
