--- a/switchline/backends/connection.py
+++ b/switchline/backends/connection.py
@@ -324,6 +324,7 @@
         return True
 
     def _begin_streaming(self, started: StreamedStringStarted) -> None:
+        """Begin to forward a long answer, or end the attempt if its request needs no answer any more."""
         attempt = self.attempt
         is_first_item = not started.items and self._answer is None
         if attempt is None or not is_first_item or self._request_state is not RequestState.SENT:
--- a/switchline/config.py
+++ b/switchline/config.py
@@ -113,7 +113,7 @@
         descriptor_shares: how the descriptors are divided.
         state_folder: folder of the stored state; None if nothing is stored.
         audit_folder: folder of the audit's segments; None if they are not stored.
-        fleet: the gossip between gateways; None if this gateway knows of no other.
+        fleet: the gossip between gateways; None if the configuration has no `fleet`.
         release: release of this program.
         digest: digest of the keys that all gateways of a fleet share; empty without `fleet` and `audit`.
         last_known_list: endpoint list as this gateway last received it, in discovery's form.
--- a/switchline/net/json_stream.py
+++ b/switchline/net/json_stream.py
@@ -64,6 +64,7 @@
         return _parse_objects(text) if text.strip() else []
 
     def _parse_line(self, line: bytes) -> list[Any]:
+        """Add a complete line; return the objects if all their braces and brackets are closed by now."""
         if not self._lines and line.rstrip().endswith(b"}"):  # the usual format has one object on each line
             try:
                 return [json.loads(line)]
--- a/switchline/net/resp.py
+++ b/switchline/net/resp.py
@@ -139,6 +139,7 @@
                 return array
 
     def _parse_end_of_streamed(self) -> _Parsed:
+        """Parse the line break after a streamed string; the empty string returned stands for its value."""
         end = self._offset + len(CRLF)
         if self.streamed_remaining_bytes or len(self.buffer) < end:
             return INCOMPLETE
@@ -177,6 +178,7 @@
         return size
 
     def _begin_bulk(self, length: int) -> _Parsed:
+        """Begin to parse a string of `length` bytes: stream a long one inside an array, else buffer it."""
         if (
             self.streaming_threshold_bytes < length <= self.max_streamed_bytes
             and self.array_items is not None
--- a/switchline/operators/fleet_calls.py
+++ b/switchline/operators/fleet_calls.py
@@ -118,11 +118,11 @@
         transport.node.exchange_with([others[member].address for member in lacking[:MAX_PARALLEL_EXCHANGES]])
 
     async def propagate(self, kind: str, name: str, active: bool) -> Reply:
-        """Publish a call that already holds here to all gateways, and wait for their acknowledgements.
+        """Publish a call that is already in force here to all gateways, and wait for acknowledgements.
 
         Returns:
             Status 200 once more than half of all gateways have acknowledged the call. Status 503 if they have
-            not within `ACK_TIMEOUT_S`; the call then holds here, and gossip goes on to carry it.
+            not within `ACK_TIMEOUT_S`; the call stays in force here, and gossip continues to spread it.
         """
         if self.transport is None:
             return Reply(503, "it holds here alone: there is no line to other gateways\n")
@@ -167,7 +167,7 @@
             try:
                 overrides.merge({entry.name: OverrideChange(active, entry.at_ms)})
             except OSError as error:
-                # The override holds in this process although it is not stored.
+                # The override is in force in this process although it is not stored.
                 log.warning("a call for the whole fleet can't be stored: error=%s", error)
         self._acknowledge(CallKey(entry.kind, entry.name), entry.at_ms)
 
--- a/switchline/operators/overrides.py
+++ b/switchline/operators/overrides.py
@@ -171,7 +171,7 @@
 
         Raises:
             OSError: The file can't be locked, and nothing has changed; or it can't be written, and the
-                changes hold in this process all the same.
+                changes are in force in this process all the same.
         """
         current_ms = now_ms()
         with self._locked():
--- a/switchline/service/optional_fleet.py
+++ b/switchline/service/optional_fleet.py
@@ -58,7 +58,7 @@
         """Stop being a member.
 
         Args:
-            announce: Tell the other gateways that this gateway, and not only this process, leaves.
+            announce: Publish that this gateway, and not only this process, leaves.
         """
         if self.membership is not None:
             self.membership.leave(announce)
--- a/testbed/play/play.py
+++ b/testbed/play/play.py
@@ -43,7 +43,7 @@
 # Interval of the samples of the processes' CPU time and memory.
 COST_SAMPLE_S = 2.0
 MAX_CONCURRENT_STARTS = 16
-# Descriptors for the test bed's own files and sockets, beside those of links and requests.
+# Descriptors for the test bed's own files and sockets, in addition to those of links and requests.
 SPARE_DESCRIPTORS = 200
 # Thresholds of the garbage collector in a play: the oldest generation is not collected.
 GC_THRESHOLDS = 20_000, 20, 1_000_000
--- a/testbed/scenario.py
+++ b/testbed/scenario.py
@@ -344,7 +344,7 @@
 
 
 class Expect(Strict):
-    """Requirements on a play beside the rules: bounds of figures, by their names in the result."""
+    """Requirements on a play in addition to the rules: bounds of figures, by their names in the result."""
 
     at_least: dict[str, float] = {}
     at_most: dict[str, float] = {}
--- a/testbed/verdict/judge.py
+++ b/testbed/verdict/judge.py
@@ -24,7 +24,7 @@
 DEADLINE_SLACK_S = 0.15
 # Event keys of a request that a gateway must forward unchanged.
 FORWARDED_KEYS = "c", "cls", "plan", "units"
-# An answer after the client's deadline earns nothing. One that is later than this is a breach.
+# An answer after the client's deadline is worth nothing to it, but only one later than this is a breach.
 MAX_LATENESS_S = 0.5
 # A gateway may send to a backend for this long after it received that the backend drains or is disabled.
 DRAIN_GRACE_S = settings.RULES["drainGrace"] / 1000
@@ -158,7 +158,7 @@
         """
         gateway, now, what = event["g"], event["t"], event["what"]
         if what == "start":
-            self.received_hosts[gateway].clear()  # a new process knows only what it receives from now on
+            self.received_hosts[gateway].clear()  # a new process has received nothing yet
             self.received_seqs.pop(gateway, None)
         elif what in ("kill", "power", "stop"):
             self.down_at_s.setdefault(gateway, now)
