--- a/switchline/config.py
+++ b/switchline/config.py
@@ -44,8 +44,10 @@
 STATE_VARIABLE = "LB_STATE"
 OPERATOR_VARIABLE = "LB_OPERATOR"  # each process of an upgrade has an operators' address of its own
 
+# Keys of the file's `fleet` table.
 FLEET_KEYS = {"name", "listen", "advertise", "seeds", "secret", "shut_out_s"}
-# Keys of the file, and below those of its `settings`, whose values may differ between gateways of one fleet.
+# Keys of the file whose values may differ between gateways of one fleet. `OWN_SETTINGS`: such keys of its
+# `settings` table.
 OWN_KEYS = {
     "name",
     "listen",
@@ -111,7 +113,7 @@
         descriptor_shares: how the descriptors are divided.
         state_folder: folder of the stored state; None if nothing is stored.
         audit_folder: folder of the audit's segments; None if they are not stored.
-        fleet: the gossip between gateways; None if this gateway knows of no other.
+        fleet: the gossip between gateways; None if the configuration has no `fleet`.
         release: release of this program.
         digest: digest of the keys that all gateways of a fleet share; empty without `fleet` and `audit`.
         last_known_list: endpoint list as this gateway last received it, in discovery's form.
--- a/switchline/operators/overrides.py
+++ b/switchline/operators/overrides.py
@@ -171,7 +171,7 @@
 
         Raises:
             OSError: The file can't be locked, and nothing has changed; or it can't be written, and the
-                changes hold in this process all the same.
+                changes are in force in this process all the same.
         """
         current_ms = now_ms()
         with self._locked():
@@ -205,6 +205,7 @@
         self._apply(times)
 
     def _apply(self, times: OverrideTimes) -> None:
+        """Take over what the file has, and notify the owner of each override that was set or cleared."""
         previous = self._times
         self._times = times
         for name, at_ms in times.active.items():
